--- a/bench/doors.cpp
+++ b/bench/doors.cpp
@@ -1,5 +1,6 @@
-// Measures both doors: the same closed-loop client straight at a stand-in and through the front, in one run. Three
-// processes: the stand-in, the front, and this one, which is the client. All figures are of simulated servers.
+// Measures both doors: the same closed-loop client straight at a stand-in and through the front, in
+// one run. Three processes: the stand-in, the front, and this one, which is the client. All figures
+// are of simulated servers.
 #include <sys/wait.h>
 #include <unistd.h>
 
@@ -22,7 +23,8 @@
 
 namespace {
 
-constexpr std::uint16_t kList = 7600, kFront = 7632, kCqlFront = 7642, kStore = 7601, kCqlStore = 7651;
+constexpr std::uint16_t kList = 7600, kFront = 7632, kCqlFront = 7642, kStore = 7601,
+                        kCqlStore = 7651;
 constexpr int kStores = 3;
 const std::string kRef = "SELECT payload FROM weather.entries WHERE ref = 'a'";
 
@@ -42,10 +44,13 @@
   std::vector<std::int64_t> tookUs;
 };
 
-sockaddr_in at(std::uint16_t port) { return *runtime::parseAddress("127.0.0.1:" + std::to_string(port)); }
+sockaddr_in at(std::uint16_t port) {
+  return *runtime::parseAddress("127.0.0.1:" + std::to_string(port));
+}
 
 // One connection of PostgreSQL's, a statement after the other.
-runtime::Task<> postgres(runtime::Scheduler& s, std::uint16_t port, TimePoint until, Run& run, int& left, int number) {
+runtime::Task<> postgres(runtime::Scheduler& s, std::uint16_t port, TimePoint until, Run& run,
+                         int& left, int number) {
   runtime::Socket socket(s, runtime::startConnect(at(port)));
   bool up = co_await runtime::connected(socket, until);
   bool good = up && co_await runtime::writeAll(socket, pg::startup("web", "orders"), until);
@@ -74,20 +79,23 @@
       std::string id = std::to_string(number) + "-" + std::to_string(++n);
       begun = s.now();
       good = co_await runtime::writeAll(
-          socket, pg::query(kRef + " /* id=" + id + ",c=any,d=3000,cluster=1 */"), until + Duration{3'000'000});
+          socket, pg::query(kRef + " /* id=" + id + ",c=any,d=3000,cluster=1 */"),
+          until + Duration{3'000'000});
       break;
     }
     if (!good) break;
     if (pg::frame(in, 1 << 20, m) == pg::Framed::whole) continue;
     runtime::Socket::Got got = socket.read(in, 1 << 20);
     if (got == runtime::Socket::Got::ended) break;
-    if (got == runtime::Socket::Got::nothing) good = co_await socket.in.wait(until + Duration{3'000'000});
+    if (got == runtime::Socket::Got::nothing)
+      good = co_await socket.in.wait(until + Duration{3'000'000});
   }
   if (--left == 0) s.stop();
 }
 
 // One connection of Cassandra's with so many streams.
-runtime::Task<> cassandra(runtime::Scheduler& s, std::uint16_t port, TimePoint until, Run& run, int& left, int streams) {
+runtime::Task<> cassandra(runtime::Scheduler& s, std::uint16_t port, TimePoint until, Run& run,
+                          int& left, int streams) {
   runtime::Socket socket(s, runtime::startConnect(at(port)));
   cql::Framing framing(1 << 20);
   bool good = co_await runtime::connected(socket, until);
@@ -103,13 +111,15 @@
     cql::addBytesMap(words, {{"id", id}, {"c", "any"}, {"d", "3000"}, {"cluster", "1"}});
     cql::addLongString(words, kRef);
     cql::addShort(words, 1), cql::addByte(words, 0);
-    framing.put(out, false, 4, cql::kPayload, static_cast<std::int16_t>(stream), cql::Opcode::query, words);
+    framing.put(out, false, 4, cql::kPayload, static_cast<std::int16_t>(stream), cql::Opcode::query,
+                words);
     begun[static_cast<std::size_t>(stream)] = s.now();
     ++open;
   };
   while (good) {
     std::size_t used = 0, step = 0;
-    for (cql::Frame f; framing.next(std::string_view(in).substr(used), step, f) == cql::Framed::whole;) {
+    for (cql::Frame f;
+         framing.next(std::string_view(in).substr(used), step, f) == cql::Framed::whole;) {
       used += step;
       if (!started) {
         started = true;
@@ -119,7 +129,9 @@
       --open;
       cql::Reply r;
       bool read = cql::readReply(f, r);
-      ++(read && f.opcode == cql::Opcode::result ? run.completed : r.code == cql::kOverloaded ? run.rejected : run.other);
+      ++(read && f.opcode == cql::Opcode::result ? run.completed
+         : r.code == cql::kOverloaded            ? run.rejected
+                                                 : run.other);
       if (!read || (f.opcode != cql::Opcode::result && r.code != cql::kOverloaded))
         ++run.others[read ? std::to_string(r.code) + " " + std::string(r.text) : "unreadable"];
       run.tookUs.push_back((s.now() - begun[static_cast<std::size_t>(f.stream)]).us);
@@ -134,7 +146,8 @@
     if (started && open == 0) break;
     runtime::Socket::Got got = socket.read(in, 1 << 20);
     if (got == runtime::Socket::Got::ended) break;
-    if (got == runtime::Socket::Got::nothing) good = co_await socket.in.wait(until + Duration{3'000'000});
+    if (got == runtime::Socket::Got::nothing)
+      good = co_await socket.in.wait(until + Duration{3'000'000});
   }
   if (--left == 0) s.stop();
 }
@@ -171,7 +184,9 @@
 double middle(std::vector<std::int64_t> v, double share) {
   if (v.empty()) return 0;
   std::sort(v.begin(), v.end());
-  return static_cast<double>(v[static_cast<std::size_t>(static_cast<double>(v.size() - 1) * share)]) / 1000;
+  return static_cast<double>(
+             v[static_cast<std::size_t>(static_cast<double>(v.size() - 1) * share)]) /
+         1000;
 }
 
 pid_t startToy() {
@@ -180,17 +195,21 @@
   runtime::Scheduler s;
   toy::Toy toy(s);
   for (std::uint16_t k = 0; k < kStores; ++k)
-    toy.speakCql(toy.addStore(k == 0, 1, static_cast<std::uint16_t>(kStore + k)), static_cast<std::uint16_t>(kCqlStore + k));
+    toy.speakCql(toy.addStore(k == 0, 1, static_cast<std::uint16_t>(kStore + k)),
+                 static_cast<std::uint16_t>(kCqlStore + k));
   toy.serveList(kList);
   s.run([] {});
   _exit(0);
 }
 
 pid_t startFront(const char* program, const std::string& folder, int memoryMb) {
-  std::string config = folder + "/measure.json", doors = folder + "/measure.hcl", log = folder + "/measure.log";
-  std::ofstream(config) << "{\"name\":\"m\",\"listen\":\"127.0.0.1:" << kFront << "\",\"discovery\":\"127.0.0.1:" << kList
-                        << "\",\"seed\":\"1\",\"limits\":{\"sockets\":4096,\"memory_mb\":" << memoryMb
-                        << "},\"known\":{\"version\":0,\"full\":true,\"servers\":[]}" << kConfigEnd;
+  std::string config = folder + "/measure.json", doors = folder + "/measure.hcl",
+              log = folder + "/measure.log";
+  std::ofstream(config) << "{\"name\":\"m\",\"listen\":\"127.0.0.1:" << kFront
+                        << "\",\"discovery\":\"127.0.0.1:" << kList
+                        << "\",\"seed\":\"1\",\"limits\":{\"sockets\":4096,\"memory_mb\":"
+                        << memoryMb << "},\"known\":{\"version\":0,\"full\":true,\"servers\":[]}"
+                        << kConfigEnd;
   std::ofstream(doors) << "cassandra {\n listen = \"127.0.0.1:" << kCqlFront
                        << "\"\n streams = 4096\n map {\n workload = \"any\"\n group = 1\n }\n}\n";
   pid_t child = fork();
@@ -216,19 +235,25 @@
   pid_t front = startFront(argv[1], argv[2], memoryMb);
   usleep(1'000'000);
   load(true, kCqlFront, 64, 1), load(false, kFront, 64, 1);  // limits have grown
-  std::printf("protocol,streams,straight_per_s,through_per_s,ratio,front_us_each,p50_ms,p99_ms,rejected,other\n");
+  std::printf(
+      "protocol,streams,straight_per_s,through_per_s,ratio,front_us_each,p50_ms,p99_ms,rejected,"
+      "other\n");
   for (bool cql : {false, true})
     for (int streams : {1, 4, 16, 64, 256, 1000}) {
       Run straight = load(cql, cql ? kCqlStore + 1 : kStore + 1, streams, seconds);
       double before = cpuSeconds(front);
       Run through = load(cql, cql ? kCqlFront : kFront, streams, seconds);
       double used = cpuSeconds(front) - before;
-      double a = static_cast<double>(straight.completed) / seconds, b = static_cast<double>(through.completed) / seconds;
-      double answered = static_cast<double>(std::max<std::uint64_t>(1, through.completed + through.rejected));
-      std::printf("%s,%d,%.0f,%.0f,%.3f,%.1f,%.2f,%.2f,%llu,%llu\n", cql ? "cassandra" : "postgres", streams, a, b, b / a,
-                  used / answered * 1e6, middle(through.tookUs, 0.5), middle(through.tookUs, 0.99),
-                  static_cast<unsigned long long>(through.rejected), static_cast<unsigned long long>(through.other));
-      for (const auto& [said, times] : through.others) std::printf("# other: %d times %s\n", times, said.c_str());
+      double a = static_cast<double>(straight.completed) / seconds,
+             b = static_cast<double>(through.completed) / seconds;
+      double answered =
+          static_cast<double>(std::max<std::uint64_t>(1, through.completed + through.rejected));
+      std::printf("%s,%d,%.0f,%.0f,%.3f,%.1f,%.2f,%.2f,%llu,%llu\n", cql ? "cassandra" : "postgres",
+                  streams, a, b, b / a, used / answered * 1e6, middle(through.tookUs, 0.5),
+                  middle(through.tookUs, 0.99), static_cast<unsigned long long>(through.rejected),
+                  static_cast<unsigned long long>(through.other));
+      for (const auto& [said, times] : through.others)
+        std::printf("# other: %d times %s\n", times, said.c_str());
       std::fflush(stdout);
     }
   std::printf("# the front's most memory: %d kB of %d MB\n", peakKb(front), memoryMb);
--- a/bench/rounds.cpp
+++ b/bench/rounds.cpp
@@ -1,6 +1,7 @@
-// Measures what rounds and decisions of the module cost, by the number of stores: no I/O, a clock of its own. Stores
-// answer after a usual time; each size is played the same way and told in relation to the first one. Where the machine
-// counts instructions these are told; cores that others share make times of little use beside them.
+// Measures what rounds and decisions of the module cost, by the number of stores: no I/O, a clock
+// of its own. Stores answer after a usual time; each size is played the same way and told in
+// relation to the first one. Where the machine counts instructions these are told; cores that
+// others share make times of little use beside them.
 #include <linux/perf_event.h>
 #include <malloc.h>
 #include <sys/syscall.h>
@@ -21,7 +22,8 @@
 namespace {
 
 constexpr Duration kTick{5'000};
-constexpr int kOften = 3;  // plays of each size, in turn; the cheapest counts, as others share the cores
+constexpr int kOften =
+    3;  // plays of each size, in turn; the cheapest counts, as others share the cores
 
 struct Play {
   const char* name;
@@ -55,9 +57,11 @@
 
 class Driver : public DecisionSink {
  public:
-  Driver(const Play& play, int stores) : play_(play), size_(play.groupSize ? play.groupSize : stores), engine(terms(play), now) {
+  Driver(const Play& play, int stores)
+      : play_(play), size_(play.groupSize ? play.groupSize : stores), engine(terms(play), now) {
     engine.beginSnapshot(true);
-    for (int s = 0; s < stores; ++s) engine.addEndpoint({s, s / size_, s % 3, EndpointStatus::up, isPrimary(s), 1, {}}, now);
+    for (int s = 0; s < stores; ++s)
+      engine.addEndpoint({s, s / size_, s % 3, EndpointStatus::up, isPrimary(s), 1, {}}, now);
     engine.endSnapshot(true);
     groups_ = (stores + size_ - 1) / size_;
   }
@@ -66,12 +70,15 @@
     any.slo = near.slo = write.slo = Duration{500'000};
     any.effect = near.effect = Effect::idempotent;
     near.level = Level::bounded, near.bound = Duration{400'000};
-    write.level = Level::write, write.effect = Effect::deduplicated, write.window = Duration{3'000'000};
+    write.level = Level::write, write.effect = Effect::deduplicated,
+    write.window = Duration{3'000'000};
     EngineSettings t;
-    t.seed = 7, t.fronts = play.fronts, t.maxAttempts = 6, t.tick = kTick, t.workloads = {any, near, write};
+    t.seed = 7, t.fronts = play.fronts, t.maxAttempts = 6, t.tick = kTick,
+    t.workloads = {any, near, write};
     t.secondCopies = t.mayCancel = t.mayProbe = true, t.probePrice = 0.016;
     t.connectTimeout = Duration{250'000}, t.askEvery = Duration{10'000'000};
-    t.coldRamp = Duration{16'000'000}, t.coldWindow = Duration{2'000'000}, t.coldFrom = 0.27, t.coldMultiple = 2.5;
+    t.coldRamp = Duration{16'000'000}, t.coldWindow = Duration{2'000'000}, t.coldFrom = 0.27,
+    t.coldMultiple = 2.5;
     return t;
   }
   bool isPrimary(int s) const { return s % size_ == 0; }
@@ -79,7 +86,8 @@
   // All that is due, then a round, as the front has it.
   void step(bool statements) {
     now = now + kTick;
-    for (owed_ += statements ? play_.statements * kTick.seconds() : 0; owed_ >= 1; owed_ -= 1) arrive();
+    for (owed_ += statements ? play_.statements * kTick.seconds() : 0; owed_ >= 1; owed_ -= 1)
+      arrive();
     while (!due_.empty() && due_.front().at <= now) {
       Due d = due_.front();
       due_.pop_front();
@@ -90,12 +98,14 @@
       } else {
         AttemptResult r;
         bool open = open_[static_cast<std::size_t>(d.statement)];
-        r.attempt = d.execution, r.elapsed = Duration{10'000}, r.outcome = isDead(d.store) ? AttemptOutcome::connectFailed : AttemptOutcome::ok;
+        r.attempt = d.execution, r.elapsed = Duration{10'000},
+        r.outcome = isDead(d.store) ? AttemptOutcome::connectFailed : AttemptOutcome::ok;
         if (!isDead(d.store)) r.role = isPrimary(d.store) ? Role::primary : Role::replica;
         r.closed = !open || r.outcome == AttemptOutcome::ok;
         open_[static_cast<std::size_t>(d.statement)] = !r.closed;
         engine.onAttemptEnded(d.statement, r, now);
-        if (r.closed && --out_[static_cast<std::size_t>(d.statement)] == 0) free_.push_back(d.statement);
+        if (r.closed && --out_[static_cast<std::size_t>(d.statement)] == 0)
+          free_.push_back(d.statement);
         if (!r.closed) --out_[static_cast<std::size_t>(d.statement)];
       }
       // Facts come one by one: each has a round of its own.
@@ -112,9 +122,11 @@
       open_.push_back(1), out_.push_back(0), times_.push_back(0);
     else
       statement = free_.back(), free_.pop_back();
-    open_[static_cast<std::size_t>(statement)] = 1, out_[static_cast<std::size_t>(statement)] = 0, times_[static_cast<std::size_t>(statement)] = 0;
+    open_[static_cast<std::size_t>(statement)] = 1, out_[static_cast<std::size_t>(statement)] = 0,
+    times_[static_cast<std::size_t>(statement)] = 0;
     Arrival a;
-    a.workload = static_cast<int>(taken % 3), a.group = static_cast<int>(taken % static_cast<std::uint64_t>(groups_));
+    a.workload = static_cast<int>(taken % 3),
+    a.group = static_cast<int>(taken % static_cast<std::uint64_t>(groups_));
     a.giveUpAt = now + Duration{1'500'000};
     ++taken;
     engine.onStatementArrived(statement, a, now);
@@ -127,7 +139,8 @@
 
   void send(int statement, int store, TimePoint, TimePoint) override {
     ++sent, ++out_[static_cast<std::size_t>(statement)];
-    later({now + Duration{10'000}, statement, store, times_[static_cast<std::size_t>(statement)]++});
+    later(
+        {now + Duration{10'000}, statement, store, times_[static_cast<std::size_t>(statement)]++});
   }
   void probe(int store) override { ++probes, later({now + Duration{10'000}, -1, store, 0}); }
   void cancel(int, int) override {}
@@ -164,11 +177,13 @@
   for (int n = 0; n < 1000; ++n) d.step(true);
   Cost c;
   c.bytes = static_cast<double>(mallinfo2().uordblks - before);
-  std::uint64_t rounds = d.rounds, taken = d.taken, sent = d.sent, probes = d.probes, refused = d.refused;
+  std::uint64_t rounds = d.rounds, taken = d.taken, sent = d.sent, probes = d.probes,
+                refused = d.refused;
   double from = cpu();
   for (int n = 0; n < 1000; ++n) d.step(true);
   double took = cpu() - from;
-  c.round = took / static_cast<double>(d.rounds - rounds), c.statement = took / static_cast<double>(d.taken - taken);
+  c.round = took / static_cast<double>(d.rounds - rounds),
+  c.statement = took / static_cast<double>(d.taken - taken);
   c.sent = d.sent - sent, c.probes = d.probes - probes, c.refused = d.refused - refused;
   for (int n = 0; n < 400; ++n) d.step(false);
   rounds = d.rounds, from = cpu();
@@ -179,7 +194,8 @@
 
 }  // namespace
 
-// With PLAY STORES STEPS: that one alone, for a tool that counts instructions (the difference of two numbers of steps).
+// With PLAY STORES STEPS: that one alone, for a tool that counts instructions (the difference of
+// two numbers of steps).
 int main(int argc, char** argv) {
   const Play plays[] = {{"one group", 0, 1, 300, 0},
                         {"groups of ten", 10, 1, 300, 0},
@@ -190,11 +206,15 @@
     Driver d(plays[std::atoi(argv[1])], std::atoi(argv[2]));
     for (int n = 0; n < std::atoi(argv[3]); ++n) d.step(true);
     std::printf("%s: %llu statements, %llu rounds\n", plays[std::atoi(argv[1])].name,
-                static_cast<unsigned long long>(d.taken), static_cast<unsigned long long>(d.rounds));
+                static_cast<unsigned long long>(d.taken),
+                static_cast<unsigned long long>(d.rounds));
     return 0;
   }
-  std::printf("in %s; then in relation to 100 stores\n", counter >= 0 ? "thousands of instructions" : "microseconds");
-  std::printf("play,stores,round,statement,idle_round,bytes_a_store,sent,probes,refused,round,statement,idle_round\n");
+  std::printf("in %s; then in relation to 100 stores\n",
+              counter >= 0 ? "thousands of instructions" : "microseconds");
+  std::printf(
+      "play,stores,round,statement,idle_round,bytes_a_store,sent,probes,refused,round,statement,"
+      "idle_round\n");
   for (const Play& play : plays) {
     std::map<int, Cost> best;
     for (int k = 0; k < kOften; ++k)
@@ -204,10 +224,11 @@
       }
     Cost first = best[100];
     for (const auto& [stores, c] : best) {
-      std::printf("%s,%d,%.2f,%.1f,%.2f,%.0f,%llu,%llu,%llu,%.2f,%.2f,%.2f\n", play.name, stores, c.round, c.statement, c.idle,
-                  c.bytes / stores, static_cast<unsigned long long>(c.sent), static_cast<unsigned long long>(c.probes),
-                  static_cast<unsigned long long>(c.refused), c.round / first.round, c.statement / first.statement,
-                  c.idle / first.idle);
+      std::printf(
+          "%s,%d,%.2f,%.1f,%.2f,%.0f,%llu,%llu,%llu,%.2f,%.2f,%.2f\n", play.name, stores, c.round,
+          c.statement, c.idle, c.bytes / stores, static_cast<unsigned long long>(c.sent),
+          static_cast<unsigned long long>(c.probes), static_cast<unsigned long long>(c.refused),
+          c.round / first.round, c.statement / first.statement, c.idle / first.idle);
       std::fflush(stdout);
     }
   }
--- a/example/main.cpp
+++ b/example/main.cpp
@@ -28,8 +28,10 @@
                              : "replica 2",
                 text.c_str());
   };
-  std::printf("a primary and two replicas at 127.0.0.1:%d to %d, in Cassandra's protocol at %d to %d, their list at %d\n",
-              kFirstStorePort, kFirstStorePort + 2, kFirstCqlPort, kFirstCqlPort + 2, kListPort);
+  std::printf(
+      "a primary and two replicas at 127.0.0.1:%d to %d, in Cassandra's protocol at %d to %d, "
+      "their list at %d\n",
+      kFirstStorePort, kFirstStorePort + 2, kFirstCqlPort, kFirstCqlPort + 2, kListPort);
   s.run([] {});
   return 0;
 }
@@ -48,8 +50,10 @@
   std::string text = workload == "write"
                          ? "INSERT INTO entries (ref, payload) VALUES ('" + key +
                                "', '\\x00') RETURNING payload" + comment + ",k=" + id + " */"
-                         : "SELECT payload FROM entries WHERE ref = '" + key + "'" + comment + " */";
-  bool sent = co_await runtime::writeAll(socket, pg::startup("web", "orders") + pg::query(text), until);
+                         : "SELECT payload FROM entries WHERE ref = '" + key + "'" + comment +
+                               " */";
+  bool sent = co_await runtime::writeAll(socket, pg::startup("web", "orders") + pg::query(text),
+                                         until);
   TimePoint begun = s.now();
   std::string in;
   int readies = 0;
--- a/example/toy.cpp
+++ b/example/toy.cpp
@@ -17,7 +17,9 @@
   return *runtime::parseAddress(host + ":" + std::to_string(port), true);
 }
 
-sockaddr_in loopback(std::uint16_t port) { return at("127.0.0.1", port); }
+sockaddr_in loopback(std::uint16_t port) {
+  return at("127.0.0.1", port);
+}
 
 // A port that refuses connections and is nobody else's meanwhile.
 int keepPort(std::uint16_t port) {
@@ -64,7 +66,8 @@
 
 int Toy::addStore(bool primary, int group, std::uint16_t port) {
   auto store = std::make_unique<Store>();
-  store->listener = std::make_unique<runtime::Descriptor>(scheduler_, runtime::listenOn(at(host_, port)));
+  store->listener = std::make_unique<runtime::Descriptor>(scheduler_,
+                                                          runtime::listenOn(at(host_, port)));
   store->port = static_cast<std::uint16_t>(runtime::portOf(store->listener->fd()));
   store->primary = primary;
   store->group = group;
@@ -86,15 +89,22 @@
   return number;
 }
 
-int Toy::executions(int store) const { return stores_[static_cast<std::size_t>(store)]->executions; }
+int Toy::executions(int store) const {
+  return stores_[static_cast<std::size_t>(store)]->executions;
+}
 
 std::string Toy::member(int number) const {
   const Store& s = *stores_[static_cast<std::size_t>(number)];
   return "{\"id\":\"" + idOf(number) + "\",\"addr\":\"" + s.host + ":" + std::to_string(s.port) +
-         "\"," + (s.cqlPort ? "\"addrs\":{\"cassandra\":\"127.0.0.1:" + std::to_string(s.cqlPort) + "\"}," : "") +
-         (s.id.empty() ? "" : "\"addrs\":{\"another-protocol\":\"" + s.host + ":" + std::to_string(s.port) + "\"},") +
-         "\"zone\":\"a\",\"kind\":\"toy" + (s.id.empty() ? "" : s.id) + "\",\"cell\":" + std::to_string(s.group) + ",\"state\":\"" +
-         s.state + "\",\"weight\":1.0,\"started_ms\":" + std::to_string(s.startedMs) + ",\"access\":\"" +
+         "\"," +
+         (s.cqlPort ? "\"addrs\":{\"cassandra\":\"127.0.0.1:" + std::to_string(s.cqlPort) + "\"},"
+                    : "") +
+         (s.id.empty() ? ""
+                       : "\"addrs\":{\"another-protocol\":\"" + s.host + ":" +
+                             std::to_string(s.port) + "\"},") +
+         "\"zone\":\"a\",\"kind\":\"toy" + (s.id.empty() ? "" : s.id) +
+         "\",\"cell\":" + std::to_string(s.group) + ",\"state\":\"" + s.state +
+         "\",\"weight\":1.0,\"started_ms\":" + std::to_string(s.startedMs) + ",\"access\":\"" +
          (s.primary ? "writer" : "reader") + "\"}";
 }
 
@@ -136,7 +146,8 @@
 void Toy::revive(int number) {
   Store& s = *stores_[static_cast<std::size_t>(number)];
   s.startedMs = wallNow().us / 1000;
-  s.listener = std::make_unique<runtime::Descriptor>(scheduler_, runtime::listenOn(loopback(s.port)));
+  s.listener = std::make_unique<runtime::Descriptor>(scheduler_,
+                                                     runtime::listenOn(loopback(s.port)));
   acceptStore(number);
   s.prepared.clear();
   if (s.cqlPort) speakCql(number, s.cqlPort);
@@ -151,7 +162,8 @@
 }
 
 void Toy::closeIdle(int number, std::string_view last) {
-  for (runtime::Socket* c : stores_[static_cast<std::size_t>(number)]->idle) c->write(last), c->close();
+  for (runtime::Socket* c : stores_[static_cast<std::size_t>(number)]->idle)
+    c->write(last), c->close();
 }
 
 void Toy::closeBusy(int number) {
@@ -173,8 +185,9 @@
 }
 
 void Toy::acceptStore(int number) {
-  scheduler_.spawn(accept(*stores_[static_cast<std::size_t>(number)]->listener,
-                          [this, number](auto socket) { return serveStore(number, std::move(socket)); }));
+  scheduler_.spawn(
+      accept(*stores_[static_cast<std::size_t>(number)]->listener,
+             [this, number](auto socket) { return serveStore(number, std::move(socket)); }));
 }
 
 runtime::Task<> Toy::serveStore(int number, std::unique_ptr<runtime::Socket> owned) {
@@ -188,7 +201,8 @@
     std::size_t size = 0;
     pg::Message m;
     std::string out;
-    store.holdsBack |= !greeted && store.held && pg::frameStartup(in, kMost, code, size) == pg::Framed::whole;
+    store.holdsBack |= !greeted && store.held &&
+                       pg::frameStartup(in, kMost, code, size) == pg::Framed::whole;
     if (!greeted && !store.held && pg::frameStartup(in, kMost, code, size) == pg::Framed::whole) {
       in.erase(0, size);
       greeted = true;
@@ -201,7 +215,8 @@
       if (text == "SHOW usage") {
         // A primary stands at the present; so does a toy replica that was not told to lag.
         double position = (positionOf(store) - WallTime{}).seconds();
-        out = row("x0=" + std::to_string(position) + ",x1=" + (store.primary ? "1" : "0") + ",inflight=0") +
+        out = row("x0=" + std::to_string(position) + ",x1=" + (store.primary ? "1" : "0") +
+                  ",inflight=0") +
               pg::message('C', std::string("SHOW\0", 5)) + pg::ready();
       } else {
         bool open = co_await doStatement(number, s, std::move(text));
@@ -231,8 +246,8 @@
   for (int k = 0; k < static_cast<int>(stores_.size()); ++k) changed(k);
 }
 
-Toy::Deed Toy::begin(int number, const std::string& id, std::string_view key, bool write, const std::string& mark,
-                     const std::string& text) {
+Toy::Deed Toy::begin(int number, const std::string& id, std::string_view key, bool write,
+                     const std::string& mark, const std::string& text) {
   constexpr Duration kWindow{3'000'000};
   Store& store = *stores_[static_cast<std::size_t>(number)];
   Deed deed;
@@ -241,14 +256,16 @@
   deed.write = write;
   deed.misplaced = write && !store.primary;
   std::size_t digits = deed.word.find_first_of("0123456789");
-  if (digits != std::string::npos && (deed.word.starts_with("slow") || deed.word.starts_with("big"))) {
+  if (digits != std::string::npos &&
+      (deed.word.starts_with("slow") || deed.word.starts_with("big"))) {
     std::from_chars(deed.word.data() + digits, deed.word.data() + deed.word.size(), deed.number);
     deed.word.resize(digits);
   }
   ++store.executions;
   seen(number, text);
   // What is turned away has no effect, nor has a write whose mark is known already.
-  static const std::set<std::string> kNone = {"miss", "stale", "full", "error", "away", "liar", "wrong"};
+  static const std::set<std::string> kNone = {"miss", "stale", "full", "error",
+                                              "away", "liar",  "wrong"};
   if (!write || deed.misplaced || kNone.contains(deed.word)) return deed;
   if (!mark.empty()) {
     auto [known, fresh] = marks_.try_emplace(mark, scheduler_.now());
@@ -259,11 +276,13 @@
   return deed;
 }
 
-// What becomes of a statement is the first word of its key: ok, miss, full, error, stale, break (after it was
-// taken and has run), die (the whole store does, likewise), silent, half (a row cut off), garbage, long (a message without end), twice (a row too many), more
-// (a row after the answer), copy (the whole answer once more), noise (no message at all), longer (a row that
-// promises more than comes), liar (never ran, it says, and goes on with noise), wrong (the statement is at fault),
-// unread (a report that can't be read), endless (parameters for ever), big and a number of bytes, or slow and a number of milliseconds.
+// What becomes of a statement is the first word of its key: ok, miss, full, error, stale, break
+// (after it was taken and has run), die (the whole store does, likewise), silent, half (a row cut
+// off), garbage, long (a message without end), twice (a row too many), more (a row after the
+// answer), copy (the whole answer once more), noise (no message at all), longer (a row that
+// promises more than comes), liar (never ran, it says, and goes on with noise), wrong (the
+// statement is at fault), unread (a report that can't be read), endless (parameters for ever), big
+// and a number of bytes, or slow and a number of milliseconds.
 runtime::Task<bool> Toy::doStatement(int number, runtime::Socket& s, std::string text) {
   Store& store = *stores_[static_cast<std::size_t>(number)];
   pg::Fields f;
@@ -328,14 +347,16 @@
     out = pg::error(false, "42601", "no such words") + role + pg::ready();
   } else if (word == "unread") {
     out = row("value of unread") + pg::message('C', std::string("SELECT 1\0", 9)) +
-          pg::parameter("usage", "x0=nan,x1=,=,inflight=-inf,x0=9e99") + pg::parameter("commit_clock", "1e300") +
-          pg::ready();
+          pg::parameter("usage", "x0=nan,x1=,=,inflight=-inf,x0=9e99") +
+          pg::parameter("commit_clock", "1e300") + pg::ready();
   } else if (word == "big") {
-    out = row(std::string(static_cast<std::size_t>(deed.number), 'b')) + pg::message('C', std::string("SELECT 1\0", 9)) + pg::ready();
+    out = row(std::string(static_cast<std::size_t>(deed.number), 'b')) +
+          pg::message('C', std::string("SELECT 1\0", 9)) + pg::ready();
   } else if (word == "twice") {
     out = row("one") + row("two") + pg::message('C', std::string("SELECT 1\0", 9)) + pg::ready();
   } else {
-    out = row("value of " + std::string(f.key)) + pg::message('C', std::string("SELECT 1\0", 9)) + role;
+    out = row("value of " + std::string(f.key)) + pg::message('C', std::string("SELECT 1\0", 9)) +
+          role;
     if (write) out += pg::parameter("commit_clock", std::to_string(wallNow().us / 1000));
     out += pg::ready();
   }
@@ -347,7 +368,8 @@
 
 std::uint16_t Toy::serveList(std::uint16_t port) {
   list_ = std::make_unique<runtime::Descriptor>(scheduler_, runtime::listenOn(loopback(port)));
-  scheduler_.spawn(accept(*list_, [this](auto socket) { return serveListCall(std::move(socket)); }));
+  scheduler_.spawn(
+      accept(*list_, [this](auto socket) { return serveListCall(std::move(socket)); }));
   return static_cast<std::uint16_t>(runtime::portOf(list_->fd()));
 }
 
@@ -387,7 +409,8 @@
     auto figure = [&](const char* name) {
       std::int64_t value = -1;
       std::size_t at = head.find(name);
-      if (at != std::string::npos) std::from_chars(head.data() + at + 6, head.data() + head.size(), value);
+      if (at != std::string::npos)
+        std::from_chars(head.data() + at + 6, head.data() + head.size(), value);
       return value;
     };
     std::int64_t index = figure("index="), wait = figure("&wait=");
@@ -406,14 +429,16 @@
         if (version > index) entries += (entries.empty() ? "" : ",") + member(store);
       body = listing(false, entries);
     }
-    if (listDelay_ > Duration{}) co_await runtime::sleepUntil(scheduler_, scheduler_.now() + listDelay_);
+    if (listDelay_ > Duration{})
+      co_await runtime::sleepUntil(scheduler_, scheduler_.now() + listDelay_);
     if (indented_) body = spread(body);
     std::string out = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: " +
                       std::to_string(body.size()) + "\r\n\r\n" + body;
     bool spoilt = !spoiled_.empty();
     if (spoilt) out = std::exchange(spoiled_, {});
     // One that says nothing of its length ends with its connection; here that is reset instead.
-    bool cut = spoilt && out.find("Content-Length") == std::string::npos && out.rfind("HTTP/1.0 200", 0) == 0;
+    bool cut = spoilt && out.find("Content-Length") == std::string::npos &&
+               out.rfind("HTTP/1.0 200", 0) == 0;
     if (never || listSilent_) {
       while (s.read(in, kMost) != runtime::Socket::Got::ended) co_await s.in.wait();
       co_return;
--- a/example/toy.h
+++ b/example/toy.h
@@ -1,6 +1,7 @@
-// A toy to try the front with, and what its tests talk to: stores and the list of stores on loopback, written
-// from the public protocol pages, spoken to in PostgreSQL's protocol and, at a port of its own, in Cassandra's. It
-// holds no data; what it does with a statement stands in the statement, in the same words for both.
+// A toy to try the front with, and what its tests talk to: stores and the list of stores on
+// loopback, written from the public protocol pages, spoken to in PostgreSQL's protocol and, at a
+// port of its own, in Cassandra's. It holds no data; what it does with a statement stands in the
+// statement, in the same words for both.
 #pragma once
 
 #include <cstdint>
@@ -18,20 +19,26 @@
 class Toy {
  public:
   // `host`: where its stores listen; all of this machine's addresses where they have aliases.
-  explicit Toy(runtime::Scheduler& s, const char* host = "127.0.0.1") : scheduler_(s), host_(host) {}
+  explicit Toy(runtime::Scheduler& s, const char* host = "127.0.0.1")
+      : scheduler_(s), host_(host) {}
   ~Toy();
 
   // A store at an address of the system's choice on 127.0.0.1, or at the given port; its number.
   int addStore(bool primary, int group, std::uint16_t port = 0);
-  // Another entry of the list, with a long id, that is this very store at another address of this machine.
+  // Another entry of the list, with a long id, that is this very store at another address of this
+  // machine.
   int addAlias(int of);
   // Opens its port for Cassandra's protocol; the list names it from now on.
   void speakCql(int store, std::uint16_t port = 0);
   std::uint16_t port(int store) const { return stores_[static_cast<std::size_t>(store)]->port; }
-  std::uint16_t cqlPort(int store) const { return stores_[static_cast<std::size_t>(store)]->cqlPort; }
+  std::uint16_t cqlPort(int store) const {
+    return stores_[static_cast<std::size_t>(store)]->cqlPort;
+  }
   // It knows none of the texts any more that were prepared there.
   void forgetPrepared(int store) { stores_[static_cast<std::size_t>(store)]->prepared.clear(); }
-  int preparedTimes(int store) const { return stores_[static_cast<std::size_t>(store)]->preparedTimes; }
+  int preparedTimes(int store) const {
+    return stores_[static_cast<std::size_t>(store)]->preparedTimes;
+  }
   // How many effects there were of a write, by its mark or, without one, its id.
   int effects(const std::string& of) const { return effects_.contains(of) ? effects_.at(of) : 0; }
   // The list of stores; returns its port.
@@ -39,7 +46,8 @@
 
   // Changes a store's state in the list ("up", "draining" or "removed") and tells the watchers.
   void setState(int store, const std::string& state);
-  // The process dies: connections break, new ones are refused. revive() brings it back, lately started.
+  // The process dies: connections break, new ones are refused. revive() brings it back, lately
+  // started.
   void kill(int store);
   void revive(int store);
   // Closes idle connections to a store, with some last bytes.
@@ -48,11 +56,14 @@
   void closeBusy(int store);
   // While held, a store accepts connections but does not greet them.
   void hold(int store, bool held);
-  bool holdsBack(int store) const { return stores_[static_cast<std::size_t>(store)]->holdsBack; }  // a greeting
+  bool holdsBack(int store) const {
+    return stores_[static_cast<std::size_t>(store)]->holdsBack;
+  }  // a greeting
   // What every answer of the list service becomes, once; empty: a proper one.
   void spoilList(std::string raw) { spoiled_ = std::move(raw); }
 
-  // The list's service is gone: connections to it are reset, new ones refused until serveList() with its port.
+  // The list's service is gone: connections to it are reset, new ones refused until serveList()
+  // with its port.
   void closeList();
   // Its connections are reset; new ones are taken.
   void resetList();
@@ -70,7 +81,9 @@
     return id.empty() ? "toy-" + std::to_string(store) : id;
   }
   int executions(int store) const;
-  std::size_t connections(int store) const { return stores_[static_cast<std::size_t>(store)]->connections.size(); }
+  std::size_t connections(int store) const {
+    return stores_[static_cast<std::size_t>(store)]->connections.size();
+  }
 
   // How far a replica's data is behind, in its reports and answers.
   void lag(int store, Duration by) { stores_[static_cast<std::size_t>(store)]->lag = by; }
@@ -109,11 +122,11 @@
   // What becomes of one execution, told by the words of its key.
   struct Deed {
     std::string word, key;
-    std::int64_t number = 0;  // behind the word
+    std::int64_t number = 0;                // behind the word
     bool write = false, misplaced = false;  // `misplaced`: a write, and this is no primary
   };
-  Deed begin(int store, const std::string& id, std::string_view key, bool write, const std::string& mark,
-             const std::string& text);
+  Deed begin(int store, const std::string& id, std::string_view key, bool write,
+             const std::string& mark, const std::string& text);
   WallTime wallNow() const { return scheduler_.wall().wallOf(scheduler_.now()); }
   WallTime positionOf(const Store& s) const { return wallNow() - s.lag; }
 
--- a/example/toy_cql.cpp
+++ b/example/toy_cql.cpp
@@ -26,7 +26,9 @@
   return body.insert(12, state);
 }
 
-std::string markOf(const cql::BytesMap& payload) { return std::string(cql::valueOf(payload, "k")); }
+std::string markOf(const cql::BytesMap& payload) {
+  return std::string(cql::valueOf(payload, "k"));
+}
 
 }  // namespace
 
@@ -56,8 +58,9 @@
 }
 
 void Toy::acceptCql(int number) {
-  scheduler_.spawn(accept(*stores_[static_cast<std::size_t>(number)]->cqlListener,
-                          [this, number](auto socket) { return serveCql(number, std::move(socket)); }));
+  scheduler_.spawn(
+      accept(*stores_[static_cast<std::size_t>(number)]->cqlListener,
+             [this, number](auto socket) { return serveCql(number, std::move(socket)); }));
 }
 
 runtime::Task<> Toy::writeCql(std::shared_ptr<CqlLink> link) {
@@ -71,11 +74,13 @@
 
 runtime::Task<> Toy::answerCql(int number, std::shared_ptr<CqlLink> link, CqlAsked asked) {
   Store& store = *stores_[static_cast<std::size_t>(number)];
-  auto put = [&](cql::Opcode o, const std::string& body, bool tells = true, std::int16_t onStream = -2) {
+  auto put = [&](cql::Opcode o, const std::string& body, bool tells = true,
+                 std::int16_t onStream = -2) {
     std::string whole;
     if (tells) {
       std::string position = std::to_string(positionOf(store).us / 1000);
-      cql::addBytesMap(whole, {{"server_role", store.primary ? "writer" : "reader"}, {"commit_clock", position}});
+      cql::addBytesMap(whole, {{"server_role", store.primary ? "writer" : "reader"},
+                               {"commit_clock", position}});
     }
     whole += body;
     link->framing.put(link->out, true, link->version, tells ? cql::kPayload : 0,
@@ -87,7 +92,8 @@
     cql::addBytesMap(body, {{"turned", why}, {"server_role", store.primary ? "writer" : "reader"}});
     body += cql::errorBody(cql::kUnavailable, "turned away");
     cql::addShort(body, 1), cql::addInt(body, 1), cql::addInt(body, 0);
-    link->framing.put(link->out, true, link->version, cql::kPayload, asked.stream, cql::Opcode::error, body);
+    link->framing.put(link->out, true, link->version, cql::kPayload, asked.stream,
+                      cql::Opcode::error, body);
     if (!std::exchange(link->writing, true)) scheduler_.spawn(writeCql(link));
   };
   Deed deed = begin(number, asked.id, asked.key, asked.write, asked.mark, asked.text);
@@ -111,7 +117,8 @@
     put(cql::Opcode::error, cql::errorBody(cql::kServerError, "it went wrong"));
   } else if (word == "writetimeout") {
     std::string body = cql::errorBody(cql::kWriteTimeout, "no answer from a replica");
-    cql::addShort(body, 1), cql::addInt(body, 0), cql::addInt(body, 1), cql::addString(body, "SIMPLE");
+    cql::addShort(body, 1), cql::addInt(body, 0), cql::addInt(body, 1),
+        cql::addString(body, "SIMPLE");
     put(cql::Opcode::error, body);
   } else if (word == "wrong") {
     put(cql::Opcode::error, cql::errorBody(cql::kSyntaxError, "no such words"));
@@ -120,7 +127,8 @@
   } else if (word == "silent") {
   } else if (word == "half") {
     std::string whole;
-    link->framing.put(whole, true, link->version, 0, asked.stream, cql::Opcode::result, rowBody(std::string(1000, 'x'), ""));
+    link->framing.put(whole, true, link->version, 0, asked.stream, cql::Opcode::result,
+                      rowBody(std::string(1000, 'x'), ""));
     link->out += whole.substr(0, 300);
     link->writing = true;
     co_await writeCql(link);
@@ -129,7 +137,8 @@
     link->out += "\x01\xff\xff\xff\xff garbage";
     if (!std::exchange(link->writing, true)) scheduler_.spawn(writeCql(link));
   } else if (word == "long") {
-    cql::addHeader(link->out, true, link->version, 0, asked.stream, cql::Opcode::result, 0x7f000000);
+    cql::addHeader(link->out, true, link->version, 0, asked.stream, cql::Opcode::result,
+                   0x7f000000);
     if (!std::exchange(link->writing, true)) scheduler_.spawn(writeCql(link));
   } else if (word == "twice") {
     put(cql::Opcode::result, rowBody(value, ""));
@@ -144,9 +153,10 @@
     put(cql::Opcode::result, rowBody(std::string(static_cast<std::size_t>(deed.number), 'b'), ""));
   } else if (word.starts_with("pages")) {
     // pages<N>: so many pages; the state is the number of the next.
-    int pages = std::atoi(word.c_str() + 5), page = asked.page.empty() ? 1 : std::atoi(asked.page.c_str());
-    put(cql::Opcode::result,
-        rowBody("page " + std::to_string(page), page < pages ? std::to_string(page + 1) : std::string()));
+    int pages = std::atoi(word.c_str() + 5),
+        page = asked.page.empty() ? 1 : std::atoi(asked.page.c_str());
+    put(cql::Opcode::result, rowBody("page " + std::to_string(page),
+                                     page < pages ? std::to_string(page + 1) : std::string()));
   } else if (asked.schema) {
     std::string body;
     cql::addInt(body, 5);
@@ -183,9 +193,10 @@
   }
   if (f.opcode == cql::Opcode::options) {
     double position = (positionOf(store) - WallTime{}).seconds();
-    put(cql::Opcode::supported,
-        cql::multimapBody({{"CQL_VERSION", {"3.4.5"}},
-                           {"USAGE", {"x0=" + std::to_string(position) + ",x1=" + (store.primary ? "1" : "0")}}}));
+    put(cql::Opcode::supported, cql::multimapBody({{"CQL_VERSION", {"3.4.5"}},
+                                                   {"USAGE",
+                                                    {"x0=" + std::to_string(position) +
+                                                     ",x1=" + (store.primary ? "1" : "0")}}}));
     return true;
   }
   cql::Asked asked;
@@ -197,7 +208,8 @@
   cql::TextRead read;
   if (f.opcode == cql::Opcode::prepare) {
     // Each store has its own id for a text.
-    std::string text(asked.text), id = "p" + std::to_string(number) + "-" + std::to_string(std::hash<std::string>{}(text));
+    std::string text(asked.text),
+        id = "p" + std::to_string(number) + "-" + std::to_string(std::hash<std::string>{}(text));
     store.prepared[id] = text;
     ++store.preparedTimes;
     cql::readText(text, read);
@@ -206,10 +218,13 @@
     if (f.version >= 5) cql::addShortBytes(body, "r" + id);
     cql::addInt(body, 1), cql::addInt(body, read.markers), cql::addInt(body, 0);
     cql::addString(body, "weather"), cql::addString(body, "entries");
-    for (int k = 0; k < read.markers; ++k) cql::addString(body, "m" + std::to_string(k)), cql::addShort(body, 0x000d);
+    for (int k = 0; k < read.markers; ++k)
+      cql::addString(body, "m" + std::to_string(k)), cql::addShort(body, 0x000d);
     bool rows = read.kind == cql::Kind::read;
     cql::addInt(body, rows ? 1 : 4), cql::addInt(body, rows ? 1 : 0);
-    if (rows) cql::addString(body, "weather"), cql::addString(body, "entries"), cql::addString(body, "payload"), cql::addShort(body, 0x000d);
+    if (rows)
+      cql::addString(body, "weather"), cql::addString(body, "entries"),
+          cql::addString(body, "payload"), cql::addShort(body, 0x000d);
     put(cql::Opcode::result, body);
     return true;
   }
@@ -235,7 +250,8 @@
   }
   if (f.opcode == cql::Opcode::batch) {
     const cql::Part& part = asked.parts.front();
-    first = part.prepared ? std::string_view(store.prepared.find(std::string(part.text))->second) : part.text;
+    first = part.prepared ? std::string_view(store.prepared.find(std::string(part.text))->second)
+                          : part.text;
   }
   one.text = first;
   cql::readText(one.text, read);
@@ -245,7 +261,8 @@
     std::size_t at = f.opcode == cql::Opcode::execute ? asked.idAt + 2 + asked.id.size() : 0;
     if (f.opcode == cql::Opcode::execute && f.version >= 5) at += 2 + asked.resultId.size();
     at += 2 + (f.version >= 5 ? 4 : 1) + 2;
-    if (f.opcode == cql::Opcode::batch) at = asked.parts.front().at + 2 + asked.parts.front().text.size() + 2;
+    if (f.opcode == cql::Opcode::batch)
+      at = asked.parts.front().at + 2 + asked.parts.front().text.size() + 2;
     if (at < f.body.size()) {
       cql::Cursor c(f.body.substr(at));
       one.key = c.bytes().value_or(std::string_view{});
--- a/src/base/id_index.h
+++ b/src/base/id_index.h
@@ -1,4 +1,5 @@
-// Maps ids from outside to small dense indices, in order of first sight; released indices are used again.
+// Maps ids from outside to small dense indices, in order of first sight; released indices are used
+// again.
 #pragma once
 
 #include <unordered_map>
--- a/src/base/parse_number.h
+++ b/src/base/parse_number.h
@@ -1,4 +1,5 @@
-// A whole text as a number: nothing where it is empty, out of range, or has anything before or behind it.
+// A whole text as a number: nothing where it is empty, out of range, or has anything before or
+// behind it.
 #pragma once
 
 #include <charconv>
--- a/src/base/time.h
+++ b/src/base/time.h
@@ -1,5 +1,5 @@
-// Points in time, spans of time and moments of the wall clock, in microseconds: three types, so that none is taken for
-// another.
+// Points in time, spans of time and moments of the wall clock, in microseconds: three types, so
+// that none is taken for another.
 #pragma once
 
 #include <compare>
@@ -16,7 +16,9 @@
   constexpr Duration operator*(double k) const {
     return {static_cast<std::int64_t>(static_cast<double>(us) * k)};
   }
-  constexpr double operator/(Duration o) const { return static_cast<double>(us) / static_cast<double>(o.us); }
+  constexpr double operator/(Duration o) const {
+    return static_cast<double>(us) / static_cast<double>(o.us);
+  }
   constexpr double seconds() const { return static_cast<double>(us) / 1e6; }
 };
 
@@ -29,8 +31,9 @@
   constexpr Duration operator-(TimePoint o) const { return {us - o.us}; }
 };
 
-// A moment as the world names it, in Unix time. The wall clock may be set at any time, so nothing is timed by it: what a
-// protocol tells in it is brought to the monotonic clock first (sched/wall_clock.h).
+// A moment as the world names it, in Unix time. The wall clock may be set at any time, so nothing
+// is timed by it: what a protocol tells in it is brought to the monotonic clock first
+// (sched/wall_clock.h).
 struct WallTime {
   std::int64_t us = 0;
 
--- a/src/client/acceptor.cpp
+++ b/src/client/acceptor.cpp
@@ -5,7 +5,7 @@
 namespace reedchute::client {
 namespace {
 
-constexpr int kInARow = 16;          // connections before others have their turn
+constexpr int kInARow = 16;              // connections before others have their turn
 constexpr Duration kShortestPause{500};  // after a call that failed
 // Longest pauses that whoever waits in the kernel as the listener is to close is tried for.
 constexpr double kDrainPauses = 4;
@@ -44,8 +44,8 @@
   }
 }
 
-// After a call that failed. Danger: an error tells of one connection or of one moment, and no edge tells when
-// the next call would succeed; and one that lasts would be called in a loop.
+// After a call that failed. Danger: an error tells of one connection or of one moment, and no edge
+// tells when the next call would succeed; and one that lasts would be called in a loop.
 TimePoint Acceptor::retryAt() {
   TimePoint now = scheduler_.now(), next = now + backoff_.after(now);
   bool lasts = now - backoff_.failingSince() >= longestPause_;
--- a/src/client/acceptor.h
+++ b/src/client/acceptor.h
@@ -1,5 +1,5 @@
-// A listening socket: accepts whoever comes, through the failures that accept() is documented to have, and
-// knows since when a connection may have waited in the kernel's queue.
+// A listening socket: accepts whoever comes, through the failures that accept() is documented to
+// have, and knows since when a connection may have waited in the kernel's queue.
 #pragma once
 
 #include <memory>
@@ -14,8 +14,8 @@
 class AcceptorHost {
  public:
   virtual ~AcceptorHost() = default;
-  // `waitedSince`: the earliest moment since which it may have waited to be accepted; kNever: it has come
-  // just now.
+  // `waitedSince`: the earliest moment since which it may have waited to be accepted; kNever: it
+  // has come just now.
   virtual void accepted(int fd, TimePoint waitedSince) = 0;
   // Until when nobody is to be accepted; nothing: somebody may be, now.
   virtual std::optional<TimePoint> holdUntil() = 0;
--- a/src/client/arrival_times.h
+++ b/src/client/arrival_times.h
@@ -19,19 +19,21 @@
       marks_.back().end = end_;
     else
       marks_.push_back({end_, at});
-    // Danger: one that sends a byte at a time would have a mark for each. The two that lie closest become
-    // one, and the earlier time holds for both: a clock that starts too early is harmless.
+    // Danger: one that sends a byte at a time would have a mark for each. The two that lie closest
+    // become one, and the earlier time holds for both: a clock that starts too early is harmless.
     if (marks_.size() <= kMostMarks) return;
     std::size_t closest = 1;
     for (std::size_t k = 2; k < marks_.size(); ++k)
-      if (marks_[k].at - marks_[k - 1].at < marks_[closest].at - marks_[closest - 1].at) closest = k;
+      if (marks_[k].at - marks_[k - 1].at < marks_[closest].at - marks_[closest - 1].at)
+        closest = k;
     marks_[closest - 1].end = marks_[closest].end;
     marks_.erase(marks_.begin() + static_cast<std::ptrdiff_t>(closest));
   }
   // The first `count` bytes are done with.
   void done(std::size_t count) {
     begin_ += count;
-    auto first = std::find_if(marks_.begin(), marks_.end(), [&](const Mark& m) { return m.end > begin_; });
+    auto first = std::find_if(marks_.begin(), marks_.end(),
+                              [&](const Mark& m) { return m.end > begin_; });
     marks_.erase(marks_.begin(), first);
     if (begin_ == end_) begin_ = end_ = 0;
   }
@@ -45,7 +47,8 @@
  private:
   static constexpr std::size_t kMostMarks = 64;
   struct Mark {
-    std::size_t end;  // of the bytes that had come by then, counted from the first that wasn't done with
+    std::size_t
+        end;  // of the bytes that had come by then, counted from the first that wasn't done with
     TimePoint at;
   };
   std::vector<Mark> marks_;
--- a/src/client/client_connections.cpp
+++ b/src/client/client_connections.cpp
@@ -12,45 +12,59 @@
 constexpr std::size_t kAheadPart =
     2;  // of the memory for clients, from which on nobody reads ahead more than that
 constexpr std::size_t kMostDrained = 64 * 1024;  // read from a client that has had its last word
-constexpr int kInARow = 16;  // messages of one client before others have their turn
+constexpr int kInARow = 16;             // messages of one client before others have their turn
 constexpr std::size_t kUnreadPart = 8;  // of the memory for clients, that one may leave unread
-constexpr std::size_t kTurning = 8;     // clients turned away at once; the next waits to be accepted
-// Graces that a connection has rested before it is ended as the front leaves: one that asks again at once would meet
-// the end with its request.
+constexpr std::size_t kTurning = 8;  // clients turned away at once; the next waits to be accepted
+// Graces that a connection has rested before it is ended as the front leaves: one that asks again
+// at once would meet the end with its request.
 constexpr double kRest = 2;
 
 }  // namespace
 
-ClientConnections::ClientConnections(runtime::Scheduler& s, ClientProtocol& protocol, request::RequestCounters& account, Limits limits)
-    : scheduler_(s), protocol_(protocol), counters_(account), limits_(limits), acceptor_(s, *this, limits.linger) {}
+ClientConnections::ClientConnections(runtime::Scheduler& s, ClientProtocol& protocol,
+                                     request::RequestCounters& account, Limits limits)
+    : scheduler_(s),
+      protocol_(protocol),
+      counters_(account),
+      limits_(limits),
+      acceptor_(s, *this, limits.linger) {}
 ClientConnections::~ClientConnections() = default;
 
-int ClientConnections::listen(const sockaddr_in& address) { return acceptor_.listen(address); }
+int ClientConnections::listen(const sockaddr_in& address) {
+  return acceptor_.listen(address);
+}
 
-void ClientConnections::open() { scheduler_.spawn(acceptor_.run()); }
+void ClientConnections::open() {
+  scheduler_.spawn(acceptor_.run());
+}
 
-runtime::Task<> ClientConnections::stopListening() { return acceptor_.drainAndClose(); }
+runtime::Task<> ClientConnections::stopListening() {
+  return acceptor_.drainAndClose();
+}
 
 void ClientConnections::drain() {
   away_ = true;
   for (Session* s : sessions_) s->socket.in.set();
 }
 
-// Danger: those who connect by hundreds and say nothing would keep out whoever has something to ask. They
-// make room first, after those who have had their last word; but one that has just come may be about to
-// speak.
+// Danger: those who connect by hundreds and say nothing would keep out whoever has something to
+// ask. They make room first, after those who have had their last word; but one that has just come
+// may be about to speak.
 bool ClientConnections::evictIdle() {
-  bool silent = !awaitingFirstRequest_.empty() && scheduler_.now() - awaitingFirstRequest_.front()->waitsSince >= limits_.grace;
-  for (std::list<Session*>* from : {&closing_, silent || idle_.empty() ? &awaitingFirstRequest_ : &idle_})
+  bool silent = !awaitingFirstRequest_.empty() &&
+                scheduler_.now() - awaitingFirstRequest_.front()->waitsSince >= limits_.grace;
+  for (std::list<Session*>* from :
+       {&closing_, silent || idle_.empty() ? &awaitingFirstRequest_ : &idle_})
     if (!from->empty() && closeLongest(*from)) return true;
   return false;
 }
 
-// Danger: the rest of a request may have come, though its session has not had its turn yet; the close would
-// reset it, and a request that was read would have no answer.
+// Danger: the rest of a request may have come, though its session has not had its turn yet; the
+// close would reset it, and a request that was read would have no answer.
 bool ClientConnections::closeLongest(std::list<Session*>& among) {
   auto silent = [&](Session* s) {
-    if (&among == &closing_ || s->more(s->in.size() + kMostAhead) != runtime::Socket::Got::some) return true;
+    if (&among == &closing_ || s->more(s->in.size() + kMostAhead) != runtime::Socket::Got::some)
+      return true;
     s->socket.in.set();
     return false;
   };
@@ -65,10 +79,11 @@
 
 std::optional<TimePoint> ClientConnections::holdUntil() {
   if (rejecting_ >= kTurning) return scheduler_.now() + limits_.linger;
-  // Danger: a crowd that comes at once would push out all who only wait to ask again, and each other before
-  // they could speak. Whoever comes to a full house waits in the kernel until somebody has been silent
-  // enough.
-  if (sessions_.size() < limits_.sessions || !closing_.empty() || awaitingFirstRequest_.empty()) return std::nullopt;
+  // Danger: a crowd that comes at once would push out all who only wait to ask again, and each
+  // other before they could speak. Whoever comes to a full house waits in the kernel until somebody
+  // has been silent enough.
+  if (sessions_.size() < limits_.sessions || !closing_.empty() || awaitingFirstRequest_.empty())
+    return std::nullopt;
   TimePoint by = awaitingFirstRequest_.front()->waitsSince + limits_.grace;
   if (by <= scheduler_.now()) return std::nullopt;
   return by;
@@ -81,10 +96,12 @@
 
 void ClientConnections::accepted(int fd, TimePoint waitedSince) {
   bool atCapacity = sessions_.size() >= limits_.sessions;
-  if (atCapacity) log::line("clients_full", "sessions=%zu idle=%zu", sessions_.size(), idle_.size());
+  if (atCapacity)
+    log::line("clients_full", "sessions=%zu idle=%zu", sessions_.size(), idle_.size());
   bool turnAway = atCapacity && !evictIdle();
   if (turnAway) log::line("client_turned_away", "sessions=%zu", sessions_.size()), ++rejecting_;
-  auto s = std::make_unique<Session>(scheduler_, protocol_, fd, limits_.bytes / kUnreadPart + kMostAhead);
+  auto s = std::make_unique<Session>(scheduler_, protocol_, fd,
+                                     limits_.bytes / kUnreadPart + kMostAhead);
   s->unseenSince = waitedSince, s->oldestUnseen = limits_.linger;
   sessions_.push_back(s.get());
   s->place = std::prev(sessions_.end());
@@ -104,7 +121,8 @@
 }
 
 // Waits for more of this client; evictIdle() may close it meanwhile.
-runtime::Task<bool> ClientConnections::wait(Session& s, runtime::Event& on, std::list<Session*>& among, TimePoint until) {
+runtime::Task<bool> ClientConnections::wait(Session& s, runtime::Event& on,
+                                            std::list<Session*>& among, TimePoint until) {
   s.waits = &among;
   among.push_back(&s);
   s.waitPlace = std::prev(among.end());
@@ -114,7 +132,8 @@
   co_return set;
 }
 
-// Writes all that was said; false where the kernel didn't take it in time, or the connection has ended.
+// Writes all that was said; false where the kernel didn't take it in time, or the connection has
+// ended.
 runtime::Task<bool> ClientConnections::flush(Session& s) {
   bool done = true;
   s.writing = true;
@@ -129,9 +148,9 @@
       done = rest.has_value();
       s.gone |= !done && s.socket.open();
       if (!done || rest->empty()) break;
-      // Danger: a client may read slowly, and has asked to be answered within its own time. It is given
-      // patience for each part that it takes, and time to the end of what it asked for; but one that reads
-      // nothing holds a place, and past its patience makes room.
+      // Danger: a client may read slowly, and has asked to be answered within its own time. It is
+      // given patience for each part that it takes, and time to the end of what it asked for; but
+      // one that reads nothing holds a place, and past its patience makes room.
       TimePoint now = scheduler_.now(), owed = now;
       if (rest->size() < unsent || until == kNever) {
         for (TimePoint by : s.goes) owed = std::max(owed, by);
@@ -169,7 +188,8 @@
   runtime::Socket::Got got = s.more(protocol_.mostMessage() + 1);
   if (got == runtime::Socket::Got::some) {
     s.restsSince = kNever;
-    // Danger: hundreds who each send most of a long message would together take all memory there is.
+    // Danger: hundreds who each send most of a long message would together take all memory there
+    // is.
     if (s.in.size() > kMostAhead && held() > limits_.bytes) {
       log::line("client_too_much", "bytes=%zu", held());
       s.talk->part(DisconnectReason::memoryLimit);
@@ -190,8 +210,9 @@
   TimePoint now = scheduler_.now();
   s.begun = kNever;
   if (s.restsSince == kNever) s.restsSince = now;
-  // Danger: clients may hold only so many connections; those that ask once and keep theirs for good would
-  // leave none for whoever wants to ask. The ones idle longest go as soon as others need their places.
+  // Danger: clients may hold only so many connections; those that ask once and keep theirs for good
+  // would leave none for whoever wants to ask. The ones idle longest go as soon as others need
+  // their places.
   if (s.asked && idle_.size() >= limits_.idleMost) closeLongest(idle_);
   TimePoint until = away_ ? s.restsSince + limits_.grace * kRest : now + limits_.idle;
   if (until > now) {
@@ -209,8 +230,9 @@
 runtime::Task<bool> ClientConnections::waitForMessage(Session& s) {
   TimePoint now = scheduler_.now();
   bool owed = s.talk->owed() > 0;
-  // Danger: where many streams are answered on one connection, its end for a slow message would take their
-  // answers. One that is owed answers isn't closed to make room, and what it is owed may take its time.
+  // Danger: where many streams are answered on one connection, its end for a slow message would
+  // take their answers. One that is owed answers isn't closed to make room, and what it is owed may
+  // take its time.
   if (owed && s.left().empty())
     s.begun = kNever;
   else if (s.begun == kNever)
@@ -227,8 +249,8 @@
   co_return true;
 }
 
-// Danger: what is not read has no moment at which it came; hundreds who each send much ahead would take all
-// memory.
+// Danger: what is not read has no moment at which it came; hundreds who each send much ahead would
+// take all memory.
 std::size_t ClientConnections::mostAhead(const Session& s) const {
   bool more = s.left().size() >= kMostAhead && held() < limits_.bytes / kAheadPart;
   return more ? protocol_.mostMessage() : kMostAhead;
@@ -236,9 +258,10 @@
 
 runtime::Task<> ClientConnections::answerOwed(Session& s) {
   while (s.talk->full() && s.out.empty()) {
-    // What a client sends ahead is read later; that it leaves shows at once. Danger: one that sends much at
-    // once and goes stands behind all that it sent.
-    if (!s.socket.open() || s.socket.peerEnded() || s.more(mostAhead(s)) == runtime::Socket::Got::ended) {
+    // What a client sends ahead is read later; that it leaves shows at once. Danger: one that sends
+    // much at once and goes stands behind all that it sent.
+    if (!s.socket.open() || s.socket.peerEnded() ||
+        s.more(mostAhead(s)) == runtime::Socket::Got::ended) {
       settle(s);
       s.close(CloseReason::client);
       co_return;
@@ -268,15 +291,17 @@
   }
 }
 
-// Danger: a request may come in this very moment. One that was read would have to be answered; one that wasn't is asked
-// again by its client, elsewhere. So nothing is read from here on, and the client is given time to see the end, and
-// what was said before, ahead of the reset that a close over unread bytes brings.
+// Danger: a request may come in this very moment. One that was read would have to be answered; one
+// that wasn't is asked again by its client, elsewhere. So nothing is read from here on, and the
+// client is given time to see the end, and what was said before, ahead of the reset that a close
+// over unread bytes brings.
 runtime::Task<> ClientConnections::endAtRest(Session& s) {
   bool written = co_await flush(s);
   s.socket.endWriting();
   TimePoint until = scheduler_.now() + limits_.linger;
   bool waits = written;
-  while (waits && s.socket.open() && !s.socket.peerEnded()) waits = co_await wait(s, s.socket.in, closing_, until);
+  while (waits && s.socket.open() && !s.socket.peerEnded())
+    waits = co_await wait(s, s.socket.in, closing_, until);
 }
 
 // The connection is over: what is still owed on it is wanted no more, or was this side's to give.
@@ -285,9 +310,11 @@
   bool byClient = s.gone || s.garbled || s.socket.peerEnded();
   std::size_t unanswered = unsaid + s.talk->owed();
   if (unanswered > 0 && !byClient)
-    invariants::violated(invariants::Rule::answer, "end=%s statements=%zu", nameOf(s.reason), unanswered);
+    invariants::violated(invariants::Rule::answer, "end=%s statements=%zu", nameOf(s.reason),
+                         unanswered);
   else if (unanswered > 0)
-    log::line("client_left", "end=%s open=%zu unsaid=%zu", nameOf(s.reason), s.talk->owed(), unsaid);
+    log::line("client_left", "end=%s open=%zu unsaid=%zu", nameOf(s.reason), s.talk->owed(),
+              unsaid);
   if (s.talk->owed() > 0) s.talk->left();
   if (byClient)
     counters_.gone += unsaid;
--- a/src/client/client_connections.h
+++ b/src/client/client_connections.h
@@ -1,15 +1,16 @@
-// The clients of one door: its listening socket and a session for each connection. What is spoken on it is its
-// protocol's ClientCodec; the session has the socket, the buffers, the time and the room.
+// The clients of one door: its listening socket and a session for each connection. What is spoken
+// on it is its protocol's ClientCodec; the session has the socket, the buffers, the time and the
+// room.
 #pragma once
 
 #include <array>
 #include <list>
 #include <memory>
 
-#include "request/request.h"
 #include "client/acceptor.h"
 #include "client/client_protocol.h"
 #include "client/session.h"
+#include "request/request.h"
 
 namespace reedchute::client {
 
@@ -23,14 +24,15 @@
     Duration silence;   // that a client is given to say what it wants, and to finish a message
     Duration idle;      // after which an idle connection goes where many are held
     std::size_t idleMost = 0;  // connections that are kept between two queries
-    std::size_t bytes = 0;  // that the buffers of all sessions together may hold
+    std::size_t bytes = 0;     // that the buffers of all sessions together may hold
   };
 
-  ClientConnections(runtime::Scheduler& s, ClientProtocol& protocol, request::RequestCounters& account, Limits limits);
+  ClientConnections(runtime::Scheduler& s, ClientProtocol& protocol,
+                    request::RequestCounters& account, Limits limits);
   ~ClientConnections() override;
 
-  // Returns the port; throws where the address can't be had. Whoever comes waits in the kernel until open(); from
-  // then on they are accepted until stopListening().
+  // Returns the port; throws where the address can't be had. Whoever comes waits in the kernel
+  // until open(); from then on they are accepted until stopListening().
   int listen(const sockaddr_in& address);
   void open();
   runtime::Task<> stopListening();
@@ -55,13 +57,15 @@
   runtime::Task<> endAtRest(Session& s);
   runtime::Task<bool> waitAtRest(Session& s);
   runtime::Task<bool> waitForMessage(Session& s);
-  runtime::Task<bool> wait(Session& s, runtime::Event& on, std::list<Session*>& among, TimePoint until);
+  runtime::Task<bool> wait(Session& s, runtime::Event& on, std::list<Session*>& among,
+                           TimePoint until);
   runtime::Task<bool> flush(Session& s);
   bool evictIdle();
-  // The one that has waited longest of those that have sent nothing meanwhile; false where there is none.
+  // The one that has waited longest of those that have sent nothing meanwhile; false where there is
+  // none.
   bool closeLongest(std::list<Session*>& among);
   bool atRest(const Session& s) const;
-  std::size_t held() const;  // bytes, in the buffers of all sessions
+  std::size_t held() const;                       // bytes, in the buffers of all sessions
   std::size_t mostAhead(const Session& s) const;  // bytes, read while answers are still owed
 
   runtime::Scheduler& scheduler_;
@@ -70,8 +74,8 @@
   Limits limits_;
   Acceptor acceptor_;
   std::list<Session*> sessions_;
-  // Those that wait for their client, the one that has waited longest first: between two queries; before its
-  // first or in the middle of a message; to have its last word read.
+  // Those that wait for their client, the one that has waited longest first: between two queries;
+  // before its first or in the middle of a message; to have its last word read.
   std::list<Session*> idle_, awaitingFirstRequest_, closing_;
   bool away_ = false;
   std::size_t rejecting_ = 0;  // clients that are being turned away
--- a/src/client/session.cpp
+++ b/src/client/session.cpp
@@ -40,7 +40,8 @@
 }
 
 void Session::say(std::string bytes) {
-  // Danger: one that asks on many streams and reads nothing would have answers gathered without end.
+  // Danger: one that asks on many streams and reads nothing would have answers gathered without
+  // end.
   if (out.size() + bytes.size() > mostUnsaid_ && writing) {
     log::line("client_reads_nothing", "bytes=%zu", out.size());
     gone = true;
@@ -53,8 +54,8 @@
   socket.in.set();
 }
 
-// Danger: the process may have stood still since this round's events were read, and its client may have gone
-// meanwhile.
+// Danger: the process may have stood still since this round's events were read, and its client may
+// have gone meanwhile.
 bool Session::clientGone() const {
   if (!socket.open() || socket.peerEnded()) return true;
   if (!scheduler.roundIsOld()) return false;
--- a/src/client/session.h
+++ b/src/client/session.h
@@ -1,5 +1,5 @@
-// One client's connection: its socket and buffers, when its bytes came, and how it is to end. What is spoken
-// on it is its protocol's ClientCodec.
+// One client's connection: its socket and buffers, when its bytes came, and how it is to end. What
+// is spoken on it is its protocol's ClientCodec.
 #pragma once
 
 #include <list>
@@ -14,7 +14,8 @@
 
 namespace reedchute::client {
 
-inline constexpr std::size_t kMostAhead = 16 * 1024;  // read while an answer is still owed, by whomever
+inline constexpr std::size_t kMostAhead = 16 *
+                                          1024;  // read while an answer is still owed, by whomever
 
 // Why a connection with a client ended.
 enum class CloseReason {
@@ -71,7 +72,7 @@
   std::size_t used = 0;
   Arrivals arrivals;               // of the bytes of `in` after `used`
   TimePoint unseenSince = kNever;  // since when it may have waited to be accepted
-  Duration oldestUnseen;               // that it is taken to have waited at most, where the kernel doesn't tell
+  Duration oldestUnseen;  // that it is taken to have waited at most, where the kernel doesn't tell
   std::list<Session*>::iterator place, waitPlace;
   std::list<Session*>* waits = nullptr;  // the list that it stands in while it waits for its client
   TimePoint waitsSince;
@@ -79,8 +80,9 @@
   TimePoint restsSince = kNever;  // when it last came to owe nothing and have nothing
   CloseReason reason = CloseReason::none;
   bool asked = false, ending = false, writing = false;
-  bool gone = false, garbled = false;  // its client ended the connection, or the talk by what it sent
-  int inARow = 0;                      // messages taken since it last had nothing to read
+  bool gone = false,
+       garbled = false;  // its client ended the connection, or the talk by what it sent
+  int inARow = 0;        // messages taken since it last had nothing to read
 
  private:
   std::size_t mostUnsaid_;
--- a/src/codec/cql/framing.cpp
+++ b/src/codec/cql/framing.cpp
@@ -28,14 +28,16 @@
 bool unpack(std::string_view block, std::size_t size, std::string& to) {
   std::size_t had = to.size();
   to.resize(had + size);
-  int n = LZ4_decompress_safe(block.data(), to.data() + had, static_cast<int>(block.size()), static_cast<int>(size));
+  int n = LZ4_decompress_safe(block.data(), to.data() + had, static_cast<int>(block.size()),
+                              static_cast<int>(size));
   if (n == static_cast<int>(size)) return true;
   to.resize(had);
   return false;
 }
 
 std::string pack(std::string_view bytes) {
-  std::string block(static_cast<std::size_t>(LZ4_compressBound(static_cast<int>(bytes.size()))), '\0');
+  std::string block(static_cast<std::size_t>(LZ4_compressBound(static_cast<int>(bytes.size()))),
+                    '\0');
   int n = LZ4_compress_default(bytes.data(), block.data(), static_cast<int>(bytes.size()),
                                static_cast<int>(block.size()));
   block.resize(static_cast<std::size_t>(std::max(n, 0)));
@@ -50,7 +52,8 @@
     packed = pack(payload);
     // What grows by compression goes as it is, told by a plain size of 0.
     bool shrank = packed.size() < payload.size();
-    head = shrank ? packed.size() | static_cast<std::uint64_t>(payload.size()) << kLengthBits : payload.size();
+    head = shrank ? packed.size() | static_cast<std::uint64_t>(payload.size()) << kLengthBits
+                  : payload.size();
     head |= static_cast<std::uint64_t>(selfContained) << (2 * kLengthBits);
     if (shrank) payload = packed;
   } else {
@@ -111,7 +114,8 @@
   if (little(bytes.substr(head, kCrc24)) != crc24(bytes.substr(0, head)))
     return bad("a segment's header doesn't match its checksum");
   std::uint64_t bits = little(bytes.substr(0, head));
-  std::size_t length = bits & kMostSegment, plain = compress_ ? bits >> kLengthBits & kMostSegment : 0;
+  std::size_t length = bits & kMostSegment,
+              plain = compress_ ? bits >> kLengthBits & kMostSegment : 0;
   bool self = bits >> (compress_ ? 2 * kLengthBits : kLengthBits) & 1;
   std::size_t whole = head + kCrc24 + length + kCrc32;
   if (bytes.size() < whole) return Framed::partial;
@@ -141,7 +145,8 @@
     if (got == Framed::whole) {
       taken_ += kHeader + f.body.size();
       // Danger: what follows a split frame in its last segment belongs to nothing.
-      if (!selfContained_ && taken_ < plain_.size()) return bad("a segment with more than the end of its frame");
+      if (!selfContained_ && taken_ < plain_.size())
+        return bad("a segment with more than the end of its frame");
       return got;
     }
     if (selfContained_ && !rest.empty()) return bad("a segment of its own with a part of a frame");
@@ -152,8 +157,8 @@
   }
 }
 
-void Framing::put(std::string& out, bool answer, int version, std::uint8_t flags, std::int16_t stream, Opcode o,
-                  std::string_view body) const {
+void Framing::put(std::string& out, bool answer, int version, std::uint8_t flags,
+                  std::int16_t stream, Opcode o, std::string_view body) const {
   if (!segments_) {
     // Neither STARTUP nor OPTIONS is compressed, nor what is too short to gain by it.
     bool compress = compress_ && body.size() > 64 && o != Opcode::startup && o != Opcode::options;
@@ -163,8 +168,8 @@
       packed += pack(body);
       body = packed;
     }
-    addHeader(out, answer, version, static_cast<std::uint8_t>(flags | (compress ? kCompressed : 0)), stream, o,
-              body.size());
+    addHeader(out, answer, version, static_cast<std::uint8_t>(flags | (compress ? kCompressed : 0)),
+              stream, o, body.size());
     out += body;
     return;
   }
--- a/src/codec/cql/framing.h
+++ b/src/codec/cql/framing.h
@@ -1,9 +1,11 @@
-// The two framings of the native protocol and LZ4 compression, both ways, for one connection. No I/O.
+// The two framings of the native protocol and LZ4 compression, both ways, for one connection. No
+// I/O.
 //
-// Frames stand bare on a connection of version 4 and, on any, up to the answer to STARTUP; compression then is a
-// flag of each frame, its body a length of four bytes and an LZ4 block. On a connection of version 5 what follows
-// READY or AUTHENTICATE travels in segments of at most 128 KiB, each with a CRC-24 of its header and a CRC-32 of
-// its payload; a segment holds whole frames or a part of one, and compression is the segment's.
+// Frames stand bare on a connection of version 4 and, on any, up to the answer to STARTUP;
+// compression then is a flag of each frame, its body a length of four bytes and an LZ4 block. On a
+// connection of version 5 what follows READY or AUTHENTICATE travels in segments of at most 128
+// KiB, each with a CRC-24 of its header and a CRC-32 of its payload; a segment holds whole frames
+// or a part of one, and compression is the segment's.
 #pragma once
 
 #include <cstdint>
@@ -27,17 +29,18 @@
   void segments() { segments_ = true; }
   bool inSegments() const { return segments_; }
 
-  // The next frame of `bytes`, of which `used` are then done with. The frame's body is a view into `bytes` or into
-  // this object, until the next call. `bad`: a length that makes no sense, a checksum that doesn't match, a
-  // block that can't be decompressed or not to the stated size; nothing after it can be read, and `why` says what.
+  // The next frame of `bytes`, of which `used` are then done with. The frame's body is a view into
+  // `bytes` or into this object, until the next call. `bad`: a length that makes no sense, a
+  // checksum that doesn't match, a block that can't be decompressed or not to the stated size;
+  // nothing after it can be read, and `why` says what.
   Framed next(std::string_view bytes, std::size_t& used, Frame& f);
   const char* why() const { return why_; }
   // What is kept between two calls.
   std::size_t held() const { return plain_.capacity(); }
 
   // Appends one frame as the connection has it. `body` as it would be without compression.
-  void put(std::string& out, bool answer, int version, std::uint8_t flags, std::int16_t stream, Opcode o,
-           std::string_view body) const;
+  void put(std::string& out, bool answer, int version, std::uint8_t flags, std::int16_t stream,
+           Opcode o, std::string_view body) const;
 
  private:
   Framed nextBare(std::string_view bytes, std::size_t& used, Frame& f);
--- a/src/codec/cql/reply.cpp
+++ b/src/codec/cql/reply.cpp
@@ -3,10 +3,17 @@
 namespace reedchute::cql {
 namespace {
 
-enum MetadataFlag : std::int32_t { kGlobalTable = 1, kMorePages = 2, kNoMetadata = 4, kChanged = 8 };
+enum MetadataFlag : std::int32_t {
+  kGlobalTable = 1,
+  kMorePages = 2,
+  kNoMetadata = 4,
+  kChanged = 8
+};
 constexpr int kMostNested = 16;  // danger: types nested without end would use up the stack
 
-std::size_t at(std::string_view body, const Cursor& c) { return body.size() - c.rest().size(); }
+std::size_t at(std::string_view body, const Cursor& c) {
+  return body.size() - c.rest().size();
+}
 
 bool readType(Cursor& c, int depth) {
   if (depth > kMostNested) return false;
@@ -97,7 +104,8 @@
   c.string();
   std::string_view target = c.string();
   c.string();
-  if (target == "TABLE" || target == "TYPE" || target == "FUNCTION" || target == "AGGREGATE") c.string();
+  if (target == "TABLE" || target == "TYPE" || target == "FUNCTION" || target == "AGGREGATE")
+    c.string();
   if (target == "FUNCTION" || target == "AGGREGATE")
     for (std::uint16_t n = c.twoBytes(); n > 0 && c.good(); --n) c.string();
   return c.ended();
@@ -182,7 +190,8 @@
   }
 }
 
-std::string rowsBody(std::string_view keyspace, std::string_view table, const std::vector<Column>& columns,
+std::string rowsBody(std::string_view keyspace, std::string_view table,
+                     const std::vector<Column>& columns,
                      const std::vector<std::vector<std::optional<std::string>>>& rows) {
   std::string body;
   addInt(body, static_cast<std::int32_t>(ResultKind::rows));
@@ -246,7 +255,8 @@
 
 namespace {
 
-std::string eventBody(std::string_view type, std::string_view change, std::uint32_t address, std::uint16_t port) {
+std::string eventBody(std::string_view type, std::string_view change, std::uint32_t address,
+                      std::uint16_t port) {
   std::string body;
   addString(body, type), addString(body, change);
   addByte(body, 4);
--- a/src/codec/cql/reply.h
+++ b/src/codec/cql/reply.h
@@ -1,5 +1,6 @@
-// What stores answer: read far enough to tell its kind, whether it is whole and sound to its last byte, and what it
-// says about the store; and the answers that the front words itself. Views into the frame's body. No I/O.
+// What stores answer: read far enough to tell its kind, whether it is whole and sound to its last
+// byte, and what it says about the store; and the answers that the front words itself. Views into
+// the frame's body. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -22,17 +23,18 @@
   std::string_view text, writeType, unprepared;
   // of a RESULT
   ResultKind kind = ResultKind::voidResult;
-  std::string_view keyspace, table;     // of rows and prepared statements, where all columns share them
+  std::string_view keyspace,
+      table;  // of rows and prepared statements, where all columns share them
   std::optional<std::string_view> pageState;
   std::size_t pageAt = 0, pageSpan = 0;  // of it in the body, its length included
   std::int32_t rows = 0, columns = 0;
-  std::string_view id, resultId;          // of a prepared statement
-  std::size_t idAt = 0;                   // where the id stands in the body, its length included
+  std::string_view id, resultId;  // of a prepared statement
+  std::size_t idAt = 0;           // where the id stands in the body, its length included
   std::int32_t markers = 0;
 };
 
-// False where it isn't what the protocol has to the last byte. Danger: an answer cut short, or with counts that lie,
-// would reach the client as rows that never were.
+// False where it isn't what the protocol has to the last byte. Danger: an answer cut short, or with
+// counts that lie, would reach the client as rows that never were.
 bool readReply(const Frame& f, Reply& into);
 
 // Columns of the answers that the front words itself.
@@ -52,7 +54,8 @@
 };
 
 // The body of a RESULT of rows; a cell is a value in its serialised form, or nothing for null.
-std::string rowsBody(std::string_view keyspace, std::string_view table, const std::vector<Column>& columns,
+std::string rowsBody(std::string_view keyspace, std::string_view table,
+                     const std::vector<Column>& columns,
                      const std::vector<std::vector<std::optional<std::string>>>& rows);
 std::string setKeyspaceBody(std::string_view keyspace);
 std::string textSet(const std::vector<std::string>& items);
--- a/src/codec/cql/request.cpp
+++ b/src/codec/cql/request.cpp
@@ -16,7 +16,9 @@
 };
 constexpr std::uint32_t kKnown4 = 0x7f, kKnown5 = 0x1ff;
 
-std::size_t at(std::string_view body, const Cursor& c) { return body.size() - c.rest().size(); }
+std::size_t at(std::string_view body, const Cursor& c) {
+  return body.size() - c.rest().size();
+}
 
 bool readFlags(Cursor& c, int version, std::uint32_t& flags) {
   flags = version >= 5 ? static_cast<std::uint32_t>(c.fourBytes()) : c.byte();
@@ -76,7 +78,8 @@
   into.parameters.consistency = c.twoBytes();
   std::uint32_t& flags = into.parameters.flags;
   // Names can't be told from values here, as their flag comes behind them.
-  if (!readFlags(c, version, flags) || flags & (kValues | kPageSize | kHasPageState | kNamed)) return false;
+  if (!readFlags(c, version, flags) || flags & (kValues | kPageSize | kHasPageState | kNamed))
+    return false;
   if (flags & kSerial) c.twoBytes();
   if (flags & kTimestamp) c.eightBytes();
   if (flags & kKeyspace) into.parameters.keyspace = c.string();
@@ -137,8 +140,9 @@
 }
 
 const char* consistencyName(std::uint16_t level) {
-  static constexpr std::array kNames = {"ANY",          "ONE",         "TWO",    "THREE",        "QUORUM",   "ALL",
-                                        "LOCAL_QUORUM", "EACH_QUORUM", "SERIAL", "LOCAL_SERIAL", "LOCAL_ONE"};
+  static constexpr std::array kNames = {"ANY",    "ONE",          "TWO",          "THREE",
+                                        "QUORUM", "ALL",          "LOCAL_QUORUM", "EACH_QUORUM",
+                                        "SERIAL", "LOCAL_SERIAL", "LOCAL_ONE"};
   return level < kNames.size() ? kNames[level] : "?";
 }
 
--- a/src/codec/cql/request.h
+++ b/src/codec/cql/request.h
@@ -1,5 +1,5 @@
-// What clients ask, as far as decisions need it, with the places of what is rewritten on its way to a store. Views
-// into the frame's body. No I/O.
+// What clients ask, as far as decisions need it, with the places of what is rewritten on its way to
+// a store. Views into the frame's body. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -53,8 +53,9 @@
   std::vector<Part> parts;     // of a BATCH
 };
 
-// Danger: a batch of tens of thousands of statements would hold the thread for all clients; more than `mostParts`
-// are taken for bad. False, and `why`, where the body isn't what the protocol has, to its last byte.
+// Danger: a batch of tens of thousands of statements would hold the thread for all clients; more
+// than `mostParts` are taken for bad. False, and `why`, where the body isn't what the protocol has,
+// to its last byte.
 bool readAsked(const Frame& f, std::size_t mostParts, Asked& into, const char*& why);
 
 // REGISTER's event types.
--- a/src/codec/cql/text.cpp
+++ b/src/codec/cql/text.cpp
@@ -9,10 +9,18 @@
 
 enum class Token { end, word, quoted, literal, number, mark, sign, unclosed };
 
-char lower(char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c - 'A' + 'a') : c; }
-bool digit(char c) { return c >= '0' && c <= '9'; }
-bool letter(char c) { return (lower(c) >= 'a' && lower(c) <= 'z') || c == '_'; }
-bool blank(char c) { return c == ' ' || c == '\t' || c == '\n' || c == '\r' || c == '\f' || c == '\v'; }
+char lower(char c) {
+  return c >= 'A' && c <= 'Z' ? static_cast<char>(c - 'A' + 'a') : c;
+}
+bool digit(char c) {
+  return c >= '0' && c <= '9';
+}
+bool letter(char c) {
+  return (lower(c) >= 'a' && lower(c) <= 'z') || c == '_';
+}
+bool blank(char c) {
+  return c == ' ' || c == '\t' || c == '\n' || c == '\r' || c == '\f' || c == '\v';
+}
 
 class Tokens {
  public:
@@ -31,7 +39,8 @@
     }
     if (digit(c)) {
       // Numbers, and uuids whose first digit is one: signs inside them are no operators.
-      while (at_ < text_.size() && (letter(text_[at_]) || digit(text_[at_]) || text_[at_] == '.' || inUuid(from)))
+      while (at_ < text_.size() &&
+             (letter(text_[at_]) || digit(text_[at_]) || text_[at_] == '.' || inUuid(from)))
         ++at_;
       return Token::number;
     }
@@ -115,15 +124,18 @@
 
 // Functions that give the same for the same arguments, whenever and wherever they run.
 bool pure(std::string_view f) {
-  return oneOf(f, {"token", "cast", "mintimeuuid", "maxtimeuuid", "todate", "totimestamp", "tounixtimestamp",
-                   "to_date", "to_timestamp", "to_unix_timestamp", "min_timeuuid", "max_timeuuid", "writetime",
-                   "ttl", "tojson", "to_json", "fromjson", "from_json"}) ||
-         f.starts_with("blobas") || f.starts_with("blob_as_") || f.ends_with("asblob") || f.ends_with("_as_blob");
+  return oneOf(f, {"token", "cast", "mintimeuuid", "maxtimeuuid", "todate", "totimestamp",
+                   "tounixtimestamp", "to_date", "to_timestamp", "to_unix_timestamp",
+                   "min_timeuuid", "max_timeuuid", "writetime", "ttl", "tojson", "to_json",
+                   "fromjson", "from_json"}) ||
+         f.starts_with("blobas") || f.starts_with("blob_as_") || f.ends_with("asblob") ||
+         f.ends_with("_as_blob");
 }
 
 // Words before a parenthesis that call no function.
 bool noCall(std::string_view w) {
-  return oneOf(w, {"values", "in", "and", "where", "if", "into", "set", "key", "contains", "using", "or", "not"});
+  return oneOf(w, {"values", "in", "and", "where", "if", "into", "set", "key", "contains", "using",
+                   "or", "not"});
 }
 
 Kind kindOf(std::string_view word) {
@@ -148,7 +160,8 @@
         break;
       }
       if (t == Token::sign && tokens_.sign == ';') {
-        ended_ = any_ && !(r_.kind == Kind::batch || r_.kind == Kind::counter) ? true : ended_ || applied_;
+        ended_ = any_ && !(r_.kind == Kind::batch || r_.kind == Kind::counter) ? true
+                                                                               : ended_ || applied_;
         clause_ = Clause::other;
         continue;
       }
@@ -160,7 +173,8 @@
     if (!any_) return TextState::empty;
     if (depth_ != 0) return TextState::unclosed;
     // A batch that isn't applied to its end would be another statement.
-    if ((r_.kind == Kind::batch || r_.kind == Kind::counter) && !applied_) return TextState::unclosed;
+    if ((r_.kind == Kind::batch || r_.kind == Kind::counter) && !applied_)
+      return TextState::unclosed;
     if (r_.kind == Kind::write && r_.nature == Nature::conditional) r_.kind = Kind::conditional;
     if (r_.kind == Kind::schema) r_.nature = Nature::schema;
     if (ofKeyspace_) r_.keyspace = std::exchange(r_.table, {});
@@ -197,7 +211,8 @@
     last_ = t, lastSign_ = tokens_.sign;
   }
 
-  // A plus or minus between two operands, in what UPDATE sets: what is left of it was there already.
+  // A plus or minus between two operands, in what UPDATE sets: what is left of it was there
+  // already.
   void operate(Token t) {
     if (pending_ != 0) {
       bool literalSet = t == Token::sign && tokens_.sign == '{';
@@ -216,7 +231,9 @@
   // The name of a table, with or without its keyspace. False: the token is none of it.
   bool name(Token t) {
     bool part = t == Token::word || t == Token::quoted;
-    if (t == Token::word && namingState_ == 0 && oneOf(tokens_.word, {"table", "if", "not", "exists"})) return true;
+    if (t == Token::word && namingState_ == 0 &&
+        oneOf(tokens_.word, {"table", "if", "not", "exists"}))
+      return true;
     if (namingState_ == 1) {
       if (t == Token::sign && tokens_.sign == '.') {
         namingState_ = 2;
@@ -260,7 +277,8 @@
       if (oneOf(w, {"from", "into", "update", "truncate"}) && r_.kind != Kind::use) {
         if (w != "update" || first || last_ != Token::word || lastWord_ != "for") startName();
       }
-      if (r_.kind == Kind::schema && r_.table.empty() && oneOf(w, {"table", "type", "view", "keyspace"})) {
+      if (r_.kind == Kind::schema && r_.table.empty() &&
+          oneOf(w, {"table", "type", "view", "keyspace"})) {
         startName();
         ofKeyspace_ = w == "keyspace";
       }
@@ -275,7 +293,8 @@
     }
     if (deletes_ && tokens_.follows('[')) blame(Nature::byPlace);
     // Danger: some of these words may name a function; as an operand they do.
-    bool operand = last_ == Token::sign && std::string_view("=+-*/%,(<>:").find(lastSign_) != std::string_view::npos;
+    bool operand = last_ == Token::sign &&
+                   std::string_view("=+-*/%,(<>:").find(lastSign_) != std::string_view::npos;
     if (tokens_.follows('(') && (operand || !noCall(w)) && !pure(w)) blame(Nature::function);
     lastWord_ = w;
   }
@@ -297,18 +316,23 @@
 }  // namespace
 
 const char* nameOf(Kind k) {
-  static constexpr std::array kNames = {"read", "write", "batch", "conditional", "counter", "schema", "use", "other"};
+  static constexpr std::array kNames = {"read",    "write",  "batch", "conditional",
+                                        "counter", "schema", "use",   "other"};
   return kNames[static_cast<std::size_t>(k)];
 }
 
 const char* nameOf(Nature n) {
-  static constexpr std::array kNames = {"idempotent", "conditional", "counter", "function", "appends", "schema", "byPlace"};
+  static constexpr std::array kNames = {"idempotent", "conditional", "counter", "function",
+                                        "appends",    "schema",      "byPlace"};
   return kNames[static_cast<std::size_t>(n)];
 }
 
-bool systemKeyspace(std::string_view keyspace) { return keyspace == "system" || keyspace.starts_with("system_"); }
+bool systemKeyspace(std::string_view keyspace) {
+  return keyspace == "system" || keyspace.starts_with("system_");
+}
 
-std::string qualified(std::string_view text, const std::vector<std::size_t>& bare, std::string_view keyspace) {
+std::string qualified(std::string_view text, const std::vector<std::size_t>& bare,
+                      std::string_view keyspace) {
   std::string name = "\"";
   for (char c : keyspace) name += c == '"' ? "\"\"" : std::string(1, c);
   name += "\".";
--- a/src/codec/cql/wire.cpp
+++ b/src/codec/cql/wire.cpp
@@ -63,12 +63,24 @@
   return taken;
 }
 
-std::uint8_t Cursor::byte() { return big<std::uint8_t>(take(1)); }
-std::uint16_t Cursor::twoBytes() { return big<std::uint16_t>(take(2)); }
-std::int32_t Cursor::fourBytes() { return static_cast<std::int32_t>(big<std::uint32_t>(take(4))); }
-std::int64_t Cursor::eightBytes() { return static_cast<std::int64_t>(big<std::uint64_t>(take(8))); }
-std::string_view Cursor::string() { return take(twoBytes()); }
-std::string_view Cursor::shortBytes() { return take(twoBytes()); }
+std::uint8_t Cursor::byte() {
+  return big<std::uint8_t>(take(1));
+}
+std::uint16_t Cursor::twoBytes() {
+  return big<std::uint16_t>(take(2));
+}
+std::int32_t Cursor::fourBytes() {
+  return static_cast<std::int32_t>(big<std::uint32_t>(take(4)));
+}
+std::int64_t Cursor::eightBytes() {
+  return static_cast<std::int64_t>(big<std::uint64_t>(take(8)));
+}
+std::string_view Cursor::string() {
+  return take(twoBytes());
+}
+std::string_view Cursor::shortBytes() {
+  return take(twoBytes());
+}
 
 std::string_view Cursor::longString() {
   std::int32_t n = fourBytes();
@@ -93,10 +105,18 @@
   return good_ ? from.substr(0, from.size() - rest_.size()) : std::string_view{};
 }
 
-void addByte(std::string& to, std::uint8_t v) { to.push_back(static_cast<char>(v)); }
-void addShort(std::string& to, std::uint16_t v) { addBig(to, v); }
-void addInt(std::string& to, std::int32_t v) { addBig(to, static_cast<std::uint32_t>(v)); }
-void addLong(std::string& to, std::int64_t v) { addBig(to, static_cast<std::uint64_t>(v)); }
+void addByte(std::string& to, std::uint8_t v) {
+  to.push_back(static_cast<char>(v));
+}
+void addShort(std::string& to, std::uint16_t v) {
+  addBig(to, v);
+}
+void addInt(std::string& to, std::int32_t v) {
+  addBig(to, static_cast<std::uint32_t>(v));
+}
+void addLong(std::string& to, std::int64_t v) {
+  addBig(to, static_cast<std::uint64_t>(v));
+}
 
 void addString(std::string& to, std::string_view v) {
   v = v.substr(0, kMostShort);
@@ -104,14 +124,18 @@
   to += v;
 }
 
-void addShortBytes(std::string& to, std::string_view v) { addString(to, v); }
+void addShortBytes(std::string& to, std::string_view v) {
+  addString(to, v);
+}
 
 void addLongString(std::string& to, std::string_view v) {
   addInt(to, static_cast<std::int32_t>(v.size()));
   to += v;
 }
 
-void addBytes(std::string& to, std::string_view v) { addLongString(to, v); }
+void addBytes(std::string& to, std::string_view v) {
+  addLongString(to, v);
+}
 
 bool readBytesMap(Cursor& c, BytesMap& into) {
   for (std::uint16_t n = c.twoBytes(); n > 0 && c.good(); --n) {
@@ -132,8 +156,8 @@
   return {};
 }
 
-void addHeader(std::string& to, bool answer, int version, std::uint8_t flags, std::int16_t stream, Opcode o,
-               std::size_t size) {
+void addHeader(std::string& to, bool answer, int version, std::uint8_t flags, std::int16_t stream,
+               Opcode o, std::size_t size) {
   addByte(to, static_cast<std::uint8_t>((answer ? 0x80 : 0) | version));
   addByte(to, flags);
   addShort(to, static_cast<std::uint16_t>(stream));
@@ -158,10 +182,10 @@
 }
 
 const char* nameOf(Opcode o) {
-  static constexpr const char* kNames[] = {"ERROR",        "STARTUP",       "READY",       "AUTHENTICATE", "?",
-                                           "OPTIONS",      "SUPPORTED",     "QUERY",       "RESULT",       "PREPARE",
-                                           "EXECUTE",      "REGISTER",      "EVENT",       "BATCH",
-                                           "AUTH_CHALLENGE", "AUTH_RESPONSE", "AUTH_SUCCESS"};
+  static constexpr const char* kNames[] = {
+      "ERROR",     "STARTUP", "READY",          "AUTHENTICATE",  "?",           "OPTIONS",
+      "SUPPORTED", "QUERY",   "RESULT",         "PREPARE",       "EXECUTE",     "REGISTER",
+      "EVENT",     "BATCH",   "AUTH_CHALLENGE", "AUTH_RESPONSE", "AUTH_SUCCESS"};
   auto k = static_cast<std::size_t>(o);
   return k < std::size(kNames) ? kNames[k] : "?";
 }
--- a/src/codec/cql/wire.h
+++ b/src/codec/cql/wire.h
@@ -1,5 +1,6 @@
-// The Cassandra native protocol, versions 4 and 5, from its public specifications: frames, the notations inside
-// their bodies, and the bytes of frames that the front words itself. No I/O. Integers are big-endian.
+// The Cassandra native protocol, versions 4 and 5, from its public specifications: frames, the
+// notations inside their bodies, and the bytes of frames that the front words itself. No I/O.
+// Integers are big-endian.
 #pragma once
 
 #include <cstdint>
@@ -53,15 +54,16 @@
 
 enum class Framed { whole, partial, bad };
 
-// Looks for one frame at the start of `bytes`; its size is kHeader + f.body.size(). `bad`: a body longer than
-// `most`, or a negative one. The version isn't judged here: an answer to it can still be worded.
+// Looks for one frame at the start of `bytes`; its size is kHeader + f.body.size(). `bad`: a body
+// longer than `most`, or a negative one. The version isn't judged here: an answer to it can still
+// be worded.
 Framed frame(std::string_view bytes, std::size_t most, Frame& f);
 
 // Is it an opcode that a client may send?
 bool askable(Opcode o);
 
-// Reads notations one after the other. After the first that isn't there, `good` is false and all reads give
-// nothing, zero or empty, so that it need be looked at once only.
+// Reads notations one after the other. After the first that isn't there, `good` is false and all
+// reads give nothing, zero or empty, so that it need be looked at once only.
 class Cursor {
  public:
   explicit Cursor(std::string_view bytes) : rest_(bytes) {}
@@ -75,7 +77,8 @@
   std::string_view shortBytes();
   // [bytes]; nothing where it is null. A length below -1 is bad.
   std::optional<std::string_view> bytes();
-  // [value], as it stands with its length: of a bound value only its place matters. A length below -2 is bad.
+  // [value], as it stands with its length: of a bound value only its place matters. A length below
+  // -2 is bad.
   std::string_view value();
   std::string_view take(std::size_t n);
 
@@ -93,7 +96,7 @@
 void addShort(std::string& to, std::uint16_t v);
 void addInt(std::string& to, std::int32_t v);
 void addLong(std::string& to, std::int64_t v);
-void addString(std::string& to, std::string_view v);      // cut at 65,535 bytes
+void addString(std::string& to, std::string_view v);  // cut at 65,535 bytes
 void addLongString(std::string& to, std::string_view v);
 void addShortBytes(std::string& to, std::string_view v);  // cut at 65,535 bytes
 void addBytes(std::string& to, std::string_view v);
@@ -106,8 +109,8 @@
 std::string_view valueOf(const BytesMap& map, std::string_view name);
 
 // A frame's header for a body of `size` bytes, and a whole frame.
-void addHeader(std::string& to, bool answer, int version, std::uint8_t flags, std::int16_t stream, Opcode o,
-               std::size_t size);
+void addHeader(std::string& to, bool answer, int version, std::uint8_t flags, std::int16_t stream,
+               Opcode o, std::size_t size);
 std::string whole(bool answer, int version, std::uint8_t flags, std::int16_t stream, Opcode o,
                   std::string_view body);
 
--- a/src/codec/http/response.cpp
+++ b/src/codec/http/response.cpp
@@ -90,7 +90,8 @@
       break;
     case State::chunkSize:
       headSize_ = 0;
-      size = parseNumber<std::uint64_t>(trimmed(std::string_view(line_).substr(0, line_.find(';'))), 16);
+      size = parseNumber<std::uint64_t>(trimmed(std::string_view(line_).substr(0, line_.find(';'))),
+                                        16);
       if (!size) {
         fail("a broken chunk size");
         return false;
--- a/src/codec/http/response.h
+++ b/src/codec/http/response.h
@@ -1,5 +1,5 @@
-// An incremental reader of HTTP/1.1 responses: bodies by length, chunked, or up to the end of the connection.
-// No I/O.
+// An incremental reader of HTTP/1.1 responses: bodies by length, chunked, or up to the end of the
+// connection. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -17,8 +17,8 @@
 
   // Takes bytes and returns how many of them belong to this response.
   std::size_t feed(std::string_view bytes);
-  // The connection ended: that is a body's proper end only where nothing else gave its length, and no end where it
-  // was reset.
+  // The connection ended: that is a body's proper end only where nothing else gave its length, and
+  // no end where it was reset.
   void ended(bool reset);
 
   bool whole() const { return state_ == State::whole; }
--- a/src/codec/json/json.cpp
+++ b/src/codec/json/json.cpp
@@ -7,7 +7,9 @@
 
 constexpr std::size_t kDeepest = 64;
 
-bool blank(char c) { return c == ' ' || c == '\t' || c == '\n' || c == '\r'; }
+bool blank(char c) {
+  return c == ' ' || c == '\t' || c == '\n' || c == '\r';
+}
 
 bool inNumber(char c) {
   return (c >= '0' && c <= '9') || c == '-' || c == '+' || c == '.' || c == 'e' || c == 'E';
--- a/src/codec/pg/messages.cpp
+++ b/src/codec/pg/messages.cpp
@@ -4,7 +4,9 @@
 namespace {
 
 std::uint32_t read32(std::string_view b) {
-  auto at = [&](std::size_t k) { return static_cast<std::uint32_t>(static_cast<unsigned char>(b[k])); };
+  auto at = [&](std::size_t k) {
+    return static_cast<std::uint32_t>(static_cast<unsigned char>(b[k]));
+  };
   return at(0) << 24 | at(1) << 16 | at(2) << 8 | at(3);
 }
 
@@ -44,7 +46,8 @@
   return Framed::whole;
 }
 
-Framed frameStartup(std::string_view bytes, std::size_t most, std::int32_t& code, std::size_t& size) {
+Framed frameStartup(std::string_view bytes, std::size_t most, std::int32_t& code,
+                    std::size_t& size) {
   if (bytes.size() < 4) return Framed::partial;
   std::uint32_t length = read32(bytes);
   if (length < 8 || length > most) return Framed::bad;
@@ -80,7 +83,9 @@
 
 }  // namespace
 
-std::size_t statedSize(std::string_view bytes) { return bytes.size() < 5 ? 0 : 1 + read32(bytes.substr(1)); }
+std::size_t statedSize(std::string_view bytes) {
+  return bytes.size() < 5 ? 0 : 1 + read32(bytes.substr(1));
+}
 
 bool storeMessageMayFollow(std::string_view bytes, std::size_t mostRow) {
   if (bytes.empty()) return true;
@@ -156,7 +161,8 @@
 std::string startup(std::string_view user, std::string_view database) {
   std::string payload;
   add32(payload, static_cast<std::uint32_t>(kVersion3));
-  for (std::string_view text : {std::string_view("user"), user, std::string_view("database"), database})
+  for (std::string_view text :
+       {std::string_view("user"), user, std::string_view("database"), database})
     addString(payload, text);
   payload.push_back('\0');
   std::string m;
@@ -170,7 +176,8 @@
   return message('Q', payload);
 }
 
-std::string error(bool fatal, std::string_view code, std::string_view text, std::string_view detail) {
+std::string error(bool fatal, std::string_view code, std::string_view text,
+                  std::string_view detail) {
   std::string payload;
   auto field = [&](char name, std::string_view value) {
     payload.push_back(name);
@@ -197,7 +204,11 @@
   return bytes + ready();
 }
 
-std::string ready() { return message('Z', "I"); }
-std::string emptyQuery() { return message('I', {}); }
+std::string ready() {
+  return message('Z', "I");
+}
+std::string emptyQuery() {
+  return message('I', {});
+}
 
 }  // namespace reedchute::pg
--- a/src/codec/pg/messages.h
+++ b/src/codec/pg/messages.h
@@ -1,5 +1,5 @@
-// Version 3 of PostgreSQL's wire protocol, as far as simple queries go: incremental framing, and the bytes of
-// the messages that the front words itself. No I/O.
+// Version 3 of PostgreSQL's wire protocol, as far as simple queries go: incremental framing, and
+// the bytes of the messages that the front words itself. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -23,14 +23,18 @@
 
 enum class Framed { whole, partial, bad };
 
-// Looks for one message at the start of `bytes`. `bad`: a length that makes no sense or is above `most`.
+// Looks for one message at the start of `bytes`. `bad`: a length that makes no sense or is above
+// `most`.
 Framed frame(std::string_view bytes, std::size_t most, Message& m);
 
-// The same for a client's first message, which has no type; `code` is its version or what it asks for.
-Framed frameStartup(std::string_view bytes, std::size_t most, std::int32_t& code, std::size_t& size);
+// The same for a client's first message, which has no type; `code` is its version or what it asks
+// for.
+Framed frameStartup(std::string_view bytes, std::size_t most, std::int32_t& code,
+                    std::size_t& size);
 
-// Can the store's message that begins here still become one? Told by its type and stated length as soon as
-// those are there, and of a row by the length of its column. A row may have `mostRow` bytes.
+// Can the store's message that begins here still become one? Told by its type and stated length as
+// soon as those are there, and of a row by the length of its column. A row may have `mostRow`
+// bytes.
 bool storeMessageMayFollow(std::string_view bytes, std::size_t mostRow);
 // The bytes that it has in all, as far as it has told; 0 before that.
 std::size_t statedSize(std::string_view bytes);
@@ -53,8 +57,10 @@
 std::string parameter(std::string_view name, std::string_view value);
 std::string startup(std::string_view user, std::string_view database);
 std::string query(std::string_view text);
-std::string error(bool fatal, std::string_view code, std::string_view text, std::string_view detail = {});
-std::string greeting();  // what a client gets once its startup is taken, up to the first ReadyForQuery
+std::string error(bool fatal, std::string_view code, std::string_view text,
+                  std::string_view detail = {});
+std::string
+greeting();  // what a client gets once its startup is taken, up to the first ReadyForQuery
 std::string ready();
 std::string emptyQuery();
 
--- a/src/codec/pg/statement.cpp
+++ b/src/codec/pg/statement.cpp
@@ -5,7 +5,9 @@
 namespace reedchute::pg {
 namespace {
 
-bool blank(char c) { return c == ' ' || c == '\t' || c == '\n' || c == '\r' || c == '\f' || c == '\v'; }
+bool blank(char c) {
+  return c == ' ' || c == '\t' || c == '\n' || c == '\r' || c == '\f' || c == '\v';
+}
 
 std::string_view trimmed(std::string_view t) {
   while (!t.empty() && blank(t.front())) t.remove_prefix(1);
@@ -26,7 +28,8 @@
     comment.remove_prefix(comma == std::string_view::npos ? comment.size() : comma + 1);
     std::size_t equals = pair.find('=');
     if (equals == std::string_view::npos) continue;
-    std::string_view name = trimmed(pair.substr(0, equals)), value = trimmed(pair.substr(equals + 1));
+    std::string_view name = trimmed(pair.substr(0, equals)),
+                     value = trimmed(pair.substr(equals + 1));
     if (name == "id") f.id = value;
     if (name == "c") f.workload = value;
     if (name == "k") f.mark = value;
--- a/src/codec/pg/statement.h
+++ b/src/codec/pg/statement.h
@@ -1,4 +1,5 @@
-// Reads a statement's text as far as decisions need it. Nothing of it is rewritten but the time in `d`.
+// Reads a statement's text as far as decisions need it. Nothing of it is rewritten but the time in
+// `d`.
 #pragma once
 
 #include <cstdint>
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -10,10 +10,10 @@
 #include <system_error>
 
 #include "base/parse_number.h"
-#include "protocols/cassandra/settings.h"
-#include "proxy/startup.h"
 #include "config/hcl_settings.h"
 #include "ledger/settings.h"
+#include "protocols/cassandra/settings.h"
+#include "proxy/startup.h"
 
 namespace reedchute::proxy {
 namespace {
@@ -22,7 +22,8 @@
 
 const json::Value& need(const json::Value& in, const char* name, json::Value::Kind kind) {
   const json::Value* v = in.find(name);
-  if (!v || v->kind != kind) throw Malformed(std::string("the configuration has no proper '") + name + "'");
+  if (!v || v->kind != kind)
+    throw Malformed(std::string("the configuration has no proper '") + name + "'");
   return *v;
 }
 
@@ -38,7 +39,8 @@
   if (!path || !*path) throw Malformed("LB_CONFIG names no file");
   std::ifstream file(path, std::ios::binary);
   if (!file && passes(std::error_code(errno, std::generic_category())))
-    throw std::system_error(errno, std::generic_category(), std::string("the configuration can't be opened: ") + path);
+    throw std::system_error(errno, std::generic_category(),
+                            std::string("the configuration can't be opened: ") + path);
   if (!file) throw Malformed(std::string("the configuration can't be opened: ") + path);
   Config g = parseConfig({std::istreambuf_iterator<char>(file), {}});
   g.path = path;
@@ -103,7 +105,8 @@
     if (const json::Value* sockets = limits->find("sockets"); sockets && sockets->isNumber())
       g.sockets = std::min(g.sockets, static_cast<std::size_t>(std::max(0.0, sockets->number)));
     if (const json::Value* mb = limits->find("memory_mb"); mb && mb->isNumber())
-      g.memory = static_cast<std::size_t>(std::clamp(mb->number * 1048576, 0.0, double{kMostMemory}));
+      g.memory =
+          static_cast<std::size_t>(std::clamp(mb->number * 1048576, 0.0, double{kMostMemory}));
   }
   if (g.memory < kLeastMemory) throw Malformed("less than 16 MB of memory is allowed");
   if (g.sockets < 64) throw Malformed("fewer than 64 sockets are allowed");
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -6,12 +6,12 @@
 #include <string>
 #include <vector>
 
-#include "protocols/cassandra/table_mapping.h"
-#include "protocols/cassandra/config.h"
-#include "ledger/feed.h"
-#include "discovery/endpoint_watcher.h"
-#include "decision/engine.h"
 #include "config/engine_settings.h"
+#include "decision/engine.h"
+#include "discovery/endpoint_watcher.h"
+#include "ledger/feed.h"
+#include "protocols/cassandra/config.h"
+#include "protocols/cassandra/table_mapping.h"
 
 namespace reedchute::proxy {
 
@@ -33,8 +33,8 @@
   std::optional<ledger::FeedGiven> ledger;
 };
 
-// Reads the file at `path`; throws Malformed with one plain line where it is missing or makes no sense, and
-// std::system_error where it can't be read at this moment.
+// Reads the file at `path`; throws Malformed with one plain line where it is missing or makes no
+// sense, and std::system_error where it can't be read at this moment.
 Config loadConfig(const char* path);
 Config parseConfig(const std::string& text);
 
--- a/src/config/engine_settings.cpp
+++ b/src/config/engine_settings.cpp
@@ -10,9 +10,11 @@
                               {"causal", Level::session},
                               {"strong", Level::fresh},
                               {"mutate", Level::write}};
-const Words<Effect> kEffects = {
-    {"repeatable", Effect::idempotent}, {"by_key", Effect::deduplicated}, {"once", Effect::nonIdempotent}};
-const Words<Scope> kScopes = {{"all", Scope::everywhere}, {"zone", Scope::zone}, {"cell", Scope::group}};
+const Words<Effect> kEffects = {{"repeatable", Effect::idempotent},
+                                {"by_key", Effect::deduplicated},
+                                {"once", Effect::nonIdempotent}};
+const Words<Scope> kScopes = {
+    {"all", Scope::everywhere}, {"zone", Scope::zone}, {"cell", Scope::group}};
 
 }  // namespace
 
@@ -27,7 +29,8 @@
   t.fronts = static_cast<int>(p.integer("siblings", 1));
   t.tick = Duration{p.integer("tick")};
   names.zones = p.list("failure_domains");
-  std::vector<std::string> levels = p.list("extra.read_level"), bounds = p.list("extra.lag_allowed");
+  std::vector<std::string> levels = p.list("extra.read_level"),
+                           bounds = p.list("extra.lag_allowed");
   std::int64_t count = p.integer("classes.count");
   if (count < 1 || count > 10'000 || levels.size() != static_cast<std::size_t>(count))
     throw Malformed("extra.read_level must name a level for each of the classes");
--- a/src/config/engine_settings.h
+++ b/src/config/engine_settings.h
@@ -1,4 +1,5 @@
-// From the platform's settings to the module's EngineSettings, for the simulator's adapter and the front alike.
+// From the platform's settings to the module's EngineSettings, for the simulator's adapter and the
+// front alike.
 #pragma once
 
 #include <cstdint>
@@ -7,8 +8,8 @@
 #include <utility>
 #include <vector>
 
-#include "decision/engine.h"
 #include "config/platform_settings.h"
+#include "decision/engine.h"
 
 namespace reedchute {
 
@@ -27,7 +28,8 @@
 struct Names {
   std::vector<std::string> workloads, tenants, zones;
   std::vector<int> standsFor;  // of rows beyond these: the one that a row was made from
-  std::vector<char> marked;  // the workloads whose statements carry a mark by which repeats are dropped
+  std::vector<char>
+      marked;  // the workloads whose statements carry a mark by which repeats are dropped
 };
 
 int placeOf(const std::vector<std::string>& names, std::string_view name);
--- a/src/config/hcl_settings.cpp
+++ b/src/config/hcl_settings.cpp
@@ -14,7 +14,8 @@
 constexpr std::size_t kMostFile = 1 << 20;
 
 const char* kindName(json::Value::Kind k) {
-  static constexpr const char* kNames[] = {"null", "a boolean", "a number", "a text", "a list", "an object"};
+  static constexpr const char* kNames[] = {"null",   "a boolean", "a number",
+                                           "a text", "a list",    "an object"};
   return kNames[static_cast<std::size_t>(k)];
 }
 
@@ -27,7 +28,8 @@
   if (const json::Value* list = body->find("attributes"))
     for (const json::Value& a : list->items) {
       const json::Value *name = a.find("name"), *line = a.find("line"), *value = a.find("value");
-      if (name && line && value) b.attributes.push_back({name->text, static_cast<int>(line->number), *value});
+      if (name && line && value)
+        b.attributes.push_back({name->text, static_cast<int>(line->number), *value});
     }
   if (const json::Value* list = body->find("blocks"))
     for (const json::Value& inner : list->items) b.blocks.push_back(blockFrom(inner));
@@ -51,14 +53,16 @@
   posix_spawn_file_actions_adddup2(&actions, fds[1], 2);
   posix_spawn_file_actions_addclose(&actions, fds[0]);
   posix_spawn_file_actions_addclose(&actions, fds[1]);
-  char* const args[] = {const_cast<char*>(program.c_str()), const_cast<char*>(argument.c_str()), nullptr};
+  char* const args[] = {const_cast<char*>(program.c_str()), const_cast<char*>(argument.c_str()),
+                        nullptr};
   pid_t child = -1;
   int failed = posix_spawn(&child, program.c_str(), &actions, nullptr, args, environ);
   posix_spawn_file_actions_destroy(&actions);
   close(fds[1]);
   std::string text;
   char part[4096];
-  for (ssize_t n; failed == 0 && ((n = read(fds[0], part, sizeof part)) > 0 || (n < 0 && errno == EINTR));)
+  for (ssize_t n;
+       failed == 0 && ((n = read(fds[0], part, sizeof part)) > 0 || (n < 0 && errno == EINTR));)
     if (n > 0 && text.size() < kMostFile) text.append(part, static_cast<std::size_t>(n));
   close(fds[0]);
   if (failed) throw Malformed("settings can't be read without " + program);
@@ -72,7 +76,8 @@
 Block fromJson(const std::string& path, const std::string& text) {
   json::Value v;
   std::string why;
-  if (!json::parse(text, v, why)) throw Malformed(path + ":0: what the reader of settings wrote is no JSON: " + why);
+  if (!json::parse(text, v, why))
+    throw Malformed(path + ":0: what the reader of settings wrote is no JSON: " + why);
   return blockFrom(v);
 }
 
@@ -95,8 +100,8 @@
 
 void Section::fail(std::string_view name, std::string_view why) const {
   const Attribute* a = find(name);
-  throw Malformed(file_ + ":" + std::to_string(a ? a->line : block_.line) + ": '" + std::string(name) + "' " +
-                  std::string(why));
+  throw Malformed(file_ + ":" + std::to_string(a ? a->line : block_.line) + ": '" +
+                  std::string(name) + "' " + std::string(why));
 }
 
 const Attribute& Section::need(std::string_view name) {
@@ -119,14 +124,17 @@
 
 std::int64_t Section::number(std::string_view name, std::int64_t least, std::int64_t most) {
   const Attribute& a = need(name);
-  if (!a.value.isNumber()) fail(name, std::string("must be a number and is ") + kindName(a.value.kind));
+  if (!a.value.isNumber())
+    fail(name, std::string("must be a number and is ") + kindName(a.value.kind));
   double n = a.value.number;
   if (n != std::floor(n) || n < static_cast<double>(least) || n > static_cast<double>(most))
-    fail(name, "must be a whole number from " + std::to_string(least) + " to " + std::to_string(most));
+    fail(name,
+         "must be a whole number from " + std::to_string(least) + " to " + std::to_string(most));
   return static_cast<std::int64_t>(n);
 }
 
-std::int64_t Section::number(std::string_view name, std::int64_t least, std::int64_t most, std::int64_t otherwise) {
+std::int64_t Section::number(std::string_view name, std::int64_t least, std::int64_t most,
+                             std::int64_t otherwise) {
   asked_.emplace(name);
   return has(name) ? number(name, least, most) : otherwise;
 }
@@ -135,7 +143,8 @@
   asked_.emplace(name);
   const Attribute* a = find(name);
   if (!a) return otherwise;
-  if (a->value.kind != json::Value::Kind::boolean) fail(name, std::string("must be true or false and is ") + kindName(a->value.kind));
+  if (a->value.kind != json::Value::Kind::boolean)
+    fail(name, std::string("must be true or false and is ") + kindName(a->value.kind));
   return a->value.truth;
 }
 
@@ -144,7 +153,8 @@
   std::vector<std::string> all;
   const Attribute* a = find(name);
   if (!a) return all;
-  if (a->value.kind != json::Value::Kind::list) fail(name, std::string("must be a list and is ") + kindName(a->value.kind));
+  if (a->value.kind != json::Value::Kind::list)
+    fail(name, std::string("must be a list and is ") + kindName(a->value.kind));
   for (const json::Value& v : a->value.items) {
     if (!v.isText()) fail(name, std::string("must hold texts and holds ") + kindName(v.kind));
     all.push_back(v.text);
@@ -157,7 +167,8 @@
   std::vector<std::int64_t> all;
   const Attribute* a = find(name);
   if (!a) return all;
-  if (a->value.kind != json::Value::Kind::list) fail(name, std::string("must be a list and is ") + kindName(a->value.kind));
+  if (a->value.kind != json::Value::Kind::list)
+    fail(name, std::string("must be a list and is ") + kindName(a->value.kind));
   for (const json::Value& v : a->value.items) {
     if (!v.isNumber() || v.number != std::floor(v.number)) fail(name, "must hold whole numbers");
     all.push_back(static_cast<std::int64_t>(v.number));
@@ -176,10 +187,12 @@
 void Section::done() const {
   for (const Attribute& a : block_.attributes)
     if (!asked_.contains(a.name))
-      throw Malformed(file_ + ":" + std::to_string(a.line) + ": '" + a.name + "' is no setting of this block");
+      throw Malformed(file_ + ":" + std::to_string(a.line) + ": '" + a.name +
+                      "' is no setting of this block");
   for (const Block& b : block_.blocks)
     if (!asked_.contains(b.type))
-      throw Malformed(file_ + ":" + std::to_string(b.line) + ": '" + b.type + "' is no block that is known here");
+      throw Malformed(file_ + ":" + std::to_string(b.line) + ": '" + b.type +
+                      "' is no block that is known here");
 }
 
 }  // namespace reedchute::config
--- a/src/config/hcl_settings.h
+++ b/src/config/hcl_settings.h
@@ -1,6 +1,7 @@
-// Settings of our own, in HCL, beside the platform's JSON. The file is read by HashiCorp's library in a program of its
-// own, reedchute-hcl, which stands beside the one that runs; here its sections are checked against what each part
-// asks for. Every error is a Malformed whose text begins with file:line.
+// Settings of our own, in HCL, beside the platform's JSON. The file is read by HashiCorp's library
+// in a program of its own, reedchute-hcl, which stands beside the one that runs; here its sections
+// are checked against what each part asks for. Every error is a Malformed whose text begins with
+// file:line.
 #pragma once
 
 #include <cstdint>
@@ -42,7 +43,8 @@
   std::string text(std::string_view name, std::string otherwise);
   // A whole number from `least` to `most`, both included.
   std::int64_t number(std::string_view name, std::int64_t least, std::int64_t most);
-  std::int64_t number(std::string_view name, std::int64_t least, std::int64_t most, std::int64_t otherwise);
+  std::int64_t number(std::string_view name, std::int64_t least, std::int64_t most,
+                      std::int64_t otherwise);
   bool truth(std::string_view name, bool otherwise);
   std::vector<std::string> texts(std::string_view name);  // none where it isn't there
   std::vector<std::int64_t> numbers(std::string_view name);
--- a/src/config/platform_settings.cpp
+++ b/src/config/platform_settings.cpp
@@ -21,7 +21,8 @@
 }  // namespace
 
 void badValue(const char* what, std::string_view text) {
-  throw Malformed(std::string("bad value for ") + what + ": '" + std::string(text.substr(0, 60)) + "'");
+  throw Malformed(std::string("bad value for ") + what + ": '" + std::string(text.substr(0, 60)) +
+                  "'");
 }
 
 double numberFrom(std::string_view text, const char* what) {
@@ -39,10 +40,13 @@
 void PlatformSettings::add(const std::string& path, const json::Value& value) {
   using Kind = json::Value::Kind;
   if (value.kind == Kind::object) {
-    for (const auto& [name, member] : value.members) add(path.empty() ? name : path + "." + name, member);
-  } else if (value.kind == Kind::list && !value.items.empty() && value.items[0].kind == Kind::object) {
+    for (const auto& [name, member] : value.members)
+      add(path.empty() ? name : path + "." + name, member);
+  } else if (value.kind == Kind::list && !value.items.empty() &&
+             value.items[0].kind == Kind::object) {
     set(path + ".count", std::to_string(value.items.size()));
-    for (std::size_t k = 0; k < value.items.size(); ++k) add(path + "." + std::to_string(k), value.items[k]);
+    for (std::size_t k = 0; k < value.items.size(); ++k)
+      add(path + "." + std::to_string(k), value.items[k]);
   } else if (value.kind == Kind::list) {
     std::string joined;
     for (const json::Value& item : value.items) joined += (joined.empty() ? "" : ",") + plain(item);
@@ -63,7 +67,9 @@
   return *value;
 }
 
-double PlatformSettings::number(const std::string& path) const { return numberFrom(need(path), path.c_str()); }
+double PlatformSettings::number(const std::string& path) const {
+  return numberFrom(need(path), path.c_str());
+}
 
 double PlatformSettings::number(const std::string& path, double otherwise) const {
   return find(path) ? number(path) : otherwise;
--- a/src/config/platform_settings.h
+++ b/src/config/platform_settings.h
@@ -1,5 +1,5 @@
-// The settings that an instance is handed, by path: classes.0.name and the like. Both the simulator's start
-// line and the front's configuration are brought into this form.
+// The settings that an instance is handed, by path: classes.0.name and the like. Both the
+// simulator's start line and the front's configuration are brought into this form.
 #pragma once
 
 #include <cstdint>
@@ -34,8 +34,8 @@
  public:
   void add(std::string_view pair);  // path=value
   void set(const std::string& path, std::string value) { values_[path] = std::move(value); }
-  // Nested JSON: an object's members go on the path, plain lists are joined by commas, lists of objects get
-  // their length under .count and their items under .0, .1 and so on.
+  // Nested JSON: an object's members go on the path, plain lists are joined by commas, lists of
+  // objects get their length under .count and their items under .0, .1 and so on.
   void add(const std::string& path, const json::Value& value);
 
   const std::string* find(const std::string& path) const;
--- a/src/ctl/main.cpp
+++ b/src/ctl/main.cpp
@@ -1,5 +1,6 @@
-// reedchutectl: what operators do by hand. Exit codes: 0 done, 1 something is wrong with what was looked at, 2 it could
-// not be looked at, or the command makes no sense. Results go to standard output, the log to standard error.
+// reedchutectl: what operators do by hand. Exit codes: 0 done, 1 something is wrong with what was
+// looked at, 2 it could not be looked at, or the command makes no sense. Results go to standard
+// output, the log to standard error.
 #include <spdlog/sinks/stdout_color_sinks.h>
 #include <spdlog/spdlog.h>
 
@@ -10,11 +11,11 @@
 #include <functional>
 #include <nlohmann/json.hpp>
 
-#include "protocols/cassandra/settings.h"
 #include "config/hcl_settings.h"
 #include "ledger/keeper.h"
 #include "ledger/reconcile.h"
 #include "ledger/settings.h"
+#include "protocols/cassandra/settings.h"
 
 using namespace reedchute;
 using namespace reedchute::ledger;
@@ -47,7 +48,8 @@
   std::uint64_t records = 0;
 };
 
-Looked look(const std::string& folder, const std::string& key, const std::function<void(const wire::Record&)>& each) {
+Looked look(const std::string& folder, const std::string& key,
+            const std::function<void(const wire::Record&)>& each) {
   std::unique_ptr<Files> files = filesToRead(folder);
   Log log(*files, {key});
   Looked l;
@@ -68,27 +70,41 @@
 }
 
 json_t toJson(const Finding& f) {
-  return {{"what", ledger::nameOf(f.what)}, {"segment", f.segment}, {"byte", f.at}, {"record", f.seq}};
+  return {
+      {"what", ledger::nameOf(f.what)}, {"segment", f.segment}, {"byte", f.at}, {"record", f.seq}};
 }
 
 void tellFindings(const std::string& folder, const Looked& l) {
   for (const Finding& f : l.findings)
-    spdlog::error("folder={} what=\"{}\" segment={} byte={} record={}", folder, ledger::nameOf(f.what), f.segment, f.at, f.seq);
+    spdlog::error("folder={} what=\"{}\" segment={} byte={} record={}", folder,
+                  ledger::nameOf(f.what), f.segment, f.at, f.seq);
 }
 
 void tellTotals(const Totals& t, bool asJson) {
   json_t all = json_t::array();
-  if (!asJson) std::printf("period,tenant,statements,bytes_in,bytes_out,executions,repeats,rejected,aborted,corrections\n");
+  if (!asJson)
+    std::printf(
+        "period,tenant,statements,bytes_in,bytes_out,executions,repeats,rejected,aborted,"
+        "corrections\n");
   for (const auto& [key, u] : t.all()) {
     if (asJson)
-      all.push_back({{"period", dayOf(key.first)}, {"tenant", key.second}, {"statements", u.statements},
-                     {"bytes_in", u.bytesIn}, {"bytes_out", u.bytesOut}, {"executions", u.executions},
-                     {"repeats", u.repeats}, {"rejected", u.rejected}, {"aborted", u.aborted}, {"corrections", u.corrections}});
+      all.push_back({{"period", dayOf(key.first)},
+                     {"tenant", key.second},
+                     {"statements", u.statements},
+                     {"bytes_in", u.bytesIn},
+                     {"bytes_out", u.bytesOut},
+                     {"executions", u.executions},
+                     {"repeats", u.repeats},
+                     {"rejected", u.rejected},
+                     {"aborted", u.aborted},
+                     {"corrections", u.corrections}});
     else
-      std::printf("%s,%s,%lld,%lld,%lld,%lld,%lld,%lld,%lld,%lld\n", dayOf(key.first).c_str(), cellOf(key.second).c_str(),
-                  static_cast<long long>(u.statements), static_cast<long long>(u.bytesIn), static_cast<long long>(u.bytesOut),
-                  static_cast<long long>(u.executions), static_cast<long long>(u.repeats), static_cast<long long>(u.rejected),
-                  static_cast<long long>(u.aborted), static_cast<long long>(u.corrections));
+      std::printf("%s,%s,%lld,%lld,%lld,%lld,%lld,%lld,%lld,%lld\n", dayOf(key.first).c_str(),
+                  cellOf(key.second).c_str(), static_cast<long long>(u.statements),
+                  static_cast<long long>(u.bytesIn), static_cast<long long>(u.bytesOut),
+                  static_cast<long long>(u.executions), static_cast<long long>(u.repeats),
+                  static_cast<long long>(u.rejected), static_cast<long long>(u.aborted),
+                  static_cast<long long>(u.corrections));
   }
   if (asJson) std::printf("%s\n", all.dump(1).c_str());
 }
@@ -106,18 +122,25 @@
   if (asJson) {
     json_t found = json_t::array();
     for (const Finding& f : l.findings) found.push_back(toJson(f));
-    std::printf("%s\n", json_t{{"instance", l.instance}, {"birth", l.birth}, {"records", l.records}, {"findings", found}}.dump(1).c_str());
+    std::printf("%s\n", json_t{{"instance", l.instance},
+                               {"birth", l.birth},
+                               {"records", l.records},
+                               {"findings", found}}
+                            .dump(1)
+                            .c_str());
   } else {
-    std::printf("%s: %llu records, %s\n", l.instance.c_str(), static_cast<unsigned long long>(l.records),
+    std::printf("%s: %llu records, %s\n", l.instance.c_str(),
+                static_cast<unsigned long long>(l.records),
                 l.findings.empty() ? "all sound" : "not sound");
     for (const Finding& f : l.findings)
-      std::printf("  %s in %s at byte %zu, record %llu\n", ledger::nameOf(f.what), f.segment.c_str(), f.at,
-                  static_cast<unsigned long long>(f.seq));
+      std::printf("  %s in %s at byte %zu, record %llu\n", ledger::nameOf(f.what),
+                  f.segment.c_str(), f.at, static_cast<unsigned long long>(f.seq));
   }
   return l.findings.empty() ? kDone : kWrong;
 }
 
-int reconcile(const std::vector<std::string>& folders, const std::string& key, const std::string& write, bool asJson) {
+int reconcile(const std::vector<std::string>& folders, const std::string& key,
+              const std::string& write, bool asJson) {
   Reconciliation rec;
   bool sound = true;
   std::map<std::string, std::string> folderOf;  // by birth
@@ -128,15 +151,17 @@
     sound = sound && l.findings.empty();
     for (const wire::Record& r : records) rec.add(l.birth, l.instance, r);
     if (auto [it, fresh] = folderOf.try_emplace(l.birth, folder); !fresh)
-      spdlog::error("folder={} other={} what=\"one ledger in two folders\" birth={}", folder, it->second, l.birth);
+      spdlog::error("folder={} other={} what=\"one ledger in two folders\" birth={}", folder,
+                    it->second, l.birth);
   }
   auto troubles = rec.troubles();
   auto missing = rec.missing();
   for (const auto& t : troubles)
-    spdlog::warn("what=\"{}\" ledger={} first={} last={} text=\"{}\"", ledger::nameOf(t.what), t.birth, t.first, t.last, t.text);
+    spdlog::warn("what=\"{}\" ledger={} first={} last={} text=\"{}\"", ledger::nameOf(t.what),
+                 t.birth, t.first, t.last, t.text);
   for (const auto& m : missing)
-    spdlog::info("missing=\"{}\" tenant={} period={} reason=\"{}\"", m.correction.id(), m.correction.tenant(), dayOf(m.period),
-                 m.correction.reason());
+    spdlog::info("missing=\"{}\" tenant={} period={} reason=\"{}\"", m.correction.id(),
+                 m.correction.tenant(), dayOf(m.period), m.correction.reason());
   if (!write.empty())
     for (const auto& m : missing) {
       wire::Correction c = m.correction;
@@ -146,9 +171,12 @@
       Keeper::Shape shape;
       shape.log.key = key, shape.correctionKey = signer;
       Keeper keeper(*files, shape);
-      TimePoint now{std::chrono::duration_cast<std::chrono::microseconds>(std::chrono::system_clock::now().time_since_epoch()).count()};
+      TimePoint now{std::chrono::duration_cast<std::chrono::microseconds>(
+                        std::chrono::system_clock::now().time_since_epoch())
+                        .count()};
       keeper.open(now);
-      if (keeper.correct(c, m.period, now) != Keeper::Corrected::taken) spdlog::error("refused=\"{}\"", c.id());
+      if (keeper.correct(c, m.period, now) != Keeper::Corrected::taken)
+        spdlog::error("refused=\"{}\"", c.id());
       keeper.sync();
     }
   tellTotals(rec.totals(true), asJson);
@@ -165,7 +193,9 @@
   Keeper::Shape shape;
   shape.log.key = key, shape.correctionKey = keyFrom(signer);
   Keeper keeper(*files, shape);
-  TimePoint now{std::chrono::duration_cast<std::chrono::microseconds>(std::chrono::system_clock::now().time_since_epoch()).count()};
+  TimePoint now{std::chrono::duration_cast<std::chrono::microseconds>(
+                    std::chrono::system_clock::now().time_since_epoch())
+                    .count()};
   auto found = keeper.open(now);
   if (!keeper.isOpen()) {
     spdlog::error("folder={} what=\"{}\"", a.folder, ledger::nameOf(found.front().what));
@@ -181,31 +211,44 @@
   c.set_signature(Keeper::signatureOf(c, p, shape.correctionKey));
   Keeper::Corrected came = keeper.correct(c, p, now);
   keeper.sync();
-  std::printf("%s\n", came == Keeper::Corrected::taken ? "taken" : came == Keeper::Corrected::repeated ? "is there already" : "refused");
+  std::printf("%s\n", came == Keeper::Corrected::taken      ? "taken"
+                      : came == Keeper::Corrected::repeated ? "is there already"
+                                                            : "refused");
   return came == Keeper::Corrected::refused ? kWrong : kDone;
 }
 
-int exportTo(const std::string& folder, const std::string& key, const std::string& file, bool asJson) {
+int exportTo(const std::string& folder, const std::string& key, const std::string& file,
+             bool asJson) {
   std::ofstream out(file + ".part");
-  if (!asJson) out << "seq,at_us,period,tenant,workload,group,outcome,billed,bytes_in,bytes_out,executions,corrects,reason\n";
+  if (!asJson)
+    out << "seq,at_us,period,tenant,workload,group,outcome,billed,bytes_in,bytes_out,executions,"
+           "corrects,reason\n";
   Looked l = look(folder, key, [&](const wire::Record& r) {
     if (!r.has_use() && !r.has_correction()) return;
     const wire::Use& u = r.use();
     const wire::Correction& c = r.correction();
     bool use = r.has_use();
-    json_t one = {{"seq", r.seq()}, {"at_us", r.at_us()}, {"period", dayOf(Period{r.period_s()})},
-                  {"tenant", use ? u.tenant() : c.tenant()}, {"workload", u.workload()}, {"group", u.group()},
-                  {"outcome", use ? u.outcome() : 0}, {"billed", use ? static_cast<std::int64_t>(u.billed()) : c.statements()},
+    json_t one = {{"seq", r.seq()},
+                  {"at_us", r.at_us()},
+                  {"period", dayOf(Period{r.period_s()})},
+                  {"tenant", use ? u.tenant() : c.tenant()},
+                  {"workload", u.workload()},
+                  {"group", u.group()},
+                  {"outcome", use ? u.outcome() : 0},
+                  {"billed", use ? static_cast<std::int64_t>(u.billed()) : c.statements()},
                   {"bytes_in", use ? static_cast<std::int64_t>(u.bytes_in()) : c.bytes_in()},
                   {"bytes_out", use ? static_cast<std::int64_t>(u.bytes_out()) : c.bytes_out()},
-                  {"executions", u.executions()}, {"corrects", c.corrects()}, {"reason", c.reason()}};
+                  {"executions", u.executions()},
+                  {"corrects", c.corrects()},
+                  {"reason", c.reason()}};
     if (asJson) {
       out << one.dump() << "\n";
       return;
     }
     bool first = true;
-    for (const char* name : {"seq", "at_us", "period", "tenant", "workload", "group", "outcome", "billed", "bytes_in", "bytes_out",
-                             "executions", "corrects", "reason"}) {
+    for (const char* name :
+         {"seq", "at_us", "period", "tenant", "workload", "group", "outcome", "billed", "bytes_in",
+          "bytes_out", "executions", "corrects", "reason"}) {
       if (!std::exchange(first, false)) out << ",";
       out << (one[name].is_string() ? cellOf(one[name].get<std::string>()) : one[name].dump());
     }
@@ -260,7 +303,8 @@
   exportApp->add_option("--format", format, "csv or json")->check(CLI::IsMember({"csv", "json"}));
   CLI::App* reconcileApp = with("reconcile", "several ledgers together");
   reconcileApp->add_option("folders", folders)->required();
-  reconcileApp->add_option("--write", signer, "write what is missing as corrections, signed by the key in this file");
+  reconcileApp->add_option("--write", signer,
+                           "write what is missing as corrections, signed by the key in this file");
   CLI::App* correctApp = with("correct", "a further entry that puts something right");
   correctApp->add_option("folder", asked.folder)->required();
   correctApp->add_option("--signing-key-file", signer)->required();
--- a/src/decision/engine.h
+++ b/src/decision/engine.h
@@ -1,4 +1,5 @@
-// The interface of the decision module and the types of its state. All decisions stand in rules.cpp.
+// The interface of the decision module and the types of its state. All decisions stand in
+// rules.cpp.
 #pragma once
 
 #include <cstdint>
@@ -17,9 +18,21 @@
 enum class Scope { everywhere, zone, group };
 enum class EndpointStatus { up, draining, gone };
 enum class Role { unknown, primary, replica };
-// `malformedResponse`: it has answered, with what can't be read, and may have run it. `invalid`: it answered that the
-// statement itself is wrong, whichever store gets it; its client is told so.
-enum class AttemptOutcome { ok, notServedHere, overloaded, error, malformedResponse, invalid, timeout, connectFailed, reset, cancelled, neverSent };
+// `malformedResponse`: it has answered, with what can't be read, and may have run it. `invalid`: it
+// answered that the statement itself is wrong, whichever store gets it; its client is told so.
+enum class AttemptOutcome {
+  ok,
+  notServedHere,
+  overloaded,
+  error,
+  malformedResponse,
+  invalid,
+  timeout,
+  connectFailed,
+  reset,
+  cancelled,
+  neverSent
+};
 
 // A row a workload.
 struct Workload {
@@ -59,9 +72,11 @@
   Duration maxRetryAfter;
   Duration connectTimeout;
   Duration askEvery;
-  Duration toldAnyway;  // what the list's service has counts as told by then, whatever calls came to; none: never
-  Duration answersCountAfter;  // an answer's word counts as known so long after it was written; none: once it is read
-  Duration drainGrace;  // that sends to a store may go on after it was told to drain
+  Duration toldAnyway;  // what the list's service has counts as told by then, whatever calls came
+                        // to; none: never
+  Duration answersCountAfter;  // an answer's word counts as known so long after it was written;
+                               // none: once it is read
+  Duration drainGrace;         // that sends to a store may go on after it was told to drain
   Duration coldRamp;
   Duration coldWindow;
   double coldFrom = 1;
@@ -157,18 +172,20 @@
   // role
   std::vector<Role> role;
   std::vector<TimePoint> primaryAt, replicaAt;  // last seen in that role
-  std::vector<TimePoint> doubtedAt;             // what was sent up to then doesn't show it as primary
+  std::vector<TimePoint> doubtedAt;  // what was sent up to then doesn't show it as primary
   // probes
   std::vector<char> probing;
-  std::vector<TimePoint> reported;           // the position of its newest report
-  std::vector<TimePoint> probedAt, renewal;  // when last lastResponse, when its report is renewed next
+  std::vector<TimePoint> reported;  // the position of its newest report
+  std::vector<TimePoint> probedAt,
+      renewal;  // when last lastResponse, when its report is renewed next
   std::vector<TimePoint> probeDue;
   // health
   std::vector<double> successRate, speed;
   std::vector<TimePoint> lastResponse, lastDecay, blockedUntil, blockedAt;
   std::vector<Duration> block;
   std::vector<char> down, dead;  // refused a connection; and probes found it away
-  std::vector<TimePoint> refusedAt, crowdedAt;  // a connection; and last seen that it has no room for more
+  std::vector<TimePoint> refusedAt,
+      crowdedAt;            // a connection; and last seen that it has no room for more
   std::vector<int> missed;  // probes in vain, one after the other
   // load
   std::vector<int> out;
@@ -186,14 +203,16 @@
       if (array.size() <= s) array.resize(s + 1);
       array[s] = std::move(value);
     };
-    for (auto* never : {&started, &position, &primaryAt, &replicaAt, &doubtedAt, &reported, &probedAt,
-                        &renewal, &probeDue, &lastResponse, &blockedUntil, &blockedAt, &freeAt, &cutAt, &refusedAt,
-                        &crowdedAt})
+    for (auto* never : {&started, &position, &primaryAt, &replicaAt, &doubtedAt, &reported,
+                        &probedAt, &renewal, &probeDue, &lastResponse, &blockedUntil, &blockedAt,
+                        &freeAt, &cutAt, &refusedAt, &crowdedAt})
       put(*never, kNever);
     for (auto* flag : {&inList, &probing, &down, &dead}) put(*flag, char{0});
     put(group, -1), put(zone, -1), put(listed, EndpointStatus::up), put(weight, 1.0);
-    put(drained, std::vector<char>(workloads, 1)), put(returned, std::vector<TimePoint>(workloads, kNever));
-    put(role, Role::unknown), put(successRate, 1.0), put(speed, 1.0), put(lastDecay, now), put(block, Duration{});
+    put(drained, std::vector<char>(workloads, 1)),
+        put(returned, std::vector<TimePoint>(workloads, kNever));
+    put(role, Role::unknown), put(successRate, 1.0), put(speed, 1.0), put(lastDecay, now),
+        put(block, Duration{});
     put(out, 0), put(missed, 0), put(limit, firstLimit), put(coldBudget, 0.0), put(coldFilled, now);
   }
 };
@@ -229,29 +248,33 @@
 
 class DecisionEngine {
  public:
-  // Throws std::invalid_argument where a setting that it can't do without is missing or makes no sense.
+  // Throws std::invalid_argument where a setting that it can't do without is missing or makes no
+  // sense.
   DecisionEngine(EngineSettings settings, TimePoint now);
 
   // Facts, in the order in which they came in.
   void beginSnapshot(bool whole);
   void addEndpoint(const EndpointInfo& e, TimePoint now);
   void endSnapshot(bool polled);
-  // A store that is gone has left every place outside: nothing is out to it, no open statement was sent to
-  // it, and its index may be another's from now on.
+  // A store that is gone has left every place outside: nothing is out to it, no open statement was
+  // sent to it, and its index may be another's from now on.
   void removeEndpoint(int store, TimePoint now);
   void onDiscoveryFailed(TimePoint now);
   void onStatementArrived(int statement, const Arrival& a, TimePoint now);
   void onAttemptEnded(int statement, const AttemptResult& r, TimePoint now);
   void onClientClosed(int statement);
-  void onProbeNotSent(int store, TimePoint now);  // its probe never left this front, for want of room here
+  void onProbeNotSent(int store,
+                      TimePoint now);  // its probe never left this front, for want of room here
   // `role`: what the answer itself says of its store, whatever its report does.
-  void onProbeEnded(int store, bool ok, const Report& report, TimePoint now, Role role = Role::unknown);
+  void onProbeEnded(int store, bool ok, const Report& report, TimePoint now,
+                    Role role = Role::unknown);
   void onWake();
   // The clock that positions are told in was set ahead by this, or below zero back.
   void onClockStepped(Duration ahead);
-  // Of a zone's usual traffic, how much this front is to bring its replicas, and may it try those found away?
-  // Where nobody says so, all and yes. It is one more factor in the weight, and no word on freshness; writes
-  // follow their primary. From none to some: all its stores count as started just now.
+  // Of a zone's usual traffic, how much this front is to bring its replicas, and may it try those
+  // found away? Where nobody says so, all and yes. It is one more factor in the weight, and no word
+  // on freshness; writes follow their primary. From none to some: all its stores count as started
+  // just now.
   void setZoneShare(int zone, double share, bool looks, TimePoint now);
 
   // Once a round, after its facts.
@@ -324,20 +347,22 @@
   Stores stores_;
   std::vector<GroupState> groups_;
   std::vector<StatementState> statements_;
-  std::vector<int> open_;      // statements that are owed a final answer, oldest first
+  std::vector<int> open_;          // statements that are owed a final answer, oldest first
   std::vector<Duration> typical_;  // a workload's usual time from send to answer
   std::vector<Duration> least_;    // and about the least that it takes
   std::unordered_map<std::uint64_t, TimePoint> sessions_;  // last commit of a session
   TimePoint sessionFloor_ = kNever;
-  double meanWork_ = 0;  // of a statement, in store seconds
+  double meanWork_ = 0;                  // of a statement, in store seconds
   double longWork_ = 0.2, allWork_ = 1;  // brought by long reads, and by all statements
   double probeBudget_ = 0, probesEarned_ = 0, furtherBudget_ = 0, firstLimit_ = 1;
-  Duration refresh_, reportAge_;  // of reports: their period, and their age when they can first be seen
+  Duration refresh_,
+      reportAge_;  // of reports: their period, and their age when they can first be seen
   Duration smallestBound_, smallestSlo_;
-  Duration memory_;  // how far back rates look
+  Duration memory_;   // how far back rates look
   double crowd_ = 0;  // the share of late attempts that got no connection
-  TimePoint crowdedAt_ = kNever;  // last seen that stores, not one alone, have no room for connections
-  std::vector<int> used_;         // stores that answered in this round
+  TimePoint crowdedAt_ =
+      kNever;              // last seen that stores, not one alone, have no room for connections
+  std::vector<int> used_;  // stores that answered in this round
   TimePoint askAt_ = kNever;
   Duration askBackoff_, askFirst_, askLast_;
   std::vector<TenantState> tenants_;
--- a/src/discovery/endpoint_watcher.cpp
+++ b/src/discovery/endpoint_watcher.cpp
@@ -50,7 +50,8 @@
       if (!other) return "an address that can't be read";
       m.others.emplace_back(protocol, *other);
     }
-  if (!number("cell", group) || group < INT32_MIN || group > INT32_MAX) return "an entry without a group";
+  if (!number("cell", group) || group < INT32_MIN || group > INT32_MAX)
+    return "an entry without a group";
   m.group = static_cast<std::int64_t>(group);
   text("zone", m.zone);
   number("weight", m.weight);
@@ -63,9 +64,10 @@
 }  // namespace
 
 bool parseEndpointList(const json::Value& from, EndpointList& into, std::string& why) {
-  const json::Value *version = from.find("version"), *full = from.find("full"), *list = from.find("servers");
-  if (!version || !version->isNumber() || !full || full->kind != json::Value::Kind::boolean || !list ||
-      list->kind != json::Value::Kind::list) {
+  const json::Value *version = from.find("version"), *full = from.find("full"),
+                    *list = from.find("servers");
+  if (!version || !version->isNumber() || !full || full->kind != json::Value::Kind::boolean ||
+      !list || list->kind != json::Value::Kind::list) {
     why = "no list with version, full and servers";
     return false;
   }
@@ -104,8 +106,9 @@
   bool early = false;  // its last answer had nothing new, and did not wait for it
 };
 
-EndpointWatcher::EndpointWatcher(runtime::Scheduler& s, EndpointListener& listener, sockaddr_in service, std::string host, std::int64_t known,
-           Pace pace, std::size_t mostBody)
+EndpointWatcher::EndpointWatcher(runtime::Scheduler& s, EndpointListener& listener,
+                                 sockaddr_in service, std::string host, std::int64_t known,
+                                 Pace pace, std::size_t mostBody)
     : scheduler_(s),
       listener_(listener),
       pace_(pace),
@@ -117,7 +120,9 @@
 
 EndpointWatcher::~EndpointWatcher() = default;
 
-void EndpointWatcher::ask() { service_->wakes.set(); }
+void EndpointWatcher::ask() {
+  service_->wakes.set();
+}
 
 void EndpointWatcher::leave(Called& s) {
   if (s->socket) s->socket->close();
@@ -125,10 +130,11 @@
   s.reset();
 }
 
-// Danger: what the old service has written counts as told, read or not; closed unread it would be lost, and
-// the new one may be slow to say it.
+// Danger: what the old service has written counts as told, read or not; closed unread it would be
+// lost, and the new one may be slow to say it.
 void EndpointWatcher::moveTo(sockaddr_in service, std::string host) {
-  Called last = std::exchange(service_, std::make_shared<Service>(scheduler_, service, std::move(host)));
+  Called last = std::exchange(service_,
+                              std::make_shared<Service>(scheduler_, service, std::move(host)));
   if (last->heard || !before_) {
     if (before_) leave(before_);
     before_ = last;
@@ -140,7 +146,9 @@
   scheduler_.spawn(follow(service_));
 }
 
-runtime::Task<> EndpointWatcher::run() { co_await follow(service_); }
+runtime::Task<> EndpointWatcher::run() {
+  co_await follow(service_);
+}
 
 runtime::Task<> EndpointWatcher::follow(Called s) {
   int failed = pace_.onDemand && !s->due ? 1 : 0;  // calls, one after the other
@@ -148,15 +156,16 @@
     if (failed > 0 && pace_.onDemand)
       co_await s->wakes.wait();  // the module says when to call again
     else if (failed > 1)
-      // Danger: a service that fails at once would be called in a loop. One call is made anew at once: a
-      // change may come in between, and counts as told.
+      // Danger: a service that fails at once would be called in a loop. One call is made anew at
+      // once: a change may come in between, and counts as told.
       co_await s->wakes.wait(scheduler_.now() + pace_.retry);
     if (s != service_) break;
     // A watch goes on for as long as each next call follows the last answer at once.
     for (bool good = true; good;) {
       good = co_await call(*s);
       if (good) failed = 0;
-      if (good && s->early) co_await runtime::sleepUntil(scheduler_, scheduler_.now() + pace_.retry);
+      if (good && s->early)
+        co_await runtime::sleepUntil(scheduler_, scheduler_.now() + pace_.retry);
       if (s != service_ && s != before_) co_return;
     }
     ++failed;
@@ -169,8 +178,9 @@
   std::int64_t waitMs = std::min(kMostWaitMs, pace_.wait.us / 1000);
   std::string path = "/catalog/members";
   if (!whole) path += "?index=" + std::to_string(s.version) + "&wait=" + std::to_string(waitMs);
-  // Danger: a watch that has fallen silent looks like one with nothing to tell. Where the list is pushed the
-  // whole of it comes from this machine at once; a service that many ask may take its time.
+  // Danger: a watch that has fallen silent looks like one with nothing to tell. Where the list is
+  // pushed the whole of it comes from this machine at once; a service that many ask may take its
+  // time.
   Duration limit = whole && !pace_.onDemand ? pace_.silence : pace_.wait + pace_.silence;
   std::string body;
   TimePoint begun = scheduler_.now();
@@ -190,7 +200,8 @@
   json::Value value;
   EndpointList roster;
   std::string why;
-  if (!json::parse(body, value, why, mostBody_ * kValuesPart) || !parseEndpointList(value, roster, why)) {
+  if (!json::parse(body, value, why, mostBody_ * kValuesPart) ||
+      !parseEndpointList(value, roster, why)) {
     log::line("list_bad", "what=\"%s\"", why.c_str());
     return false;
   }
@@ -198,7 +209,8 @@
     log::line("list_bad", "what=\"changes where the whole list was asked for\"");
     return false;
   }
-  // Danger: a call that was left may have had its answer already; that is not the word of the one called now.
+  // Danger: a call that was left may have had its answer already; that is not the word of the one
+  // called now.
   if (&s != service_.get() && &s != before_.get()) return false;
   bool first = !std::exchange(s.heard, true);
   if (!roster.full && roster.version < s.version) {
@@ -214,7 +226,8 @@
   return true;
 }
 
-runtime::Task<bool> EndpointWatcher::exchange(Service& s, const std::string& path, TimePoint until, std::string& body) {
+runtime::Task<bool> EndpointWatcher::exchange(Service& s, const std::string& path, TimePoint until,
+                                              std::string& body) {
   if (s.socket && s.socket->open()) {
     // A kept connection that the service has closed meanwhile is noticed before it is used.
     s.in.clear();
@@ -223,13 +236,15 @@
   if (!s.socket || !s.socket->open()) {
     s.in.clear();
     s.socket.emplace(scheduler_, runtime::startConnect(s.address));
-    bool up = co_await runtime::connected(*s.socket, std::min(until, scheduler_.now() + pace_.connect));
+    bool up = co_await runtime::connected(*s.socket,
+                                          std::min(until, scheduler_.now() + pace_.connect));
     if (!up) {
       log::line("list_away", "what=\"no connection\"");
       co_return false;
     }
   }
-  std::string call = "GET " + path + " HTTP/1.1\r\nHost: " + s.host + "\r\nAccept: application/json\r\n\r\n";
+  std::string call = "GET " + path + " HTTP/1.1\r\nHost: " + s.host +
+                     "\r\nAccept: application/json\r\n\r\n";
   bool sent = co_await runtime::writeAll(*s.socket, call, until);
   if (!sent) co_return false;
   http::Response response(mostBody_);
@@ -237,8 +252,8 @@
     inARow += s.in.size();
     s.in.erase(0, response.feed(s.in));
     if (response.whole() || response.bad()) break;
-    // Danger: an answer without end, as fast as it can be read, would have this thread for itself and never
-    // be late.
+    // Danger: an answer without end, as fast as it can be read, would have this thread for itself
+    // and never be late.
     if (inARow > kMostInARow) {
       inARow = 0;
       co_await runtime::sleepUntil(scheduler_, scheduler_.now() + Duration{1});
--- a/src/discovery/endpoint_watcher.h
+++ b/src/discovery/endpoint_watcher.h
@@ -47,21 +47,21 @@
 class EndpointWatcher {
  public:
   struct Pace {
-    Duration wait;      // that a watch may be held
-    Duration silence;   // beyond that: a call without an answer by then is broken and made anew
-    Duration connect;   // that a connection may take to come up
-    Duration retry;     // between two calls where the last ones failed
-    bool onDemand;  // called only when the module asks
+    Duration wait;     // that a watch may be held
+    Duration silence;  // beyond that: a call without an answer by then is broken and made anew
+    Duration connect;  // that a connection may take to come up
+    Duration retry;    // between two calls where the last ones failed
+    bool onDemand;     // called only when the module asks
   };
-  // `known`: the version of the list that is known already. Where each call is work for a service that many
-  // ask, it is watched from there on; else the whole list comes first.
-  EndpointWatcher(runtime::Scheduler& s, EndpointListener& listener, sockaddr_in service, std::string host, std::int64_t known,
-       Pace pace, std::size_t mostBody);
+  // `known`: the version of the list that is known already. Where each call is work for a service
+  // that many ask, it is watched from there on; else the whole list comes first.
+  EndpointWatcher(runtime::Scheduler& s, EndpointListener& listener, sockaddr_in service,
+                  std::string host, std::int64_t known, Pace pace, std::size_t mostBody);
   ~EndpointWatcher();
 
   runtime::Task<> run();
-  // The service is at another address from now on, and the whole list is fetched from there. Until it has
-  // come, what the old one says still counts. A version counts only where it came from.
+  // The service is at another address from now on, and the whole list is fetched from there. Until
+  // it has come, what the old one says still counts. A version counts only where it came from.
   void moveTo(sockaddr_in service, std::string host);
   void ask();  // where it comes on demand
 
@@ -71,7 +71,8 @@
 
   runtime::Task<> follow(Called s);
   runtime::Task<bool> call(Service& s);  // the whole list, or a watch where it is known
-  runtime::Task<bool> exchange(Service& s, const std::string& path, TimePoint until, std::string& body);
+  runtime::Task<bool> exchange(Service& s, const std::string& path, TimePoint until,
+                               std::string& body);
   bool take(Service& s, const std::string& body, bool whole);
   void leave(Called& s);
 
@@ -80,7 +81,8 @@
   Pace pace_;
   std::size_t mostBody_;
   Called service_,
-      before_;  // `before_`: the one that was called until now, where the new one has not answered yet
+      before_;  // `before_`: the one that was called until now, where the new one has not answered
+                // yet
 };
 
 }  // namespace reedchute::discovery
--- a/src/invariants/attempt_guard.cpp
+++ b/src/invariants/attempt_guard.cpp
@@ -30,8 +30,8 @@
 }
 
 bool provesNothingRan(AttemptOutcome ending) {
-  return ending == AttemptOutcome::overloaded || ending == AttemptOutcome::connectFailed || ending == AttemptOutcome::neverSent ||
-         ending == AttemptOutcome::notServedHere;
+  return ending == AttemptOutcome::overloaded || ending == AttemptOutcome::connectFailed ||
+         ending == AttemptOutcome::neverSent || ending == AttemptOutcome::notServedHere;
 }
 
 const AttemptGuard::Store& AttemptGuard::at(int store) const {
@@ -41,10 +41,12 @@
 }
 
 void AttemptGuard::listed(int store, int group, int zone, EndpointStatus as, TimePoint now) {
-  if (stores_.size() <= static_cast<std::size_t>(store)) stores_.resize(static_cast<std::size_t>(store) + 1);
+  if (stores_.size() <= static_cast<std::size_t>(store))
+    stores_.resize(static_cast<std::size_t>(store) + 1);
   Store& s = stores_[static_cast<std::size_t>(store)];
   s.group = group, s.zone = zone;
-  bool binds = as == EndpointStatus::draining || (as == EndpointStatus::gone && settings_.goneBinds);
+  bool binds = as == EndpointStatus::draining ||
+               (as == EndpointStatus::gone && settings_.goneBinds);
   if (as == EndpointStatus::up)
     s.drainsSince = kForever;
   else if (binds)
@@ -56,7 +58,8 @@
 }
 
 void AttemptGuard::forget(int store) {
-  if (static_cast<std::size_t>(store) < stores_.size()) stores_[static_cast<std::size_t>(store)] = {};
+  if (static_cast<std::size_t>(store) < stores_.size())
+    stores_[static_cast<std::size_t>(store)] = {};
 }
 
 bool AttemptGuard::drained(int store, Duration grace, TimePoint now) const {
@@ -86,7 +89,8 @@
   if (d.cancelled) return Refusal::cancelled;
   if (now >= d.until) return Refusal::timeOver;
   if (now >= d.sendBy) return Refusal::leavesLate;
-  if (drained(d.store, std::max(Duration{}, settings_.drainGrace - kHeldUp), now)) return Refusal::drains;
+  if (drained(d.store, std::max(Duration{}, settings_.drainGrace - kHeldUp), now))
+    return Refusal::drains;
   if (Refusal repeat = mayRepeat(d, earlier, now); repeat != Refusal::none) return repeat;
   return d.clientGone ? Refusal::clientGone : Refusal::none;
 }
--- a/src/invariants/attempt_guard.h
+++ b/src/invariants/attempt_guard.h
@@ -1,6 +1,6 @@
-// The one guard for what leaves for a store: first executions, repeats and second copies alike. It is asked
-// right before the first byte is written, and rests on what was written before and what came of it, not on
-// what was decided. No I/O, no clock.
+// The one guard for what leaves for a store: first executions, repeats and second copies alike. It
+// is asked right before the first byte is written, and rests on what was written before and what
+// came of it, not on what was decided. No I/O, no clock.
 #pragma once
 
 #include <cstdint>
@@ -58,9 +58,11 @@
   void dropped(int store, TimePoint now);  // by a whole list that doesn't name it
   void forget(int store);
 
-  Refusal mayLeave(const Departure& d, const std::vector<EarlierAttempt>& earlier, TimePoint now) const;
+  Refusal mayLeave(const Departure& d, const std::vector<EarlierAttempt>& earlier,
+                   TimePoint now) const;
   // May a repeat leave for this store, after all that has left before?
-  Refusal mayRepeat(const Departure& d, const std::vector<EarlierAttempt>& earlier, TimePoint now) const;
+  Refusal mayRepeat(const Departure& d, const std::vector<EarlierAttempt>& earlier,
+                    TimePoint now) const;
   // Is a store that is written to at this moment past its grace?
   bool drained(int store, Duration grace, TimePoint now) const;
 
--- a/src/invariants/violations.cpp
+++ b/src/invariants/violations.cpp
@@ -45,7 +45,11 @@
   log::line("invariant_violated", "rule=%s %s", nameOf(rule), fields);
 }
 
-std::uint64_t violations(Rule rule) { return counts[static_cast<std::size_t>(rule)]; }
-std::uint64_t violations() { return std::accumulate(counts.begin(), counts.end(), std::uint64_t{0}); }
+std::uint64_t violations(Rule rule) {
+  return counts[static_cast<std::size_t>(rule)];
+}
+std::uint64_t violations() {
+  return std::accumulate(counts.begin(), counts.end(), std::uint64_t{0});
+}
 
 }  // namespace reedchute::invariants
--- a/src/invariants/violations.h
+++ b/src/invariants/violations.h
@@ -1,5 +1,5 @@
-// Run-time checks of the rules: each violation is counted and logged as `invariant_violated`. A check never
-// changes what is done.
+// Run-time checks of the rules: each violation is counted and logged as `invariant_violated`. A
+// check never changes what is done.
 #pragma once
 
 #include <cstdint>
--- a/src/ledger/exports.cpp
+++ b/src/ledger/exports.cpp
@@ -20,7 +20,8 @@
   std::uint64_t number = confirmed_ ? confirmed_->number : 0;
   if (at.epoch > epoch) return {Do::fenced, {}, "a newer exporter has begun"};
   if (at.number < number) {
-    // Danger: a collector that was restored from an old copy lacks what it once confirmed; unsent, it is never billed.
+    // Danger: a collector that was restored from an old copy lacks what it once confirmed; unsent,
+    // it is never billed.
     BatchPlan again;
     again.number = at.number + 1;
     again.first = at.last + 1;
@@ -40,15 +41,19 @@
   }
   // It is ahead. Its confirmation got lost where it has just what was planned here.
   if (planned_ && at.number == planned_->number) {
-    if (at.last == planned_->last && at.digest == planned_->digest) return {Do::confirm, *planned_, ""};
+    if (at.last == planned_->last && at.digest == planned_->digest)
+      return {Do::confirm, *planned_, ""};
     return {Do::conflict, *planned_, "the planned batch stands there with another content"};
   }
-  return {Do::conflict, {}, "the collector has batches that this ledger never planned: restored from an old copy?"};
+  return {Do::conflict,
+          {},
+          "the collector has batches that this ledger never planned: restored from an old copy?"};
 }
 
 Taking takes(const Watermark& at, std::uint64_t epoch, const BatchPlan& b) {
   if (epoch < at.epoch) return Taking::fenced;
-  if (b.number == at.number) return b.digest == at.digest && b.last == at.last ? Taking::repeated : Taking::differs;
+  if (b.number == at.number)
+    return b.digest == at.digest && b.last == at.last ? Taking::repeated : Taking::differs;
   if (b.number < at.number) return Taking::repeated;  // an old one, sent late
   if (b.number > at.number + 1 || b.first != at.last + 1) return Taking::gap;
   return Taking::taken;
--- a/src/ledger/exports.h
+++ b/src/ledger/exports.h
@@ -1,5 +1,6 @@
-// Decides what of the log is exported next, and what a collector's word means. No I/O. A batch is a run of records by
-// their sequence numbers; it is written down before it is sent, so whoever sends it again sends the same.
+// Decides what of the log is exported next, and what a collector's word means. No I/O. A batch is a
+// run of records by their sequence numbers; it is written down before it is sent, so whoever sends
+// it again sends the same.
 #pragma once
 
 #include <cstdint>
@@ -25,11 +26,12 @@
 class Exports {
  public:
   enum class Do {
-    nothing,   // all that there is was confirmed
-    plan,      // write down the batch `next`, then send it
-    send,      // send `next`, which is written down
-    confirm,   // write down that `next` was confirmed
-    rewind,    // the collector is behind what it has confirmed: send `next` again, from the log as it was planned
+    nothing,  // all that there is was confirmed
+    plan,     // write down the batch `next`, then send it
+    send,     // send `next`, which is written down
+    confirm,  // write down that `next` was confirmed
+    rewind,  // the collector is behind what it has confirmed: send `next` again, from the log as it
+             // was planned
     conflict,  // the two can't both be right: stop, and call an operator
     fenced,    // another exporter has taken over
   };
@@ -39,12 +41,14 @@
     const char* why = "";
   };
 
-  // From the log: the newest batch that was confirmed and the one that was planned after it, if any.
+  // From the log: the newest batch that was confirmed and the one that was planned after it, if
+  // any.
   void resume(std::optional<BatchPlan> confirmed, std::optional<BatchPlan> planned);
 
-  // `durable`: the last record that would survive the machine's death; nothing beyond it is exported.
-  // `at`: what a collector answered last, with the epoch that this exporter was given.
-  Step next(std::uint64_t durable, std::uint64_t mostRecords, const Watermark& at, std::uint64_t epoch) const;
+  // `durable`: the last record that would survive the machine's death; nothing beyond it is
+  // exported. `at`: what a collector answered last, with the epoch that this exporter was given.
+  Step next(std::uint64_t durable, std::uint64_t mostRecords, const Watermark& at,
+            std::uint64_t epoch) const;
 
   void planned(const BatchPlan& b) { planned_ = b; }
   void confirmed(const BatchPlan& b);
--- a/src/ledger/feed.cpp
+++ b/src/ledger/feed.cpp
@@ -20,8 +20,9 @@
                        .count()};
 }
 Duration steady() {
-  return Duration{std::chrono::duration_cast<std::chrono::microseconds>(std::chrono::steady_clock::now().time_since_epoch())
-                  .count()};
+  return Duration{std::chrono::duration_cast<std::chrono::microseconds>(
+                      std::chrono::steady_clock::now().time_since_epoch())
+                      .count()};
 }
 
 std::string birthNow() {
@@ -42,7 +43,8 @@
   return kNames[static_cast<std::size_t>(is)];
 }
 
-// The ring's memory: a file of the folder's, mapped, so that what is put there outlives the process.
+// The ring's memory: a file of the folder's, mapped, so that what is put there outlives the
+// process.
 struct Feed::Mapped {
   Mapped(const std::string& path, std::size_t size) : bytes(size) {
     int fd = open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
@@ -52,7 +54,8 @@
     }
     // Danger: a page without a block behind it would end the process when the disk is full.
     int full = posix_fallocate(fd, 0, static_cast<off_t>(size));
-    at = full ? MAP_FAILED : mmap(nullptr, size, PROT_READ | PROT_WRITE, MAP_SHARED | MAP_POPULATE, fd, 0);
+    at = full ? MAP_FAILED
+              : mmap(nullptr, size, PROT_READ | PROT_WRITE, MAP_SHARED | MAP_POPULATE, fd, 0);
     close(fd);
     if (at == MAP_FAILED) throw DiskError(path + " can't be mapped");
   }
@@ -70,7 +73,8 @@
       mapped_(std::make_unique<Mapped>(given.folder + "/ring", given.ringBytes)),
       periods_(given.every, Duration{static_cast<std::int64_t>(kTolerance * 1e6)}, Duration{}) {
   for (const Workload& w : terms.workloads) windows_.push_back(w.window);
-  for (int of : names.standsFor) workloads_.push_back(of < 0 ? std::string() : names.workloads[static_cast<std::size_t>(of)]);
+  for (int of : names.standsFor)
+    workloads_.push_back(of < 0 ? std::string() : names.workloads[static_cast<std::size_t>(of)]);
   Keeper::Shape shape;
   shape.instance = given.instance, shape.birth = birthNow();
   shape.log.key = given.key;
@@ -100,15 +104,18 @@
   }
   if (!keeper_->isOpen())
     return publish(FeedState::Is::closed, std::string(ledger::nameOf(found.front().what)) + " in " +
-                                              found.front().segment + " at byte " + std::to_string(found.front().at));
+                                              found.front().segment + " at byte " +
+                                              std::to_string(found.front().at));
   periods_.resume(keeper_->newestTime(), keeper_->unsealed());
   if (keeper_->lastSealed()) periods_.sealed(*keeper_->lastSealed());
   ring_ = std::make_unique<Ring>(mapped_->memory(), keeper_->nextPlace());
-  // Danger: after a machine's death an entry may be there in part; those behind it can't be read either.
+  // Danger: after a machine's death an entry may be there in part; those behind it can't be read
+  // either.
   lost_ += ring_->dropUnreadable();
   publish(FeedState::Is::open, found.empty() ? "" : "a torn tail was cut off");
   Duration synced = steady();
-  // Danger: at the end all that was answered must be on the disk; a disk that takes nothing is not waited for.
+  // Danger: at the end all that was answered must be on the disk; a disk that takes nothing is not
+  // waited for.
   for (bool last = false; !last;) {
     last = ends_;
     std::this_thread::sleep_for(std::chrono::milliseconds(last ? 0 : 2));
@@ -151,7 +158,8 @@
   a.workload = w < workloads_.size() ? workloads_[w] : std::string();
   a.group = m.group;
   a.outcome = m.completed ? Outcome::completed : m.rejected ? Outcome::rejected : Outcome::aborted;
-  a.bytesIn = m.bytesIn, a.bytesOut = m.bytesOut, a.executions = m.executions, a.protocol = m.protocol;
+  a.bytesIn = m.bytesIn, a.bytesOut = m.bytesOut, a.executions = m.executions,
+  a.protocol = m.protocol;
   a.mark = m.mark;
   if (w < windows_.size()) a.window = windows_[w];
   a.at = now.at, a.period = now.period;
@@ -161,7 +169,8 @@
 FeedState Feed::state() const {
   FeedState s;
   s.is = is_.load(std::memory_order_acquire);
-  s.written = written_, s.durable = durable_, s.lost = lost_, s.diskErrors = diskErrors_, s.jumps = jumps_;
+  s.written = written_, s.durable = durable_, s.lost = lost_, s.diskErrors = diskErrors_,
+  s.jumps = jumps_;
   if (s.is == FeedState::Is::open || s.is == FeedState::Is::failing) s.ringFree = ring_->free();
   if (s.is == FeedState::Is::closed) s.what = what_;
   return s;
--- a/src/ledger/feed.h
+++ b/src/ledger/feed.h
@@ -1,5 +1,6 @@
-// The ledger beside a running front: entries go into a ring before their statement's answer, and a thread of the
-// ledger's own brings them to the disk. The front's thread makes no system call here and waits for nothing.
+// The ledger beside a running front: entries go into a ring before their statement's answer, and a
+// thread of the ledger's own brings them to the disk. The front's thread makes no system call here
+// and waits for nothing.
 #pragma once
 
 #include <atomic>
@@ -7,9 +8,9 @@
 #include <string>
 #include <thread>
 
-#include "request/request.h"
-#include "ledger/keeper.h"
 #include "config/engine_settings.h"
+#include "ledger/keeper.h"
+#include "request/request.h"
 
 namespace reedchute::ledger {
 
@@ -19,8 +20,9 @@
   std::string key, correctionKey;
   Every every = Every::month;
   std::size_t ringBytes = 4 << 20;
-  Duration sync{200'000};      // between two syncs
-  bool refuse = false;     // where an entry can't be kept: refuse statements, or serve and count what is lost
+  Duration sync{200'000};  // between two syncs
+  bool refuse =
+      false;  // where an entry can't be kept: refuse statements, or serve and count what is lost
 };
 
 // What is to be said in the front's log.
--- a/src/ledger/files.cpp
+++ b/src/ledger/files.cpp
@@ -14,7 +14,9 @@
 namespace reedchute::ledger {
 namespace {
 
-[[noreturn]] void fail(const std::string& what) { throw DiskError(what + ": " + std::strerror(errno)); }
+[[noreturn]] void fail(const std::string& what) {
+  throw DiskError(what + ": " + std::strerror(errno));
+}
 
 class Folder : public Files {
  public:
@@ -44,7 +46,8 @@
     DIR* dir = opendir(path_.c_str());
     if (!dir) fail(path_);
     while (dirent* entry = readdir(dir))
-      if (entry->d_name[0] != '.' && std::strcmp(entry->d_name, "lock") != 0) names.emplace_back(entry->d_name);
+      if (entry->d_name[0] != '.' && std::strcmp(entry->d_name, "lock") != 0)
+        names.emplace_back(entry->d_name);
     closedir(dir);
     std::sort(names.begin(), names.end());
     return names;
@@ -76,7 +79,8 @@
       if (n < 0 && errno == EINTR) continue;
       if (n <= 0) {
         int why = errno;
-        // Danger: half a record would stand in front of whatever is written once there is room again.
+        // Danger: half a record would stand in front of whatever is written once there is room
+        // again.
         if (ftruncate(fd, before) < 0) why = errno;
         errno = why;
         fail(name);
@@ -122,7 +126,11 @@
 
 }  // namespace
 
-std::unique_ptr<Files> filesIn(const std::string& folder) { return std::make_unique<Folder>(folder, true); }
-std::unique_ptr<Files> filesToRead(const std::string& folder) { return std::make_unique<Folder>(folder, false); }
+std::unique_ptr<Files> filesIn(const std::string& folder) {
+  return std::make_unique<Folder>(folder, true);
+}
+std::unique_ptr<Files> filesToRead(const std::string& folder) {
+  return std::make_unique<Folder>(folder, false);
+}
 
 }  // namespace reedchute::ledger
--- a/src/ledger/keeper.cpp
+++ b/src/ledger/keeper.cpp
@@ -16,7 +16,8 @@
   u.set_tenant(a.tenant), u.set_workload(a.workload), u.set_group(a.group);
   u.set_outcome(static_cast<std::uint32_t>(a.outcome));
   u.set_bytes_in(a.bytesIn), u.set_bytes_out(a.bytesOut), u.set_executions(a.executions);
-  u.set_mark(a.mark), u.set_window_ms(static_cast<std::uint32_t>(a.window.us / 1000)), u.set_protocol(a.protocol);
+  u.set_mark(a.mark), u.set_window_ms(static_cast<std::uint32_t>(a.window.us / 1000)),
+      u.set_protocol(a.protocol);
   return u;
 }
 
@@ -31,7 +32,8 @@
 
 std::optional<Answered> fromBytes(std::string_view bytes) {
   wire::Record r;
-  if (!r.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())) || !r.has_use()) return std::nullopt;
+  if (!r.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())) || !r.has_use())
+    return std::nullopt;
   const wire::Use& u = r.use();
   Answered a;
   a.tenant = u.tenant(), a.workload = u.workload(), a.group = u.group();
@@ -56,7 +58,8 @@
   totals_.add(r);
   Period p{r.period_s()};
   if (r.has_use() || r.has_correction()) {
-    // A correction may be of a period that was sealed long ago; it stands in the log after the seal, as it should.
+    // A correction may be of a period that was sealed long ago; it stands in the log after the
+    // seal, as it should.
     if (!lastSealed_ || p > *lastSealed_) {
       periods_.entered(p);
       wire::Seal& count = counts_[p];
@@ -66,7 +69,8 @@
     }
   }
   if (r.has_use() && r.use().billed())
-    marks_.remember(r.use().mark(), Duration{std::int64_t{r.use().window_ms()} * 1000}, TimePoint{r.at_us()});
+    marks_.remember(r.use().mark(), Duration{std::int64_t{r.use().window_ms()} * 1000},
+                    TimePoint{r.at_us()});
   if (r.has_opened()) birth_ = r.opened().birth();
   if (r.has_seal()) {
     periods_.sealed(p);
@@ -94,7 +98,9 @@
     r.mutable_opened()->set_instance(shape_.instance);
   } else {
     r.mutable_notice()->set_kind(findings.empty() ? 4 : 3);
-    if (!findings.empty()) r.mutable_notice()->set_text(findings.front().segment + " at byte " + std::to_string(findings.front().at));
+    if (!findings.empty())
+      r.mutable_notice()->set_text(findings.front().segment + " at byte " +
+                                   std::to_string(findings.front().at));
   }
   append(r, at, periodAt(shape_.every, at));
   log_.write();
@@ -108,9 +114,11 @@
 }
 
 void Keeper::drain(Ring& ring, std::uint64_t lost, TimePoint now) {
-  // Danger: an entry that was written and not let go, as the process died in between, would be counted twice.
+  // Danger: an entry that was written and not let go, as the process died in between, would be
+  // counted twice.
   if (ring.goneTo() > readTo_) readTo_ = ring.goneTo();
-  // Danger: a disk that takes nothing would have all memory filled with what waits for it; the ring holds the rest.
+  // Danger: a disk that takes nothing would have all memory filled with what waits for it; the ring
+  // holds the rest.
   for (std::size_t n = 0; n < kAtOnce && log_.pendingBytes() < kMostPending; ++n) {
     auto entry = ring.next(readTo_);
     if (!entry) break;
@@ -132,7 +140,8 @@
     lost_ = lost;
     append(r, std::max(now, newestTime_), periodAt(shape_.every, std::max(now, newestTime_)));
   }
-  // Whatever is still in the ring is of this moment or earlier; a period is sealed once nothing of it can be there.
+  // Whatever is still in the ring is of this moment or earlier; a period is sealed once nothing of
+  // it can be there.
   if (!ring.next(readTo_)) seal(now);
   log_.write();
   ring.letGo(readTo_);
@@ -152,8 +161,8 @@
   std::string text = std::to_string(p.beginsS) + "\n" + plain.SerializeAsString();
   unsigned char out[EVP_MAX_MD_SIZE];
   unsigned int size = 0;
-  HMAC(EVP_sha256(), key.data(), static_cast<int>(key.size()), reinterpret_cast<const unsigned char*>(text.data()),
-       text.size(), out, &size);
+  HMAC(EVP_sha256(), key.data(), static_cast<int>(key.size()),
+       reinterpret_cast<const unsigned char*>(text.data()), text.size(), out, &size);
   return {reinterpret_cast<char*>(out), size};
 }
 
--- a/src/ledger/keeper.h
+++ b/src/ledger/keeper.h
@@ -1,5 +1,6 @@
-// The ledger of one front: takes entries from the ring, decides what each is, and brings them to the log. Calls the
-// disk, so it runs beside the front's thread; what it does at which moment is told by its caller.
+// The ledger of one front: takes entries from the ring, decides what each is, and brings them to
+// the log. Calls the disk, so it runs beside the front's thread; what it does at which moment is
+// told by its caller.
 #pragma once
 
 #include <optional>
@@ -22,8 +23,8 @@
   Outcome outcome = Outcome::none;
   std::uint64_t bytesIn = 0, bytesOut = 0, mark = 0;
   std::uint32_t executions = 0, protocol = 0;
-  Duration window;    // of its mark
-  TimePoint at;   // the ledger's time
+  Duration window;  // of its mark
+  TimePoint at;     // the ledger's time
   Period period;
 };
 
@@ -36,15 +37,15 @@
     std::string instance, birth;  // `birth`: random, for a ledger that begins
     Log::Shape log;
     Every every = Every::month;
-    Duration grace{60'000'000};       // between a period's end and its seal
+    Duration grace{60'000'000};   // between a period's end and its seal
     std::size_t marks = 1 << 20;  // remembered at once
     std::string correctionKey;    // of who may correct; empty: nobody may
   };
 
   Keeper(Files& files, Shape shape);
 
-  // Reads the log. Empty: it is open; otherwise what is wrong, and it stays closed but for a torn tail, which was cut
-  // off and is noted in the log.
+  // Reads the log. Empty: it is open; otherwise what is wrong, and it stays closed but for a torn
+  // tail, which was cut off and is noted in the log.
   std::vector<Finding> open(TimePoint now);
   bool isOpen() const { return log_.isOpen(); }
   const std::string& birth() const { return birth_; }
@@ -54,8 +55,9 @@
   std::optional<Period> lastSealed() const { return lastSealed_; }
   std::vector<Period> unsealed() const { return unsealed_; }
 
-  // Takes what the ring has and writes it; `lost` entries found no room there since the last call. What was written is
-  // let go from the ring. Throws DiskError: then nothing was lost, and it is tried again.
+  // Takes what the ring has and writes it; `lost` entries found no room there since the last call.
+  // What was written is let go from the ring. Throws DiskError: then nothing was lost, and it is
+  // tried again.
   void drain(Ring& ring, std::uint64_t lost, TimePoint now);
   void sync() { log_.sync(); }
 
--- a/src/ledger/log.cpp
+++ b/src/ledger/log.cpp
@@ -26,7 +26,8 @@
   return v;
 }
 std::uint32_t sumOf(std::string_view b) {
-  return static_cast<std::uint32_t>(::crc32(0, reinterpret_cast<const Bytef*>(b.data()), static_cast<uInt>(b.size())));
+  return static_cast<std::uint32_t>(
+      ::crc32(0, reinterpret_cast<const Bytef*>(b.data()), static_cast<uInt>(b.size())));
 }
 
 struct Piece {
@@ -41,15 +42,20 @@
   std::size_t length = little(bytes.substr(4, 4));
   if (length > kMostPayload || bytes.size() < kFront + length + kMac) return std::nullopt;
   if (little(bytes.substr(8, 4)) != sumOf(bytes.substr(12, 8 + length + kMac))) return std::nullopt;
-  return Piece{little(bytes.substr(12, 8)), bytes.substr(kFront, length), bytes.substr(kFront + length, kMac),
-               kFront + length + kMac};
+  return Piece{little(bytes.substr(12, 8)), bytes.substr(kFront, length),
+               bytes.substr(kFront + length, kMac), kFront + length + kMac};
 }
 
 }  // namespace
 
 const char* nameOf(Finding::What w) {
-  static constexpr const char* kNames[] = {"a torn tail", "damaged bytes", "an end that was synced and is gone", "a missing segment", "a broken chain",
-                                           "a broken sequence", "a record that can't be read"};
+  static constexpr const char* kNames[] = {"a torn tail",
+                                           "damaged bytes",
+                                           "an end that was synced and is gone",
+                                           "a missing segment",
+                                           "a broken chain",
+                                           "a broken sequence",
+                                           "a record that can't be read"};
   return kNames[static_cast<std::size_t>(w)];
 }
 
@@ -61,7 +67,8 @@
   anchorSize_ = bytes.size();
   for (std::size_t at = 0; at + kAnchorLine <= bytes.size(); at += kAnchorLine) {
     std::string_view line = std::string_view(bytes).substr(at, kAnchorLine);
-    if (little(line.substr(8, 4)) == sumOf(line.substr(0, 8))) most = std::max(most, little(line.substr(0, 8)));
+    if (little(line.substr(8, 4)) == sumOf(line.substr(0, 8)))
+      most = std::max(most, little(line.substr(0, 8)));
   }
   return most;
 }
@@ -77,7 +84,8 @@
 
 std::string Log::nameOf(std::uint64_t number) {
   std::string digits = std::to_string(number);
-  return "ledger-" + std::string(8 - std::min<std::size_t>(8, digits.size()), '0') + digits + ".log";
+  return "ledger-" + std::string(8 - std::min<std::size_t>(8, digits.size()), '0') + digits +
+         ".log";
 }
 
 struct Log::Keyed {
@@ -89,11 +97,13 @@
   }
 };
 
-Log::Log(Files& files, Shape shape) : files_(files), shape_(std::move(shape)), keyed_(std::make_unique<Keyed>()) {
+Log::Log(Files& files, Shape shape)
+    : files_(files), shape_(std::move(shape)), keyed_(std::make_unique<Keyed>()) {
   char digest[] = "SHA256";
-  OSSL_PARAM parameters[] = {OSSL_PARAM_construct_utf8_string("digest", digest, 0), OSSL_PARAM_construct_end()};
-  if (EVP_MAC_init(keyed_->context, reinterpret_cast<const unsigned char*>(shape_.key.data()), shape_.key.size(),
-                   parameters) != 1)
+  OSSL_PARAM parameters[] = {OSSL_PARAM_construct_utf8_string("digest", digest, 0),
+                             OSSL_PARAM_construct_end()};
+  if (EVP_MAC_init(keyed_->context, reinterpret_cast<const unsigned char*>(shape_.key.data()),
+                   shape_.key.size(), parameters) != 1)
     throw std::runtime_error("no HMAC-SHA256 with this key");
 }
 
@@ -104,7 +114,8 @@
   std::size_t size = 0;
   EVP_MAC_init(keyed_->context, nullptr, 0, nullptr);
   EVP_MAC_update(keyed_->context, reinterpret_cast<const unsigned char*>(mac_.data()), mac_.size());
-  EVP_MAC_update(keyed_->context, reinterpret_cast<const unsigned char*>(payload.data()), payload.size());
+  EVP_MAC_update(keyed_->context, reinterpret_cast<const unsigned char*>(payload.data()),
+                 payload.size());
   EVP_MAC_final(keyed_->context, out, &size, sizeof out);
   return {reinterpret_cast<char*>(out), kMac};
 }
@@ -121,7 +132,8 @@
   return whole + inner;
 }
 
-// Reads segment after segment. With `goOn` it continues behind what can't be read, to find all there is.
+// Reads segment after segment. With `goOn` it continues behind what can't be read, to find all
+// there is.
 Log::Scan Log::scan(const Each& each, bool goOn) {
   Scan s;
   s.mac = std::string(kMac, '\0');
@@ -145,18 +157,21 @@
     for (std::size_t at = 0; at < bytes.size();) {
       auto piece = pieceAt(std::string_view(bytes).substr(at));
       if (!piece) {
-        // Danger: bytes that were never synced may be lost in any order when a machine dies, and look like damage. A
-        // later frame tells what was synced by then: below that it is damage, above it a torn tail.
+        // Danger: bytes that were never synced may be lost in any order when a machine dies, and
+        // look like damage. A later frame tells what was synced by then: below that it is damage,
+        // above it a torn tail.
         std::uint64_t synced = 0;
         std::size_t next = std::string::npos;
-        for (std::size_t k = bytes.find(kMagic, at + 1); k != std::string::npos; k = bytes.find(kMagic, k + 1))
+        for (std::size_t k = bytes.find(kMagic, at + 1); k != std::string::npos;
+             k = bytes.find(kMagic, k + 1))
           if (auto later = pieceAt(std::string_view(bytes).substr(k))) {
             if (next == std::string::npos) next = k;
             synced = std::max(synced, later->durable);
           }
         bool newest = n + 1 == segments.size();
         bool torn = newest && synced <= s.newest && anchor <= s.newest;
-        s.findings.push_back({torn ? Finding::What::tornTail : Finding::What::damaged, name, at, s.newest + 1});
+        s.findings.push_back(
+            {torn ? Finding::What::tornTail : Finding::What::damaged, name, at, s.newest + 1});
         if (torn || !goOn || next == std::string::npos) break;
         at = next;
         s.mac.clear();
@@ -184,7 +199,8 @@
           continue;
         }
         if (r.seq() != s.newest + 1 && s.newest != 0) {
-          s.findings.push_back({Finding::What::sequenceBroken, name, at - piece->size, s.newest + 1});
+          s.findings.push_back(
+              {Finding::What::sequenceBroken, name, at - piece->size, s.newest + 1});
           if (!goOn) return s;
         }
         s.newest = r.seq();
@@ -194,11 +210,14 @@
     }
     if (!goOn && !s.findings.empty()) return s;
   }
-  if (s.newest < anchor) s.findings.push_back({Finding::What::lostEnd, s.segment, s.good, s.newest + 1});
+  if (s.newest < anchor)
+    s.findings.push_back({Finding::What::lostEnd, s.segment, s.good, s.newest + 1});
   return s;
 }
 
-std::vector<Finding> Log::verify(const Each& each) { return scan(each, true).findings; }
+std::vector<Finding> Log::verify(const Each& each) {
+  return scan(each, true).findings;
+}
 
 std::vector<Finding> Log::open(const Each& each) {
   number_ = 0;
@@ -212,7 +231,8 @@
   // A segment that was begun and of which nothing is left is begun again.
   needsHead_ = s.good == 0;
   if (!s.segment.empty() && s.good == 0) --number_;
-  // Danger: what the last process wrote may not have been synced yet; it is before anything builds on it.
+  // Danger: what the last process wrote may not have been synced yet; it is before anything builds
+  // on it.
   if (!s.segment.empty()) files_.sync(s.segment);
   durable_ = newest_;
   open_ = true;
@@ -243,7 +263,8 @@
     mac_ = lastWrittenMac_;
     std::string bytes = frame(std::string(kHead) + std::to_string(number_ + 1));
     for (const std::string& p : payloads) bytes += frame(p);
-    // Danger: where the disk refuses this, it is tried again from the same pending records; the chain must be theirs.
+    // Danger: where the disk refuses this, it is tried again from the same pending records; the
+    // chain must be theirs.
     std::string macThen = mac_;
     files_.append(name, bytes);
     mac_ = macThen;
--- a/src/ledger/log.h
+++ b/src/ledger/log.h
@@ -1,9 +1,10 @@
-// The ledger's log: records in segments, each chained to the one before by a keyed MAC. Appending only; a record is
-// never changed.
+// The ledger's log: records in segments, each chained to the one before by a keyed MAC. Appending
+// only; a record is never changed.
 //
-// On disk a record is a frame: "RLG1", the length of its payload, a CRC-32 of all that follows, the number of the
-// newest record that was synced when it was written, the payload (a wire::Record) and 16 bytes of
-// HMAC-SHA256(key, MAC of the record before it + payload). A segment's first frame holds a Head instead.
+// On disk a record is a frame: "RLG1", the length of its payload, a CRC-32 of all that follows, the
+// number of the newest record that was synced when it was written, the payload (a wire::Record) and
+// 16 bytes of HMAC-SHA256(key, MAC of the record before it + payload). A segment's first frame
+// holds a Head instead.
 #pragma once
 
 #include <cstdint>
@@ -20,11 +21,19 @@
 
 // What was found wrong, by name and place.
 struct Finding {
-  enum class What { tornTail, damaged, lostEnd, missingSegment, chainBroken, sequenceBroken, unreadable };
+  enum class What {
+    tornTail,
+    damaged,
+    lostEnd,
+    missingSegment,
+    chainBroken,
+    sequenceBroken,
+    unreadable
+  };
   What what = What::damaged;
   std::string segment;
-  std::size_t at = 0;      // byte
-  std::uint64_t seq = 0;   // the record that was expected there
+  std::size_t at = 0;     // byte
+  std::uint64_t seq = 0;  // the record that was expected there
 };
 const char* nameOf(Finding::What w);
 
@@ -41,8 +50,8 @@
   Log(const Log&) = delete;
   Log& operator=(const Log&) = delete;
 
-  // Reads all that is there, cuts off a torn tail, and makes ready to append. Nothing is guessed: with any other
-  // finding it stays closed, and they are returned.
+  // Reads all that is there, cuts off a torn tail, and makes ready to append. Nothing is guessed:
+  // with any other finding it stays closed, and they are returned.
   std::vector<Finding> open(const Each& each);
   // Reads all and changes nothing; every finding there is.
   std::vector<Finding> verify(const Each& each);
@@ -68,12 +77,12 @@
     std::vector<Finding> findings;
     std::uint64_t newest = 0;
     std::string mac;
-    std::string segment;       // the newest
-    std::size_t good = 0;      // bytes of it that can be read
+    std::string segment;   // the newest
+    std::size_t good = 0;  // bytes of it that can be read
     std::size_t size = 0;
   };
-  // What the anchor says was synced at least. It is a file beside the segments that each sync adds a line to; never
-  // synced itself, it may be behind after a machine's death, and is never ahead.
+  // What the anchor says was synced at least. It is a file beside the segments that each sync adds
+  // a line to; never synced itself, it may be behind after a machine's death, and is never ahead.
   std::uint64_t anchored();
   void anchor();
   Scan scan(const Each& each, bool goOn);
@@ -89,7 +98,7 @@
   std::uint64_t newest_ = 0, written_ = 0, durable_ = 0;
   std::uint64_t number_ = 0;  // of the newest segment
   std::size_t anchorSize_ = 0;
-  std::size_t size_ = 0;      // of it, with what is pending
+  std::size_t size_ = 0;  // of it, with what is pending
   std::string mac_, pending_, lastWrittenMac_;
   std::string toSync_;  // the segment that has bytes which are not synced
 };
--- a/src/ledger/marks.cpp
+++ b/src/ledger/marks.cpp
@@ -7,7 +7,8 @@
     auto [until, mark] = inOrder_.front();
     inOrder_.pop_front();
     auto it = until_.find(mark);
-    if (it == until_.end() || it->second != until) continue;  // billed again since, after its window
+    if (it == until_.end() || it->second != until)
+      continue;  // billed again since, after its window
     if (until > at) ++forgotten_;
     until_.erase(it);
   }
--- a/src/ledger/marks.h
+++ b/src/ledger/marks.h
@@ -1,4 +1,5 @@
-// Decides whether an answer is billed: which are, and which are a client's repeat under a mark that has been. No I/O.
+// Decides whether an answer is billed: which are, and which are a client's repeat under a mark that
+// has been. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -11,8 +12,9 @@
 
 enum class Outcome : std::uint8_t { none, completed, rejected, aborted };
 
-// Marks that were billed lately. Bounded: where more are in their windows than it holds, the oldest are forgotten and
-// counted; what is then billed twice here shows in reconciliation, as the log keeps every mark.
+// Marks that were billed lately. Bounded: where more are in their windows than it holds, the oldest
+// are forgotten and counted; what is then billed twice here shows in reconciliation, as the log
+// keeps every mark.
 class Marks {
  public:
   explicit Marks(std::size_t most) : most_(most) {}
--- a/src/ledger/periods.cpp
+++ b/src/ledger/periods.cpp
@@ -8,7 +8,9 @@
 
 constexpr std::int64_t kHour = 3600, kDay = 86'400;
 
-std::int64_t floorTo(std::int64_t s, std::int64_t step) { return s - ((s % step) + step) % step; }
+std::int64_t floorTo(std::int64_t s, std::int64_t step) {
+  return s - ((s % step) + step) % step;
+}
 
 std::chrono::year_month monthOf(std::int64_t s) {
   std::chrono::year_month_day d{std::chrono::sys_days{std::chrono::days{floorTo(s, kDay) / kDay}}};
@@ -33,7 +35,9 @@
   }
 }
 
-TimePoint beginningOf(Period p) { return TimePoint{p.beginsS * 1'000'000}; }
+TimePoint beginningOf(Period p) {
+  return TimePoint{p.beginsS * 1'000'000};
+}
 
 TimePoint endOf(Every every, Period p) {
   switch (every) {
@@ -58,12 +62,16 @@
     anchored_ = true;
     offset_ = (t.wall - TimePoint{}) - t.steady;
   } else {
-    Duration wallWent = t.wall - wallThen_, steadyWent = t.steady - steadyThen_, differ = wallWent - steadyWent;
-    // Danger: a clock set a month ahead by mistake would open that month, and all entries would go there until the
-    // world has caught up. The ledger goes on by the steady clock until it is told to trust the other.
-    if (differ > tolerance_ || differ < Duration{} - tolerance_) m.jumped = true, m.jump = differ, away_ = true;
+    Duration wallWent = t.wall - wallThen_, steadyWent = t.steady - steadyThen_,
+             differ = wallWent - steadyWent;
+    // Danger: a clock set a month ahead by mistake would open that month, and all entries would go
+    // there until the world has caught up. The ledger goes on by the steady clock until it is told
+    // to trust the other.
+    if (differ > tolerance_ || differ < Duration{} - tolerance_)
+      m.jumped = true, m.jump = differ, away_ = true;
     Duration apart = (t.wall - TimePoint{}) - t.steady - offset_;
-    if (away_ && apart <= tolerance_ && apart >= Duration{} - tolerance_) away_ = false;  // it was set back
+    if (away_ && apart <= tolerance_ && apart >= Duration{} - tolerance_)
+      away_ = false;  // it was set back
     // A clock that is drawn slowly is followed.
     if (!away_) offset_ = (t.wall - TimePoint{}) - t.steady;
   }
--- a/src/ledger/periods.h
+++ b/src/ledger/periods.h
@@ -1,8 +1,9 @@
-// Decides which period an entry belongs to, and when a period is closing or sealed. No I/O; told two clocks.
+// Decides which period an entry belongs to, and when a period is closing or sealed. No I/O; told
+// two clocks.
 //
-// The rule: a statement belongs to the period in which its final answer is given, by the ledger's own time. That time
-// never goes back, and follows the steady clock where the other one jumps, so neither a clock that is set nor a crash
-// moves an entry to another period.
+// The rule: a statement belongs to the period in which its final answer is given, by the ledger's
+// own time. That time never goes back, and follows the steady clock where the other one jumps, so
+// neither a clock that is set nor a crash moves an entry to another period.
 #pragma once
 
 #include <cstdint>
@@ -40,8 +41,10 @@
     Duration jump;
   };
 
-  // `tolerance`: by which clocks may differ at a look; `grace`: between a period's end and its seal.
-  Periods(Every every, Duration tolerance, Duration grace) : every_(every), tolerance_(tolerance), grace_(grace) {}
+  // `tolerance`: by which clocks may differ at a look; `grace`: between a period's end and its
+  // seal.
+  Periods(Every every, Duration tolerance, Duration grace)
+      : every_(every), tolerance_(tolerance), grace_(grace) {}
 
   // After a restart: the newest record's time, and the periods that have entries and no seal.
   void resume(TimePoint newest, const std::vector<Period>& unsealed);
@@ -53,7 +56,8 @@
   std::optional<Period> due(TimePoint at) const;
   void sealed(Period p);
   PeriodPhase phaseOf(Period p, TimePoint at) const;
-  // The wall clock is right as it is, says an operator: the ledger's time goes on from there, if it lies ahead.
+  // The wall clock is right as it is, says an operator: the ledger's time goes on from there, if it
+  // lies ahead.
   void trust(const Told& t);
 
  private:
--- a/src/ledger/reconcile.h
+++ b/src/ledger/reconcile.h
@@ -1,8 +1,10 @@
-// Brings together the ledgers of instances that share nothing, and decides what has to be put right. No I/O.
+// Brings together the ledgers of instances that share nothing, and decides what has to be put
+// right. No I/O.
 //
-// Told every record of each ledger that is at hand, in any order and as often as one likes, it says what the totals
-// are, what can't be believed, and which corrections are missing. A correction's id follows from what it is about, so
-// running it again, or elsewhere, or on more ledgers, asks for none twice.
+// Told every record of each ledger that is at hand, in any order and as often as one likes, it says
+// what the totals are, what can't be believed, and which corrections are missing. A correction's id
+// follows from what it is about, so running it again, or elsewhere, or on more ledgers, asks for
+// none twice.
 #pragma once
 
 #include <cstdint>
@@ -38,7 +40,8 @@
   };
   std::vector<Missing> missing() const;
 
-  // Over all ledgers, each record once, corrections of any ledger once, and with what is missing if `corrected`.
+  // Over all ledgers, each record once, corrections of any ledger once, and with what is missing if
+  // `corrected`.
   Totals totals(bool corrected) const;
 
  private:
