--- a/src/ledger/ring.cpp
+++ b/src/ledger/ring.cpp
@@ -23,8 +23,8 @@
 Ring::Ring(std::span<std::byte> memory, std::uint64_t first) : memory_(memory) {
   Head& h = head();
   // Danger: after a machine's death any page of it may be old; what can't be is not believed.
-  readable_ = h.magic == kMagic && h.size == memory_.size() && h.gone <= h.put && h.goneBytes <= h.putBytes &&
-              h.putBytes - h.goneBytes <= room() && h.put + 1 >= first;
+  readable_ = h.magic == kMagic && h.size == memory_.size() && h.gone <= h.put &&
+              h.goneBytes <= h.putBytes && h.putBytes - h.goneBytes <= room() && h.put + 1 >= first;
   if (readable_) return;
   std::memset(memory_.data(), 0, kHead);
   new (memory_.data()) Head{};
@@ -58,13 +58,16 @@
 bool Ring::put(std::string_view bytes) {
   if (free() < kFront + bytes.size()) return false;
   Head& h = head();
-  std::uint64_t place = h.put.load(std::memory_order_relaxed) + 1, at = h.putBytes.load(std::memory_order_relaxed);
+  std::uint64_t place = h.put.load(std::memory_order_relaxed) + 1,
+                at = h.putBytes.load(std::memory_order_relaxed);
   char front[kFront];
   std::uint32_t length = static_cast<std::uint32_t>(bytes.size()), sum = sumOf(place, bytes);
-  std::memcpy(front, &length, 4), std::memcpy(front + 4, &sum, 4), std::memcpy(front + 8, &place, 8);
+  std::memcpy(front, &length, 4), std::memcpy(front + 4, &sum, 4),
+      std::memcpy(front + 8, &place, 8);
   copyIn(at, {front, kFront});
   copyIn(at + kFront, bytes);
-  // Danger: a process that is killed in between leaves an entry that isn't counted; its statement was not answered.
+  // Danger: a process that is killed in between leaves an entry that isn't counted; its statement
+  // was not answered.
   h.putBytes.store(at + kFront + bytes.size(), std::memory_order_release);
   h.put.store(place, std::memory_order_release);
   looks_.fetch_add(1, std::memory_order_release);
@@ -74,16 +77,18 @@
 
 std::optional<Ring::Entry> Ring::next(std::uint64_t after) const {
   Head& h = head();
-  std::uint64_t gone = h.gone.load(std::memory_order_acquire), end = h.putBytes.load(std::memory_order_acquire);
+  std::uint64_t gone = h.gone.load(std::memory_order_acquire),
+                end = h.putBytes.load(std::memory_order_acquire);
   std::uint64_t place = after > gone ? after + 1 : gone + 1;
   std::uint64_t at = h.goneBytes.load(std::memory_order_acquire);
   if (lastPlace_ + 1 == place && lastPlace_ > gone) at = lastAt_;
-  for (;; ) {
+  for (;;) {
     if (at + kFront > end) return std::nullopt;
     std::string front = copyOut(at, kFront);
     std::uint32_t length = 0, sum = 0;
     std::uint64_t here = 0;
-    std::memcpy(&length, front.data(), 4), std::memcpy(&sum, front.data() + 4, 4), std::memcpy(&here, front.data() + 8, 8);
+    std::memcpy(&length, front.data(), 4), std::memcpy(&sum, front.data() + 4, 4),
+        std::memcpy(&here, front.data() + 8, 8);
     if (at + kFront + length > end) return std::nullopt;
     if (here < place) {
       at += kFront + length;
@@ -128,8 +133,12 @@
   }
 }
 
-std::uint64_t Ring::putTo() const { return head().put.load(std::memory_order_acquire); }
-std::uint64_t Ring::goneTo() const { return head().gone.load(std::memory_order_acquire); }
+std::uint64_t Ring::putTo() const {
+  return head().put.load(std::memory_order_acquire);
+}
+std::uint64_t Ring::goneTo() const {
+  return head().gone.load(std::memory_order_acquire);
+}
 
 void Ring::wait(std::uint64_t seen) const {
   std::uint64_t looks = looks_.load(std::memory_order_acquire);
--- a/src/ledger/ring.h
+++ b/src/ledger/ring.h
@@ -1,6 +1,7 @@
-// A ring of records in memory that outlives the process that writes it: mapped from a file, a store into it is kept by
-// the system whatever becomes of the process. The front puts an entry here before it answers; the ledger's writer
-// takes it on to the log. One writer, one reader, which may be two threads; no system call on the way.
+// A ring of records in memory that outlives the process that writes it: mapped from a file, a store
+// into it is kept by the system whatever becomes of the process. The front puts an entry here
+// before it answers; the ledger's writer takes it on to the log. One writer, one reader, which may
+// be two threads; no system call on the way.
 #pragma once
 
 #include <atomic>
@@ -14,8 +15,8 @@
 
 class Ring {
  public:
-  // Over memory that holds a ring already, or nothing that can be read as one: then it begins empty, with `first` as
-  // the place of its first entry. At least 4 KiB.
+  // Over memory that holds a ring already, or nothing that can be read as one: then it begins
+  // empty, with `first` as the place of its first entry. At least 4 KiB.
   Ring(std::span<std::byte> memory, std::uint64_t first);
 
   struct Entry {
@@ -25,8 +26,8 @@
 
   // False where there is no room: nothing was put.
   bool put(std::string_view bytes);
-  // The oldest that was not let go, or the one behind `after`. Nothing where there is none, or where what stands there
-  // was not put whole.
+  // The oldest that was not let go, or the one behind `after`. Nothing where there is none, or
+  // where what stands there was not put whole.
   std::optional<Entry> next(std::uint64_t after = 0) const;
   // Lets go all from the first that isn't whole; how many. Not while another thread puts.
   std::uint64_t dropUnreadable();
@@ -58,7 +59,8 @@
   static constexpr std::size_t kHead = 128;
   std::span<std::byte> memory_;
   bool readable_ = false;
-  mutable std::uint64_t lastPlace_ = 0, lastAt_ = 0;  // where the entry behind the one read last begins
+  mutable std::uint64_t lastPlace_ = 0,
+                        lastAt_ = 0;  // where the entry behind the one read last begins
   mutable std::atomic<std::uint64_t> looks_{0};
 };
 
--- a/src/ledger/settings.cpp
+++ b/src/ledger/settings.cpp
@@ -30,7 +30,8 @@
   g.key = keyIn(s, "key_file");
   if (s.has("correction_key_file")) g.correctionKey = keyIn(s, "correction_key_file");
   std::string every = s.text("period", "month");
-  if (every != "hour" && every != "day" && every != "month") s.fail("period", "must be hour, day or month");
+  if (every != "hour" && every != "day" && every != "month")
+    s.fail("period", "must be hour, day or month");
   g.every = every == "hour" ? Every::hour : every == "day" ? Every::day : Every::month;
   g.ringBytes = static_cast<std::size_t>(s.number("ring_kb", 16, 1 << 20, 4096)) * 1024;
   g.sync = Duration{s.number("sync_ms", 1, 60'000, 200) * 1000};
--- a/src/ledger/totals.cpp
+++ b/src/ledger/totals.cpp
@@ -5,7 +5,8 @@
 namespace reedchute::ledger {
 
 Used& Used::operator+=(const Used& o) {
-  statements += o.statements, bytesIn += o.bytesIn, bytesOut += o.bytesOut, executions += o.executions;
+  statements += o.statements, bytesIn += o.bytesIn, bytesOut += o.bytesOut,
+      executions += o.executions;
   repeats += o.repeats, rejected += o.rejected, aborted += o.aborted, corrections += o.corrections;
   return *this;
 }
@@ -28,7 +29,8 @@
     const wire::Correction& c = r.correction();
     if (!corrections_.insert(c.id()).second) return;
     tenant = c.tenant();
-    u.statements = c.statements(), u.bytesIn = c.bytes_in(), u.bytesOut = c.bytes_out(), u.corrections = 1;
+    u.statements = c.statements(), u.bytesIn = c.bytes_in(), u.bytesOut = c.bytes_out(),
+    u.corrections = 1;
   } else {
     return;
   }
--- a/src/ledger/totals.h
+++ b/src/ledger/totals.h
@@ -14,8 +14,8 @@
 struct Used {
   std::int64_t statements = 0, bytesIn = 0, bytesOut = 0;  // billed, corrections included
   std::int64_t executions = 0;
-  std::int64_t repeats = 0, rejected = 0, aborted = 0;     // not billed
-  std::int64_t corrections = 0;                            // how many
+  std::int64_t repeats = 0, rejected = 0, aborted = 0;  // not billed
+  std::int64_t corrections = 0;                         // how many
   auto operator<=>(const Used&) const = default;
   Used& operator+=(const Used& o);
 };
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -41,7 +41,9 @@
     fcntl(2, F_SETFL, fcntl(2, F_GETFL) | O_NONBLOCK);
 }
 
-void clock(WallTime now) { now_ = now; }
+void clock(WallTime now) {
+  now_ = now;
+}
 
 void line(const char* event, const char* format, ...) {
   EventLimiter& m = limiterOf(event);
@@ -62,8 +64,8 @@
     if (static_cast<unsigned char>(c) < ' ') c = '?';
   }
   if (m.left > 0)
-    std::fprintf(stderr, "%lld %s %s left_out=%llu\n", static_cast<long long>(now_.us / 1000), event, text,
-                 static_cast<unsigned long long>(m.left));
+    std::fprintf(stderr, "%lld %s %s left_out=%llu\n", static_cast<long long>(now_.us / 1000),
+                 event, text, static_cast<unsigned long long>(m.left));
   else
     std::fprintf(stderr, "%lld %s %s\n", static_cast<long long>(now_.us / 1000), event, text);
   m.left = 0;
--- a/src/membership/gossip.cpp
+++ b/src/membership/gossip.cpp
@@ -20,7 +20,8 @@
   if (members_.self().generation != generation) notes_.renamed(members_.self().generation);
   if (!taken) return;
   for (const Note& n : packet->notes) {
-    // Danger: a note of a generation that is over would go on counting for what its successor knows better.
+    // Danger: a note of a generation that is over would go on counting for what its successor knows
+    // better.
     const Member* origin = members_.find(n.origin);
     if (origin && n.generation < origin->is.generation) continue;
     notes_.hear(n, Duration{}, now);
--- a/src/membership/members.cpp
+++ b/src/membership/members.cpp
@@ -8,32 +8,38 @@
 namespace {
 
 // In periods.
-constexpr double kAskOthers = 0.34;    // without an ack, before others are asked
-constexpr double kFails = 0.9;         // without one from them either
-constexpr double kSuspicion = 6;       // of a suspect that enough others accuse, times the logarithm of the members
-constexpr double kAlone = 3;           // times longer for one that a single member accuses
-constexpr double kAccusers = 3;        // that are enough
-constexpr double kLate = 2;            // a tick that comes so late: the front was paused
-constexpr double kDoubts = 4;          // that it doubts itself for after a pause
-constexpr double kForget = 200;        // after which those that are gone are forgotten
-constexpr double kPageSoon = 0.5, kPageLater = 10;  // between two pages while they bring news, and later
-constexpr double kSeedEvery = 20;      // between two words to a seed
+constexpr double kAskOthers = 0.34;  // without an ack, before others are asked
+constexpr double kFails = 0.9;       // without one from them either
+constexpr double kSuspicion =
+    6;  // of a suspect that enough others accuse, times the logarithm of the members
+constexpr double kAlone = 3;     // times longer for one that a single member accuses
+constexpr double kAccusers = 3;  // that are enough
+constexpr double kLate = 2;      // a tick that comes so late: the front was paused
+constexpr double kDoubts = 4;    // that it doubts itself for after a pause
+constexpr double kForget = 200;  // after which those that are gone are forgotten
+constexpr double kPageSoon = 0.5,
+                 kPageLater = 10;  // between two pages while they bring news, and later
+constexpr double kSeedEvery = 20;  // between two words to a seed
 // Others.
 constexpr int kIllMost = 8, kIll = 3;  // own health: the worst, and from where on it doubts itself
-constexpr int kRaises = 3;             // of its generation above another's, before it yields its name
+constexpr int kRaises = 3;  // of its generation above another's, before it yields its name
 constexpr std::size_t kRumorsKept = 256, kProbesKept = 256, kRelayedKept = 256, kAccusersKept = 8;
-constexpr int kCopies = 4;             // of a rumor, times the logarithm of the members
+constexpr int kCopies = 4;  // of a rumor, times the logarithm of the members
 constexpr std::size_t kPageBytes = 900, kRumorBytes = 32;
-constexpr int kWindow = 64;            // of packet numbers
+constexpr int kWindow = 64;  // of packet numbers
 
 }  // namespace
 
 const char* nameOf(State s) {
   switch (s) {
-    case State::alive: return "alive";
-    case State::suspect: return "suspect";
-    case State::left: return "left";
-    default: return "dead";
+    case State::alive:
+      return "alive";
+    case State::suspect:
+      return "suspect";
+    case State::left:
+      return "left";
+    default:
+      return "dead";
   }
 }
 
@@ -55,11 +61,17 @@
   return it == members_.end() ? nullptr : &it->second;
 }
 
-bool Members::doubtsItself(TimePoint now) const { return usurped_ || ill_ >= kIll || now < doubtsUntil_; }
+bool Members::doubtsItself(TimePoint now) const {
+  return usurped_ || ill_ >= kIll || now < doubtsUntil_;
+}
 
-Duration Members::scaled() const { return parameters_.period * (1 + ill_ * 0.25); }
+Duration Members::scaled() const {
+  return parameters_.period * (1 + ill_ * 0.25);
+}
 
-int Members::copies() const { return kCopies * static_cast<int>(std::ceil(std::log10(static_cast<double>(live()) + 1))); }
+int Members::copies() const {
+  return kCopies * static_cast<int>(std::ceil(std::log10(static_cast<double>(live()) + 1)));
+}
 
 TimePoint Members::dueAt() const {
   if (usurped_ || leaving_) return kForever;
@@ -75,9 +87,11 @@
   Packet p;
   p.fleet = self_.fleet, p.to = to, p.from = self_.is, p.kind = kind;
   // Those told of the least go first; each is told so many times, by the number of members.
-  // Those told the last time stand in order, and so do the others: runs are merged, which costs less than sorting.
+  // Those told the last time stand in order, and so do the others: runs are merged, which costs
+  // less than sorting.
   auto fewer = [](const Spread& a, const Spread& b) { return a.times < b.times; };
-  for (auto run = std::is_sorted_until(rumors_.begin(), rumors_.end(), fewer); run != rumors_.end();) {
+  for (auto run = std::is_sorted_until(rumors_.begin(), rumors_.end(), fewer);
+       run != rumors_.end();) {
     auto next = std::is_sorted_until(run, rumors_.end(), fewer);
     std::inplace_merge(rumors_.begin(), run, next, fewer);
     run = next;
@@ -95,7 +109,8 @@
   outgoing_.push_back({to, std::move(p)});
 }
 
-// Each packet counts once. Danger: one that was recorded and is sent again would renew what is long over.
+// Each packet counts once. Danger: one that was recorded and is sent again would renew what is long
+// over.
 bool Members::fresh(Member& m, std::uint64_t number) {
   if (number == 0) return false;
   if (number > m.number) {
@@ -144,8 +159,8 @@
   m.is.at = own.at;
   // Its own word on itself, as any rumor of it.
   if (!isNew) hear(own, own.name, now);
-  // Danger: a packet that was recorded long ago may name a front that is no more. One that no member has told of
-  // counts once it has answered a number of ours.
+  // Danger: a packet that was recorded long ago may name a front that is no more. One that no
+  // member has told of counts once it has answered a number of ours.
   if (!m.proven && probes_.size() < kProbesKept) probe(m, now);
   std::size_t before = changes_.size();
   for (const Rumor& r : p.rumors) hear(r, p.from.name, now);
@@ -154,12 +169,14 @@
       Packet answer = packet(Packet::Kind::ack, p.from.name);
       answer.nonce = p.nonce;
       // What is said of it, it must hear, to contradict.
-      if (m.is.state != State::alive && own.state == State::alive) answer.rumors.insert(answer.rumors.begin(), m.is);
+      if (m.is.state != State::alive && own.state == State::alive)
+        answer.rumors.insert(answer.rumors.begin(), m.is);
       sendTo(m, std::move(answer));
       break;
     }
     case Packet::Kind::ack: {
-      auto probe = std::find_if(probes_.begin(), probes_.end(), [&](const Probe& q) { return q.nonce == p.nonce; });
+      auto probe = std::find_if(probes_.begin(), probes_.end(),
+                                [&](const Probe& q) { return q.nonce == p.nonce; });
       if (probe != probes_.end()) {
         // An ack of the one that was asked, or passed on by one who asked it for us.
         auto of = members_.find(probe->of);
@@ -170,7 +187,8 @@
         probes_.erase(probe);
         ill_ = std::max(0, ill_ - 1);
       }
-      auto relay = std::find_if(relayed_.begin(), relayed_.end(), [&](const Relayed& q) { return q.nonce == p.nonce; });
+      auto relay = std::find_if(relayed_.begin(), relayed_.end(),
+                                [&](const Relayed& q) { return q.nonce == p.nonce; });
       if (relay != relayed_.end()) {
         if (const Member* asker = find(relay->asker)) {
           Packet passed = packet(Packet::Kind::ack, relay->asker);
@@ -209,7 +227,8 @@
   // Danger: what would not fit would be cut off the end, and the cursor would have passed it.
   std::size_t bytes = 0;
   auto it = p.cursor.empty() ? members_.begin() : members_.upper_bound(p.cursor);
-  for (; it != members_.end() && page.rumors.size() < parameters_.page && bytes < kPageBytes; ++it) {
+  for (; it != members_.end() && page.rumors.size() < parameters_.page && bytes < kPageBytes;
+       ++it) {
     last = it->first;
     if (!it->second.proven || it->first == p.from.name) continue;
     page.rumors.push_back(it->second.is);
@@ -221,7 +240,8 @@
 
 // ---- what is believed ----
 
-// Danger: counted anew at each change, a fleet of a thousand that starts would cost each front a million looks.
+// Danger: counted anew at each change, a fleet of a thousand that starts would cost each front a
+// million looks.
 void Members::count(const Member& m, int by) {
   live_ += by * m.counts(), suspects_ += by * (m.is.state == State::suspect);
 }
@@ -232,7 +252,8 @@
   rumors_.insert(rumors_.begin(), Spread{std::make_unique<const Rumor>(r), 0});
 }
 
-void Members::become(Member& m, const Rumor& r, const std::string& by, bool isFresh, TimePoint now) {
+void Members::become(Member& m, const Rumor& r, const std::string& by, bool isFresh,
+                     TimePoint now) {
   bool told = isFresh || m.is.state != r.state;
   bool accused = r.state == State::suspect;
   count(m, -1);
@@ -296,8 +317,10 @@
       break;
     default:
       counts = !over && r.incarnation >= m.is.incarnation;
-      // Danger: where many datagrams are lost some give up one that others hear. Who hears it says so, and tells it.
-      if (counts && r.state == State::dead && now - m.heard < suspicion(static_cast<std::size_t>(kAccusers))) {
+      // Danger: where many datagrams are lost some give up one that others hear. Who hears it says
+      // so, and tells it.
+      if (counts && r.state == State::dead &&
+          now - m.heard < suspicion(static_cast<std::size_t>(kAccusers))) {
         Packet told = packet(Packet::Kind::ping, r.name);
         told.rumors.insert(told.rumors.begin(), r);
         told.nonce = ++nonce_;
@@ -312,8 +335,8 @@
   become(m, is, by, false, now);
 }
 
-// Danger: a front that was only paused hears of itself that it is gone. It contradicts, and takes it as a sign that
-// it is slow. One whose name another process has taken must not speak beside it.
+// Danger: a front that was only paused hears of itself that it is gone. It contradicts, and takes
+// it as a sign that it is slow. One whose name another process has taken must not speak beside it.
 void Members::hearOfSelf(const Rumor& r, TimePoint now) {
   if (leaving_ || r.generation < self_.is.generation) return;
   if (r.generation > self_.is.generation) {
@@ -387,11 +410,13 @@
   // What is said of it, it must hear, to contradict.
   if (m.is.state == State::suspect) ping.rumors.insert(ping.rumors.begin(), m.is);
   ping.nonce = ++nonce_;
-  probes_.push_back({m.is.name, nonce_, now + scaled() * kAskOthers, now + scaled() * kFails, false});
+  probes_.push_back(
+      {m.is.name, nonce_, now + scaled() * kAskOthers, now + scaled() * kFails, false});
   sendTo(m, std::move(ping));
 }
 
-// A seed may have come back, or the fleet may have fallen into parts that know nothing of each other.
+// A seed may have come back, or the fleet may have fallen into parts that know nothing of each
+// other.
 void Members::probeSeed() {
   if (self_.seeds.empty()) return;
   Address at = self_.seeds[chance_() % self_.seeds.size()];
@@ -419,8 +444,8 @@
   Packet p = packet(Packet::Kind::page, m ? m->is.name : "");
   p.cursor = cursor_;
   send(m ? m->is.at : self_.seeds[chance_() % self_.seeds.size()], std::move(p));
-  pageAt_ = now + parameters_.period *
-                      ((pagesDone_ ? kPageLater : kPageSoon) + static_cast<double>(chance_() % 100) / 200);
+  pageAt_ = now + parameters_.period * ((pagesDone_ ? kPageLater : kPageSoon) +
+                                        static_cast<double>(chance_() % 100) / 200);
 }
 
 void Members::forgetOld(TimePoint now) {
@@ -433,8 +458,8 @@
 
 void Members::tick(TimePoint now) {
   if (usurped_ || leaving_) return;
-  // Danger: a front that was paused finds all its pings unanswered and all suspects overdue, and would give up the
-  // whole fleet. What ran out while it stood still counts for nothing.
+  // Danger: a front that was paused finds all its pings unanswered and all suspects overdue, and
+  // would give up the whole fleet. What ran out while it stood still counts for nothing.
   Duration passed = now - std::exchange(tickedAt_, now);
   if (passed > parameters_.period * kLate) {
     probes_.clear(), relayed_.clear();
--- a/src/membership/members.h
+++ b/src/membership/members.h
@@ -1,8 +1,9 @@
-// Who is alive: SWIM with suspicion, and the local health of Lifeguard (docs/zones.md weighs the others). Without I/O
-// and clock: told packets and time, it answers packets to send. All of them are the same for the same seed and facts.
+// Who is alive: SWIM with suspicion, and the local health of Lifeguard (docs/zones.md weighs the
+// others). Without I/O and clock: told packets and time, it answers packets to send. All of them
+// are the same for the same seed and facts.
 //
-// A front sends one ping a period whatever their number; news travel on pings and acks. What is held grows with the
-// number of members by an entry each, up to `most`.
+// A front sends one ping a period whatever their number; news travel on pings and acks. What is
+// held grows with the number of members by an entry each, up to `most`.
 #pragma once
 
 #include <array>
@@ -22,10 +23,10 @@
 // Times are multiples of the period.
 struct Parameters {
   Duration period{300'000};
-  int relays = 3;            // that are asked to ping one that didn't answer
-  std::size_t most = 4096;   // members; what comes beyond is dropped and counted
-  std::size_t rumors = 16;   // in one packet
-  std::size_t page = 16;     // members in one page
+  int relays = 3;           // that are asked to ping one that didn't answer
+  std::size_t most = 4096;  // members; what comes beyond is dropped and counted
+  std::size_t rumors = 16;  // in one packet
+  std::size_t page = 16;    // members in one page
 };
 
 struct Self {
@@ -38,13 +39,13 @@
 
 struct Member {
   Rumor is;
-  TimePoint since = kNever;   // in this state
-  TimePoint heard = kNever;   // a packet of its own
-  TimePoint until = kForever; // a suspect is given up then
-  std::uint64_t number = 0;   // the highest of its packets, and which of the 64 below came
+  TimePoint since = kNever;    // in this state
+  TimePoint heard = kNever;    // a packet of its own
+  TimePoint until = kForever;  // a suspect is given up then
+  std::uint64_t number = 0;    // the highest of its packets, and which of the 64 below came
   std::uint64_t seen = 0;
   std::vector<std::string> accusers;
-  bool proven = false;        // it has answered a nonce of ours, or a member told of it
+  bool proven = false;  // it has answered a nonce of ours, or a member told of it
   bool counts() const { return proven && (is.state == State::alive || is.state == State::suspect); }
 };
 
@@ -60,12 +61,14 @@
  public:
   // What was dropped, by cause.
   struct Dropped {
-    std::uint64_t otherFleet = 0, oldGeneration = 0, replayed = 0, misdirected = 0, ownName = 0, full = 0;
+    std::uint64_t otherFleet = 0, oldGeneration = 0, replayed = 0, misdirected = 0, ownName = 0,
+                  full = 0;
   };
 
   Members(Self self, Parameters parameters, TimePoint now);
 
-  // Facts. `from`: where the packet came from, which counts where it names no address itself. False where it was dropped.
+  // Facts. `from`: where the packet came from, which counts where it names no address itself. False
+  // where it was dropped.
   bool received(const Packet& p, Address from, TimePoint now);
   void tick(TimePoint now);
   void leave(TimePoint now);  // the front ends: told to some at once
@@ -127,7 +130,7 @@
   void answerPage(const Packet& p, const Member& to);
   void forgetOld(TimePoint now);
   void count(const Member& m, int by);  // -1 before its state changes, 1 after
-  Duration scaled() const;  // the period by its own health
+  Duration scaled() const;              // the period by its own health
   int copies() const;
   const Member* draw(const std::string& except);
 
--- a/src/membership/notes.cpp
+++ b/src/membership/notes.cpp
@@ -47,14 +47,17 @@
   auto it = held.find(n.origin);
   if (it != held.end()) {
     Held& h = it->second;
-    if (n.generation < h.generation || (n.generation == h.generation && n.number <= h.number)) return false;
+    if (n.generation < h.generation || (n.generation == h.generation && n.number <= h.number))
+      return false;
     h = {n.generation, n.number, written, n.bytes};
     return true;
   }
   if (held.size() >= bounds_.kept) {
     fade(held, now);
-    // Of too many, one drawn by chance gives way: the oldest would always be those who stand far off.
-    if (held.size() >= bounds_.kept) held.erase(std::next(held.begin(), static_cast<std::ptrdiff_t>(chance_() % held.size())));
+    // Of too many, one drawn by chance gives way: the oldest would always be those who stand far
+    // off.
+    if (held.size() >= bounds_.kept)
+      held.erase(std::next(held.begin(), static_cast<std::ptrdiff_t>(chance_() % held.size())));
   }
   held.emplace(n.origin, Held{n.generation, n.number, written, n.bytes});
   return true;
--- a/src/membership/notes.h
+++ b/src/membership/notes.h
@@ -1,6 +1,6 @@
-// What fronts tell all others, by topic: a bounded sample of the newest notes, passed on with their ages. Without I/O
-// and clock. What is held and sent stays the same however many fronts there are: with more of them each hears of
-// fewer, drawn by chance.
+// What fronts tell all others, by topic: a bounded sample of the newest notes, passed on with their
+// ages. Without I/O and clock. What is held and sent stays the same however many fronts there are:
+// with more of them each hears of fewer, drawn by chance.
 #pragma once
 
 #include <cstddef>
@@ -18,10 +18,10 @@
 class Notes {
  public:
   struct Bounds {
-    std::size_t kept = 64;    // of a topic, by distinct origins
-    std::size_t sent = 6;     // of others, in one packet
-    std::size_t bytes = 900;  // of one note, and a packet has 1,400; a longer one is dropped
-    Duration maxAge{2'000'000};     // older ones are no news any more
+    std::size_t kept = 64;       // of a topic, by distinct origins
+    std::size_t sent = 6;        // of others, in one packet
+    std::size_t bytes = 900;     // of one note, and a packet has 1,400; a longer one is dropped
+    Duration maxAge{2'000'000};  // older ones are no news any more
   };
   struct Held {
     std::uint64_t generation = 0;
--- a/src/membership/transport.cpp
+++ b/src/membership/transport.cpp
@@ -25,7 +25,9 @@
 
 }  // namespace
 
-Address addressOf(const sockaddr_in& a) { return {ntohl(a.sin_addr.s_addr), ntohs(a.sin_port)}; }
+Address addressOf(const sockaddr_in& a) {
+  return {ntohl(a.sin_addr.s_addr), ntohs(a.sin_port)};
+}
 
 sockaddr_in socketAddress(const Address& a) {
   sockaddr_in to{};
@@ -43,8 +45,8 @@
     for (; taken < kAtOnce; ++taken) {
       sockaddr_in from{};
       socklen_t size = sizeof from;
-      ssize_t n = recvfrom(socket_.fd(), bytes.data(), bytes.size(), 0, reinterpret_cast<sockaddr*>(&from),
-                           &size);
+      ssize_t n = recvfrom(socket_.fd(), bytes.data(), bytes.size(), 0,
+                           reinterpret_cast<sockaddr*>(&from), &size);
       if (n < 0 && errno == EINTR) continue;
       // An error is another one's datagram that came back; the next read goes on.
       if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) break;
@@ -53,8 +55,8 @@
       if (other_ && got.size() > 1 && static_cast<std::uint8_t>(got[1]) == otherKind_) {
         std::string answer = other_(got, addressOf(from));
         if (!answer.empty())
-          unsent_ += sendto(socket_.fd(), answer.data(), answer.size(), 0, reinterpret_cast<sockaddr*>(&from),
-                            size) < 0;
+          unsent_ += sendto(socket_.fd(), answer.data(), answer.size(), 0,
+                            reinterpret_cast<sockaddr*>(&from), size) < 0;
       } else {
         gossip_.datagram(got, addressOf(from), scheduler_.now());
       }
@@ -76,7 +78,8 @@
   }
 }
 
-// Danger: a datagram that the kernel doesn't take now is lost like one on its way; the protocol bears that.
+// Danger: a datagram that the kernel doesn't take now is lost like one on its way; the protocol
+// bears that.
 void Transport::flush() {
   for (const auto& [to, bytes] : gossip_.takeDatagrams(scheduler_.now())) {
     sockaddr_in address = socketAddress(to);
--- a/src/membership/transport.h
+++ b/src/membership/transport.h
@@ -15,7 +15,8 @@
 
 class Transport {
  public:
-  // Datagrams of another kind than packets, which go to whoever takes them; what is answered goes back.
+  // Datagrams of another kind than packets, which go to whoever takes them; what is answered goes
+  // back.
   using Other = std::function<std::string(std::string_view bytes, Address from)>;
 
   // Throws std::runtime_error where the address can't be had.
--- a/src/membership/wire.cpp
+++ b/src/membership/wire.cpp
@@ -19,8 +19,8 @@
 std::string macOf(std::string_view covered, const std::string& key) {
   unsigned char mac[EVP_MAX_MD_SIZE];
   unsigned int size = 0;
-  HMAC(EVP_sha256(), key.data(), static_cast<int>(key.size()), reinterpret_cast<const unsigned char*>(covered.data()),
-       covered.size(), mac, &size);
+  HMAC(EVP_sha256(), key.data(), static_cast<int>(key.size()),
+       reinterpret_cast<const unsigned char*>(covered.data()), covered.size(), mac, &size);
   return std::string(reinterpret_cast<char*>(mac), std::min<std::size_t>(size, kMacBytes));
 }
 
@@ -31,7 +31,9 @@
 }
 
 bool get(const wire::Rumor& from, Rumor& to) {
-  if (from.name().empty() || from.name().size() > kMostNameBytes || from.zone().size() > kMostNameBytes) return false;
+  if (from.name().empty() || from.name().size() > kMostNameBytes ||
+      from.zone().size() > kMostNameBytes)
+    return false;
   if (from.port() > 65535 || from.state() > 3) return false;
   to = {from.name(),       from.zone(),        {from.ip(), static_cast<std::uint16_t>(from.port())},
         from.generation(), from.incarnation(), static_cast<State>(from.state())};
@@ -42,11 +44,16 @@
 
 const char* nameOf(Bad b) {
   switch (b) {
-    case Bad::none: return "none";
-    case Bad::size: return "size";
-    case Bad::version: return "version";
-    case Bad::key: return "key";
-    default: return "form";
+    case Bad::none:
+      return "none";
+    case Bad::size:
+      return "size";
+    case Bad::version:
+      return "version";
+    case Bad::key:
+      return "key";
+    default:
+      return "form";
   }
 }
 
@@ -56,17 +63,21 @@
   return head + macOf(covered, keys.front()) + std::string(body);
 }
 
-std::optional<std::string_view> unseal(std::uint8_t kind, std::string_view bytes, const Keys& keys, Bad& why) {
+std::optional<std::string_view> unseal(std::uint8_t kind, std::string_view bytes, const Keys& keys,
+                                       Bad& why) {
   why = Bad::size;
   if (bytes.size() < kHead + kMacBytes || bytes.size() > kMostBytes) return std::nullopt;
   why = Bad::version;
-  if (static_cast<std::uint8_t>(bytes[0]) != kVersion || static_cast<std::uint8_t>(bytes[1]) != kind) return std::nullopt;
+  if (static_cast<std::uint8_t>(bytes[0]) != kVersion ||
+      static_cast<std::uint8_t>(bytes[1]) != kind)
+    return std::nullopt;
   std::string_view body = bytes.substr(kHead + kMacBytes);
   std::string covered = std::string(bytes.substr(0, kHead)) + std::string(body);
   why = Bad::key;
   for (const std::string& key : keys) {
     std::string mac = macOf(covered, key);
-    if (mac.size() != kMacBytes || CRYPTO_memcmp(mac.data(), bytes.data() + kHead, kMacBytes) != 0) continue;
+    if (mac.size() != kMacBytes || CRYPTO_memcmp(mac.data(), bytes.data() + kHead, kMacBytes) != 0)
+      continue;
     why = Bad::none;
     return body;
   }
@@ -86,7 +97,8 @@
       to.set_origin(n.origin), to.set_generation(n.generation), to.set_number(n.number);
       to.set_topic(static_cast<std::uint32_t>(n.topic)), to.set_text(n.bytes);
       // Danger: an age rounded down at each of many hands would keep a note young.
-      to.set_age_ms(static_cast<std::uint32_t>(std::clamp<std::int64_t>((n.age.us + 999) / 1000, 0, INT32_MAX)));
+      to.set_age_ms(static_cast<std::uint32_t>(
+          std::clamp<std::int64_t>((n.age.us + 999) / 1000, 0, INT32_MAX)));
     }
     std::string out = seal(kPacket, w.SerializeAsString(), keys);
     if (out.size() <= kMostBytes) return out;
@@ -105,7 +117,8 @@
   why = Bad::form;
   wire::Packet w;
   if (!w.ParseFromArray(body->data(), static_cast<int>(body->size()))) return std::nullopt;
-  if (w.kind() > 4 || w.target_port() > 65535 || w.rumors_size() > kMostItems || w.notes_size() > kMostItems)
+  if (w.kind() > 4 || w.target_port() > 65535 || w.rumors_size() > kMostItems ||
+      w.notes_size() > kMostItems)
     return std::nullopt;
   for (const std::string* name : {&w.fleet(), &w.to(), &w.target(), &w.cursor()})
     if (name->size() > kMostNameBytes) return std::nullopt;
@@ -122,8 +135,8 @@
   for (const wire::Note& from : w.notes()) {
     if (from.origin().empty() || from.origin().size() > kMostNameBytes) return std::nullopt;
     p.notes.push_back({from.origin(), from.generation(), from.number(),
-                       static_cast<int>(from.topic() & 0xffff), Duration{std::int64_t{from.age_ms()} * 1000},
-                       from.text()});
+                       static_cast<int>(from.topic() & 0xffff),
+                       Duration{std::int64_t{from.age_ms()} * 1000}, from.text()});
   }
   why = Bad::none;
   return p;
--- a/src/pipeline/admission.cpp
+++ b/src/pipeline/admission.cpp
@@ -4,7 +4,8 @@
 
 namespace reedchute::pipeline {
 
-int Admission::admit(request::ReceivedStatement taken, request::ResponseSink& sink, int requestId, TimePoint now) {
+int Admission::admit(request::ReceivedStatement taken, request::ResponseSink& sink, int requestId,
+                     TimePoint now) {
   Statement st;
   st.sink = &sink;
   st.requestId = requestId;
--- a/src/pipeline/admission.h
+++ b/src/pipeline/admission.h
@@ -7,9 +7,11 @@
 
 class Admission {
  public:
-  Admission(DecisionEngine& engine, StatementTable& statements) : engine_(engine), statements_(statements) {}
+  Admission(DecisionEngine& engine, StatementTable& statements)
+      : engine_(engine), statements_(statements) {}
 
-  int admit(request::ReceivedStatement taken, request::ResponseSink& sink, int requestId, TimePoint now);
+  int admit(request::ReceivedStatement taken, request::ResponseSink& sink, int requestId,
+            TimePoint now);
   // Its client has left: nothing is sent or answered for it any more.
   void withdraw(int statement, TimePoint now);
 
--- a/src/pipeline/dispatcher.cpp
+++ b/src/pipeline/dispatcher.cpp
@@ -26,7 +26,8 @@
 void Dispatcher::cancel(int statement, int execution) {
   Statement& st = statements_.row(statement);
   if (static_cast<std::size_t>(execution) >= st.jobs.size()) return;
-  if (request::UpstreamRequest* job = st.jobs[static_cast<std::size_t>(execution)]) stores_.cancel(job);
+  if (request::UpstreamRequest* job = st.jobs[static_cast<std::size_t>(execution)])
+    stores_.cancel(job);
 }
 
 void Dispatcher::probe(int store) {
--- a/src/pipeline/dispatcher.h
+++ b/src/pipeline/dispatcher.h
@@ -1,16 +1,21 @@
 // Stage 4, send: an execution or a probe becomes a job for a store.
 #pragma once
 
-#include "upstream/connection_pools.h"
 #include "pipeline/statement_table.h"
+#include "upstream/connection_pools.h"
 
 namespace reedchute::pipeline {
 
 class Dispatcher {
  public:
   // `probes`: the version that probes go in.
-  Dispatcher(runtime::Scheduler& s, StatementTable& statements, upstream::ConnectionPools& stores, Duration probeTimeout, request::ProtocolVersion probes)
-      : scheduler_(s), statements_(statements), stores_(stores), probeTimeout_(probeTimeout), probeVersion_(probes) {}
+  Dispatcher(runtime::Scheduler& s, StatementTable& statements, upstream::ConnectionPools& stores,
+             Duration probeTimeout, request::ProtocolVersion probes)
+      : scheduler_(s),
+        statements_(statements),
+        stores_(stores),
+        probeTimeout_(probeTimeout),
+        probeVersion_(probes) {}
 
   void sendAttempt(int statement, int store, TimePoint stopAt, TimePoint sendBy);
   void cancel(int statement, int execution);
--- a/src/pipeline/responder.cpp
+++ b/src/pipeline/responder.cpp
@@ -4,7 +4,8 @@
 
 namespace reedchute::pipeline {
 
-// Danger: an answer that goes out before it is counted is never billed where the process ends in between.
+// Danger: an answer that goes out before it is counted is never billed where the process ends in
+// between.
 void Responder::count(const Statement& st, bool completed, bool rejected, std::size_t bytesOut) {
   if (!usageMeter_) return;
   request::UsageRecord m;
--- a/src/pipeline/router.cpp
+++ b/src/pipeline/router.cpp
@@ -1,7 +1,7 @@
 #include "pipeline/router.h"
 
-#include "log/log.h"
 #include "discovery/endpoint_watcher.h"
+#include "log/log.h"
 
 namespace reedchute::pipeline {
 
@@ -28,8 +28,9 @@
 
 void Router::tellGivenUp(const char* event, const Statement& st) const {
   TimePoint now = scheduler_.now();
-  log::line(event, "id=%s attempts=%zu last=%s waited_ms=%lld left_ms=%lld", st.id.c_str(), st.attempts.size(),
-            st.attempts.empty() ? "none" : request::nameOf(st.lastOutcome), static_cast<long long>((now - st.came).us / 1000),
+  log::line(event, "id=%s attempts=%zu last=%s waited_ms=%lld left_ms=%lld", st.id.c_str(),
+            st.attempts.size(), st.attempts.empty() ? "none" : request::nameOf(st.lastOutcome),
+            static_cast<long long>((now - st.came).us / 1000),
             static_cast<long long>((st.giveUpAt - now).us / 1000));
 }
 
@@ -49,6 +50,8 @@
   statements_.close(statement);
 }
 
-void Router::watchList() { list_->ask(); }
+void Router::watchList() {
+  list_->ask();
+}
 
 }  // namespace reedchute::pipeline
--- a/src/pipeline/router.h
+++ b/src/pipeline/router.h
@@ -1,9 +1,9 @@
 // Stage 3, route: a round of the module, and its decisions handed on to where they are carried out.
 #pragma once
 
-#include "pipeline/statement_table.h"
-#include "pipeline/responder.h"
 #include "pipeline/dispatcher.h"
+#include "pipeline/responder.h"
+#include "pipeline/statement_table.h"
 
 namespace reedchute::discovery {
 class EndpointWatcher;
@@ -13,8 +13,15 @@
 
 class Router : public DecisionSink {
  public:
-  Router(runtime::Scheduler& s, DecisionEngine& engine, StatementTable& statements, Dispatcher& dispatcher, Responder& responder, upstream::ConnectionPools& stores)
-      : scheduler_(s), engine_(engine), statements_(statements), dispatcher_(dispatcher), responder_(responder), stores_(stores), wakes_(s) {}
+  Router(runtime::Scheduler& s, DecisionEngine& engine, StatementTable& statements,
+         Dispatcher& dispatcher, Responder& responder, upstream::ConnectionPools& stores)
+      : scheduler_(s),
+        engine_(engine),
+        statements_(statements),
+        dispatcher_(dispatcher),
+        responder_(responder),
+        stores_(stores),
+        wakes_(s) {}
 
   void list(discovery::EndpointWatcher* l) { list_ = l; }
   // Once a round, when all that it brought has been told.
--- a/src/pipeline/statement_table.cpp
+++ b/src/pipeline/statement_table.cpp
@@ -9,7 +9,8 @@
 namespace reedchute::pipeline {
 namespace {
 
-// STANDING: an attempt may begin so long after its client has gone, and a store may be told so much more than is left.
+// STANDING: an attempt may begin so long after its client has gone, and a store may be told so much
+// more than is left.
 constexpr Duration kLeftSlack{100'000}, kToldSlack{150'000};
 
 }  // namespace
@@ -63,7 +64,8 @@
 
 bool StatementTable::names(int store) const {
   return std::any_of(rows_.begin(), rows_.end(), [&](const Statement& st) {
-    return std::any_of(st.attempts.begin(), st.attempts.end(), [&](const auto& a) { return a.store == store; });
+    return std::any_of(st.attempts.begin(), st.attempts.end(),
+                       [&](const auto& a) { return a.store == store; });
   });
 }
 
@@ -90,8 +92,8 @@
     return true;
   }
   ++refused_[static_cast<std::size_t>(why)];
-  log::line("attempt_refused", "id=%s store=%d attempt=%zu why=%s", st.id.c_str(), job.store, execution,
-            invariants::nameOf(why));
+  log::line("attempt_refused", "id=%s store=%d attempt=%zu why=%s", st.id.c_str(), job.store,
+            execution, invariants::nameOf(why));
   return false;
 }
 
@@ -101,13 +103,15 @@
   attempt.mayHaveRun = !invariants::provesNothingRan(job.outcome);
   st.lastOutcome = job.outcome;
   if (job.outcome != AttemptOutcome::ok && job.outcome != AttemptOutcome::notServedHere)
-    log::line("attempt_ended", "id=%s store=%d attempt=%d ending=%s left_ms=%lld", st.id.c_str(), job.store,
-              job.execution, request::nameOf(job.outcome), static_cast<long long>((st.giveUpAt - scheduler_.now()).us / 1000));
+    log::line("attempt_ended", "id=%s store=%d attempt=%d ending=%s left_ms=%lld", st.id.c_str(),
+              job.store, job.execution, request::nameOf(job.outcome),
+              static_cast<long long>((st.giveUpAt - scheduler_.now()).us / 1000));
   checkDeparture(job, st);
 }
 
 // What has left is held against the rules once more, by the moments at which it was really written.
-void StatementTable::checkDeparture(const request::UpstreamRequest& job, const Statement& st) const {
+void StatementTable::checkDeparture(const request::UpstreamRequest& job,
+                                    const Statement& st) const {
   if (job.leftAt == kNever) return;
   const char* id = st.id.c_str();
   TimePoint whole = std::max(job.leftAt, job.wholeAt);
@@ -116,7 +120,8 @@
   if (whole > st.giveUpAt + invariants::AttemptGuard::kHeldUp)
     invariants::violated(invariants::Rule::time, "id=%s store=%d what=late", id, job.store);
   if (Duration{job.toldMs * 1000} > std::max(Duration{}, st.giveUpAt - whole) + kToldSlack)
-    invariants::violated(invariants::Rule::time, "id=%s store=%d told_ms=%lld", id, job.store, static_cast<long long>(job.toldMs));
+    invariants::violated(invariants::Rule::time, "id=%s store=%d told_ms=%lld", id, job.store,
+                         static_cast<long long>(job.toldMs));
   if (guard_.drained(job.store, settings_.drainGrace, job.leftAt))
     invariants::violated(invariants::Rule::drain, "id=%s store=%d", id, job.store);
   const Workload& w = settings_.workloads[static_cast<std::size_t>(st.workload)];
@@ -124,7 +129,8 @@
     const invariants::EarlierAttempt& earlier = st.attempts[static_cast<std::size_t>(k)];
     if (earlier.leftAt == kNever || !earlier.mayHaveRun) continue;
     if (w.effect == Effect::nonIdempotent || whole - earlier.leftAt > w.window)
-      invariants::violated(invariants::Rule::repeat, "id=%s store=%d attempt=%d after=%d", id, job.store, job.execution, k);
+      invariants::violated(invariants::Rule::repeat, "id=%s store=%d attempt=%d after=%d", id,
+                           job.store, job.execution, k);
   }
   if (whole > job.sendBy + invariants::AttemptGuard::kHeldUp && job.wholeAt != kNever)
     invariants::violated(invariants::Rule::freshness, "id=%s store=%d", id, job.store);
@@ -141,7 +147,9 @@
   Report report{pointOf(job.report.position), job.report.primary};
   if (job.statement < 0) {
     // Danger: a store whose answer can't be read has answered; it is not away.
-    bool answered = job.outcome == AttemptOutcome::ok || job.outcome == AttemptOutcome::malformedResponse || job.outcome == AttemptOutcome::invalid;
+    bool answered = job.outcome == AttemptOutcome::ok ||
+                    job.outcome == AttemptOutcome::malformedResponse ||
+                    job.outcome == AttemptOutcome::invalid;
     engine_.onProbeEnded(job.store, answered, report, now, job.role);
     return;
   }
@@ -150,7 +158,8 @@
   --st.out;
   noteEnd(job, st);
   // An error that blames the statement is its client's to see, as the store worded it.
-  bool completes = st.open && (job.outcome == AttemptOutcome::ok || job.outcome == AttemptOutcome::invalid);
+  bool completes = st.open &&
+                   (job.outcome == AttemptOutcome::ok || job.outcome == AttemptOutcome::invalid);
   AttemptResult r;
   r.attempt = job.execution;
   r.outcome = job.outcome;
--- a/src/pipeline/statement_table.h
+++ b/src/pipeline/statement_table.h
@@ -1,4 +1,5 @@
-// Stage 6, book: the rows of statements, and what the module is told of the end of each execution and probe.
+// Stage 6, book: the rows of statements, and what the module is told of the end of each execution
+// and probe.
 #pragma once
 
 #include <array>
@@ -7,16 +8,21 @@
 #include <vector>
 
 #include "decision/engine.h"
-#include "runtime/scheduler.h"
 #include "pipeline/responder.h"
 #include "request/statement.h"
+#include "runtime/scheduler.h"
 
 namespace reedchute::pipeline {
 
 class StatementTable : public request::AttemptOwner {
  public:
-  StatementTable(runtime::Scheduler& s, DecisionEngine& engine, Responder& responder, const EngineSettings& settings)
-      : scheduler_(s), engine_(engine), responder_(responder), settings_(settings), guard_(settings) {}
+  StatementTable(runtime::Scheduler& s, DecisionEngine& engine, Responder& responder,
+                 const EngineSettings& settings)
+      : scheduler_(s),
+        engine_(engine),
+        responder_(responder),
+        settings_(settings),
+        guard_(settings) {}
 
   int enter(Statement st);
   Statement& row(int statement) { return rows_[static_cast<std::size_t>(statement)]; }
@@ -37,7 +43,9 @@
 
   invariants::AttemptGuard& guard() { return guard_; }
   // Attempts that were refused as they were to leave, since the start.
-  std::uint64_t refused(invariants::Refusal why) const { return refused_[static_cast<std::size_t>(why)]; }
+  std::uint64_t refused(invariants::Refusal why) const {
+    return refused_[static_cast<std::size_t>(why)];
+  }
 
   bool wanted(const request::UpstreamRequest& job) const override;
   bool mayLeave(const request::UpstreamRequest& job, TimePoint now) override;
--- a/src/protocols/cassandra/client_codec.cpp
+++ b/src/protocols/cassandra/client_codec.cpp
@@ -23,8 +23,9 @@
 bool sameSecret(std::string_view a, std::string_view b) {
   unsigned differs = a.size() != b.size();
   for (std::size_t k = 0; k < a.size(); ++k)
-    differs |= static_cast<unsigned>(static_cast<unsigned char>(a[k]) ^
-                                     static_cast<unsigned char>(b.empty() ? '\0' : b[k % b.size()]));
+    differs |=
+        static_cast<unsigned>(static_cast<unsigned char>(a[k]) ^
+                              static_cast<unsigned char>(b.empty() ? '\0' : b[k % b.size()]));
   return differs == 0;
 }
 
@@ -45,7 +46,8 @@
 
 class Session : public client::ClientCodec, public request::ResponseSink {
  public:
-  Session(ClientProtocol& door, client::ClientChannel& line) : door_(door), line_(line), framing_(door.config.mostBody) {}
+  Session(ClientProtocol& door, client::ClientChannel& line)
+      : door_(door), line_(line), framing_(door.config.mostBody) {}
   ~Session() override { std::erase(door_.forStatus, this), std::erase(door_.forSchema, this); }
 
   bool greeted() const override { return state_ == State::ready; }
@@ -64,7 +66,8 @@
     Frame f;
     Framed got = framing_.next(bytes, used, f);
     alone_ = used == bytes.size();
-    if (used > 0) came_ = came.at(used);  // where none is used, the frame stood in a segment that came before
+    if (used > 0)
+      came_ = came.at(used);  // where none is used, the frame stood in a segment that came before
     if (got == Framed::partial) return false;
     if (got == Framed::bad) {
       log::line("client_garbled", "what=\"%s\"", framing_.why());
@@ -101,28 +104,32 @@
     }
   }
 
-  void completed(int requestId, request::Answer answer, int by, std::optional<WallTime> position) override {
+  void completed(int requestId, request::Answer answer, int by,
+                 std::optional<WallTime> position) override {
     Pending pending = close(requestId);
     auto flags = static_cast<std::uint8_t>(answer.form >> 8);
     auto opcode = static_cast<Opcode>(answer.form & 0xff);
-    if (opcode == Opcode::result) answer.bytes = rewritten(flags, std::move(answer.bytes), pending, by, position);
+    if (opcode == Opcode::result)
+      answer.bytes = rewritten(flags, std::move(answer.bytes), pending, by, position);
     reply(pending, flags, requestId, opcode, answer.bytes);
   }
 
   void rejected(int requestId, Duration retryAfter) override {
     Pending pending = close(requestId);
     std::string body;
-    if (retryAfter > Duration{}) cql::addBytesMap(body, {{"retry_after_ms", std::to_string(retryAfter.us / 1000)}});
+    if (retryAfter > Duration{})
+      cql::addBytesMap(body, {{"retry_after_ms", std::to_string(retryAfter.us / 1000)}});
     body += cql::errorBody(cql::kOverloaded, "rejected: trying again does no harm");
     reply(pending, retryAfter > Duration{} ? cql::kPayload : 0, requestId, Opcode::error, body);
   }
 
-  // Danger: Overloaded and Unavailable tell a client that trying again is harmless, and here it may not be. A write's
-  // time-out, of whatever type, promises nothing.
+  // Danger: Overloaded and Unavailable tell a client that trying again is harmless, and here it may
+  // not be. A write's time-out, of whatever type, promises nothing.
   void aborted(int requestId) override {
     Pending p = close(requestId);
     bool read = p.kind == cql::Kind::read || p.preparing;
-    std::string body = cql::errorBody(read ? cql::kReadTimeout : cql::kWriteTimeout, "aborted: it may have run");
+    std::string body = cql::errorBody(read ? cql::kReadTimeout : cql::kWriteTimeout,
+                                      "aborted: it may have run");
     cql::addShort(body, p.consistency);
     cql::addInt(body, 0), cql::addInt(body, 1);
     if (read)
@@ -167,7 +174,8 @@
     put(0, stream, Opcode::error, cql::errorBody(cql::kProtocolError, text));
   }
 
-  // A driver that begins with another version is told the highest one, in that version, and comes again with it.
+  // A driver that begins with another version is told the highest one, in that version, and comes
+  // again with it.
   bool versionMayBe(std::string_view bytes) {
     if (bytes.empty()) return true;
     int version = bytes[0] & 0x7f;
@@ -179,8 +187,8 @@
     version_ = highest;
     log::line("client_version", "version=%d", version);
     endWith(version >= 3 ? f.stream : 0, cql::kProtocolError,
-            "Invalid or unsupported protocol version (" + std::to_string(version) + "); supported versions are (" +
-                (highest == 5 ? "4/v4, 5/v5" : "4/v4") + ")");
+            "Invalid or unsupported protocol version (" + std::to_string(version) +
+                "); supported versions are (" + (highest == 5 ? "4/v4, 5/v5" : "4/v4") + ")");
     return false;
   }
 
@@ -191,8 +199,9 @@
         return put(0, f.stream, Opcode::supported,
                    cql::multimapBody({{"CQL_VERSION", {"3.4.5"}},
                                       {"COMPRESSION", {"lz4"}},
-                                      {"PROTOCOL_VERSIONS", door_.config.v5 ? std::vector<std::string>{"4/v4", "5/v5"}
-                                                                           : std::vector<std::string>{"4/v4"}}}));
+                                      {"PROTOCOL_VERSIONS",
+                                       door_.config.v5 ? std::vector<std::string>{"4/v4", "5/v5"}
+                                                       : std::vector<std::string>{"4/v4"}}}));
       case Opcode::startup:
         return start(f);
       case Opcode::authResponse:
@@ -200,7 +209,8 @@
       default:
         break;
     }
-    if (state_ != State::ready) return endWith(f.stream, cql::kProtocolError, "STARTUP comes first");
+    if (state_ != State::ready)
+      return endWith(f.stream, cql::kProtocolError, "STARTUP comes first");
     if (f.opcode == Opcode::reg) return listen(f);
     ask(f);
   }
@@ -208,7 +218,8 @@
   void start(const Frame& f) {
     cql::Start s;
     if (state_ != State::fresh) return refuse(f.stream, "a second STARTUP");
-    if (!cql::readStart(f.body, s)) return endWith(f.stream, cql::kProtocolError, "a STARTUP that can't be read");
+    if (!cql::readStart(f.body, s))
+      return endWith(f.stream, cql::kProtocolError, "a STARTUP that can't be read");
     if (!s.compression.empty() && s.compression != "lz4")
       return endWith(f.stream, cql::kProtocolError, "a compression that isn't offered");
     bool asks = !door_.config.user.empty();
@@ -243,7 +254,8 @@
 
   void listen(const Frame& f) {
     std::vector<std::string_view> events;
-    if (!cql::readRegister(f.body, events)) return refuse(f.stream, "a REGISTER that can't be read");
+    if (!cql::readRegister(f.body, events))
+      return refuse(f.stream, "a REGISTER that can't be read");
     bool status = false, schema = false;
     for (std::string_view e : events) {
       if (e != "TOPOLOGY_CHANGE" && e != "STATUS_CHANGE" && e != "SCHEMA_CHANGE")
@@ -259,9 +271,11 @@
   }
 
   void ask(const Frame& f) {
-    // Danger: as at the other door, a client that asks again at once would meet the end with its next request.
+    // Danger: as at the other door, a client that asks again at once would meet the end with its
+    // next request.
     if (alone_ && open_.empty() && !door_.handler.takes(came_)) {
-      put(0, f.stream, Opcode::error, cql::errorBody(cql::kBootstrapping, "shutting down: ask another"));
+      put(0, f.stream, Opcode::error,
+          cql::errorBody(cql::kBootstrapping, "shutting down: ask another"));
       return line_.endForLeaving();
     }
     Outcome o = door_.takeIn.read(f, keyspace_, door_.scheduler.now(), door_.scheduler.wall());
@@ -273,7 +287,8 @@
     o.pending.until = o.statement->came + o.statement->timeout;
     open_[f.stream].pending = std::move(o.pending);
     int statement = door_.handler.admit(std::move(*o.statement), *this, f.stream);
-    if (auto it = open_.find(f.stream); statement >= 0 && it != open_.end()) it->second.statement = statement;
+    if (auto it = open_.find(f.stream); statement >= 0 && it != open_.end())
+      it->second.statement = statement;
   }
 
   Pending close(int requestId) {
@@ -295,7 +310,8 @@
     };
     if (r.kind == cql::ResultKind::rows && r.pageState) {
       std::string put;
-      cql::addBytes(put, wrapped({storeMark(door_.fleet.storeId(by)), position, std::string(*r.pageState)}));
+      cql::addBytes(
+          put, wrapped({storeMark(door_.fleet.storeId(by)), position, std::string(*r.pageState)}));
       return with(r.pageAt, r.pageSpan, put);
     }
     if (r.kind == cql::ResultKind::schemaChange) {
@@ -326,12 +342,14 @@
   State state_ = State::fresh;
   int version_ = cql::kLowest;
   std::string keyspace_;
-  TimePoint came_;  // the bytes that were taken last
-  bool alone_ = false;  // nothing has come behind them
+  TimePoint came_;            // the bytes that were taken last
+  bool alone_ = false;        // nothing has come behind them
   std::map<int, Open> open_;  // by stream
 };
 
-std::unique_ptr<client::ClientCodec> ClientProtocol::talk(client::ClientChannel& line) { return std::make_unique<Session>(*this, line); }
+std::unique_ptr<client::ClientCodec> ClientProtocol::talk(client::ClientChannel& line) {
+  return std::make_unique<Session>(*this, line);
+}
 
 std::size_t ClientProtocol::mostMessage() const {
   return std::max(config.mostBody + cql::kHeader, cql::kMostSegment + 16);
--- a/src/protocols/cassandra/client_codec.h
+++ b/src/protocols/cassandra/client_codec.h
@@ -3,8 +3,8 @@
 
 #include <vector>
 
-#include "protocols/cassandra/statement_decoder.h"
 #include "client/client_connections.h"
+#include "protocols/cassandra/statement_decoder.h"
 #include "runtime/scheduler.h"
 
 namespace reedchute::protocols::cassandra {
@@ -21,9 +21,16 @@
 class ClientProtocol : public client::ClientProtocol {
  public:
   // `versions`: the rows of the stores' table for versions 4 and 5.
-  ClientProtocol(runtime::Scheduler& s, request::StatementHandler& d, const Fleet& f, const Config& g, TakeIn t, PreparedTexts& p,
-       request::ProtocolVersion four, request::ProtocolVersion five)
-      : scheduler(s), handler(d), fleet(f), config(g), takeIn(std::move(t)), texts(p), versions{four, five} {}
+  ClientProtocol(runtime::Scheduler& s, request::StatementHandler& d, const Fleet& f,
+                 const Config& g, TakeIn t, PreparedTexts& p, request::ProtocolVersion four,
+                 request::ProtocolVersion five)
+      : scheduler(s),
+        handler(d),
+        fleet(f),
+        config(g),
+        takeIn(std::move(t)),
+        texts(p),
+        versions{four, five} {}
 
   std::unique_ptr<client::ClientCodec> talk(client::ClientChannel& line) override;
   std::size_t mostMessage() const override;
--- a/src/protocols/cassandra/config.h
+++ b/src/protocols/cassandra/config.h
@@ -13,14 +13,15 @@
 
 namespace reedchute::protocols::cassandra {
 
-// Statements that say nothing of themselves in a custom payload belong to the first of these that they match.
+// Statements that say nothing of themselves in a custom payload belong to the first of these that
+// they match.
 struct Mapping {
-  std::string keyspace, table;  // empty: any
-  std::vector<reedchute::cql::Kind> kinds;  // none: any
+  std::string keyspace, table;               // empty: any
+  std::vector<reedchute::cql::Kind> kinds;   // none: any
   std::vector<std::uint16_t> consistencies;  // none: any
   std::string workload;
   std::int64_t group = 0;
-  int line = 0;                 // where it stands in the settings
+  int line = 0;                     // where it stands in the settings
   std::optional<Duration> timeout;  // otherwise the door's
 };
 
@@ -34,13 +35,13 @@
   sockaddr_in listen{};
   std::string cluster = "reedchute", datacenter = "dc1", rack = "rack1";
   bool v5 = true;
-  std::string user, password;  // that clients must give; empty: none
-  std::size_t connections = 64;  // of clients
-  std::size_t streams = 1024;    // open on one of them
+  std::string user, password;         // that clients must give; empty: none
+  std::size_t connections = 64;       // of clients
+  std::size_t streams = 1024;         // open on one of them
   std::size_t mostBody = 256 * 1024;  // bytes of one message
-  std::size_t batchMost = 1000;  // statements in one
-  Duration timeout;                  // of a statement that names none
-  bool storesDropMarks = false;  // do stores drop a repeat by its mark?
+  std::size_t batchMost = 1000;       // statements in one
+  Duration timeout;                   // of a statement that names none
+  bool storesDropMarks = false;       // do stores drop a repeat by its mark?
   // towards the stores
   std::uint16_t storePort = 9042;  // where the list names no address of its own for this protocol
   std::string storeUser, storePassword;
--- a/src/protocols/cassandra/error_outcomes.cpp
+++ b/src/protocols/cassandra/error_outcomes.cpp
@@ -6,9 +6,11 @@
 
 AttemptOutcome endingOf(std::int32_t code, std::string_view turned) {
   switch (code) {
-    // Never ran. Unavailable is said before any replica is asked, and by stores that tell why they turn away.
+    // Never ran. Unavailable is said before any replica is asked, and by stores that tell why they
+    // turn away.
     case reedchute::cql::kUnavailable:
-      return turned == "role" || turned == "behind" ? AttemptOutcome::notServedHere : AttemptOutcome::overloaded;
+      return turned == "role" || turned == "behind" ? AttemptOutcome::notServedHere
+                                                    : AttemptOutcome::overloaded;
     case reedchute::cql::kOverloaded:
     case reedchute::cql::kBootstrapping:
     case reedchute::cql::kUnprepared:
@@ -22,8 +24,9 @@
     case reedchute::cql::kAlreadyExists:
     case reedchute::cql::kFunctionFailure:
       return AttemptOutcome::invalid;
-    // May have run: time-outs and failures of each write type (of BATCH_LOG too, as a part of the log may have been
-    // written and is replayed), a server's error, and whatever no specification names.
+    // May have run: time-outs and failures of each write type (of BATCH_LOG too, as a part of the
+    // log may have been written and is replayed), a server's error, and whatever no specification
+    // names.
     default:
       return AttemptOutcome::error;
   }
--- a/src/protocols/cassandra/error_outcomes.h
+++ b/src/protocols/cassandra/error_outcomes.h
@@ -8,8 +8,9 @@
 
 namespace reedchute::protocols::cassandra {
 
-// `turned`: the custom payload's word for why a store turned a statement away, "role" or "behind"; empty where it
-// has none. Unprepared isn't here: it is no end, the text is prepared there and the execution goes on.
+// `turned`: the custom payload's word for why a store turned a statement away, "role" or "behind";
+// empty where it has none. Unprepared isn't here: it is no end, the text is prepared there and the
+// execution goes on.
 AttemptOutcome endingOf(std::int32_t code, std::string_view turned);
 
 }  // namespace reedchute::protocols::cassandra
--- a/src/protocols/cassandra/paging_state.cpp
+++ b/src/protocols/cassandra/paging_state.cpp
@@ -10,13 +10,18 @@
 namespace cql = reedchute::cql;
 
 constexpr std::uint8_t kForm = 1;
-constexpr std::uint64_t kSeed = 0x7061676573746174;  // sets these hashes apart from others of the same bytes
+constexpr std::uint64_t kSeed =
+    0x7061676573746174;  // sets these hashes apart from others of the same bytes
 
-std::uint64_t sumOf(std::string_view bytes) { return XXH3_64bits_withSeed(bytes.data(), bytes.size(), kSeed); }
+std::uint64_t sumOf(std::string_view bytes) {
+  return XXH3_64bits_withSeed(bytes.data(), bytes.size(), kSeed);
+}
 
 }  // namespace
 
-std::uint64_t storeMark(std::string_view storeId) { return XXH3_64bits(storeId.data(), storeId.size()); }
+std::uint64_t storeMark(std::string_view storeId) {
+  return XXH3_64bits(storeId.data(), storeId.size());
+}
 
 std::string wrapped(const Page& p) {
   std::string bytes;
--- a/src/protocols/cassandra/paging_state.h
+++ b/src/protocols/cassandra/paging_state.h
@@ -1,5 +1,5 @@
-// The paging state that clients get: a store's own, bound to the store and the position that issued it. The front
-// keeps nothing of a read between its pages. No I/O.
+// The paging state that clients get: a store's own, bound to the store and the position that issued
+// it. The front keeps nothing of a read between its pages. No I/O.
 #pragma once
 
 #include <optional>
--- a/src/protocols/cassandra/prepared_statements.h
+++ b/src/protocols/cassandra/prepared_statements.h
@@ -1,5 +1,6 @@
-// Prepared statements: what clients know by an id of the front's, and what each store knows by ids of its own. No
-// I/O. Memory is bounded; what was used least lately goes first, and its clients are told to prepare it again.
+// Prepared statements: what clients know by an id of the front's, and what each store knows by ids
+// of its own. No I/O. Memory is bounded; what was used least lately goes first, and its clients are
+// told to prepare it again.
 #pragma once
 
 #include <cstdint>
@@ -16,10 +17,11 @@
 
 // One text, as stores are given it.
 struct PreparedText {
-  std::string id;  // that clients know; the same at every front, as it follows from the text
+  std::string id;    // that clients know; the same at every front, as it follows from the text
   std::string text;  // with all names in full
   reedchute::cql::TextRead read;
-  std::string told[2];  // the body of RESULT that clients get, with `id` in it, by version; empty: not known yet
+  std::string told[2];   // the body of RESULT that clients get, with `id` in it, by version; empty:
+                         // not known yet
   std::string resultId;  // of version 5, as told
 };
 
@@ -51,8 +53,9 @@
   std::unordered_map<std::string_view, std::list<PreparedRef>::iterator> byId_;
 };
 
-// What one store has prepared, by the front's ids. Danger: with hundreds of stores, what each may have prepared would
-// take all memory; all of them share one room, in which what was used least lately goes first.
+// What one store has prepared, by the front's ids. Danger: with hundreds of stores, what each may
+// have prepared would take all memory; all of them share one room, in which what was used least
+// lately goes first.
 class StorePrepared {
  public:
   struct Known {
@@ -95,8 +98,8 @@
   std::unordered_map<std::string, std::list<Place>::iterator> byId_;
 };
 
-// How many texts may be in preparation at a store at once. Danger: a store that comes back knows none of them, and
-// all that are in use would be prepared there in one moment, while it is cold.
+// How many texts may be in preparation at a store at once. Danger: a store that comes back knows
+// none of them, and all that are in use would be prepared there in one moment, while it is cold.
 class PreparePace {
  public:
   // `most`: that may ever be; grown to by one, cut by half.
--- a/src/protocols/cassandra/settings.cpp
+++ b/src/protocols/cassandra/settings.cpp
@@ -20,7 +20,8 @@
 cql::Kind kindNamed(config::Section& s, const std::string& word) {
   for (int k = 0; k <= static_cast<int>(cql::Kind::schema); ++k)
     if (word == nameOf(static_cast<cql::Kind>(k))) return static_cast<cql::Kind>(k);
-  s.fail("kinds", "must hold read, write, batch, conditional, counter or schema and holds '" + word + "'");
+  s.fail("kinds",
+         "must hold read, write, batch, conditional, counter or schema and holds '" + word + "'");
 }
 
 std::uint16_t consistencyNamed(config::Section& s, const std::string& word) {
@@ -34,7 +35,8 @@
   m.keyspace = s.text("keyspace", "");
   m.table = s.text("table", "");
   for (const std::string& word : s.texts("kinds")) m.kinds.push_back(kindNamed(s, word));
-  for (const std::string& word : s.texts("consistencies")) m.consistencies.push_back(consistencyNamed(s, word));
+  for (const std::string& word : s.texts("consistencies"))
+    m.consistencies.push_back(consistencyNamed(s, word));
   m.line = s.line();
   m.workload = s.text("workload");
   m.group = s.number("group", INT32_MIN, INT32_MAX);
@@ -61,7 +63,9 @@
   g.datacenter = s.text("datacenter", g.datacenter);
   g.rack = s.text("rack", g.rack);
   std::vector<std::int64_t> versions = s.numbers("versions");
-  auto speaks = [&](int v) { return versions.empty() || std::find(versions.begin(), versions.end(), v) != versions.end(); };
+  auto speaks = [&](int v) {
+    return versions.empty() || std::find(versions.begin(), versions.end(), v) != versions.end();
+  };
   for (std::int64_t v : versions)
     if (v < cql::kLowest || v > cql::kHighest) s.fail("versions", "may hold 4 and 5 only");
   if (!speaks(4)) s.fail("versions", "must hold 4");
@@ -82,12 +86,14 @@
     g.storePassword = store.text("password", "");
     g.storeStreams = static_cast<std::size_t>(store.number("streams", 1, 32'768, 128));
     std::string compression = store.text("compression", "none");
-    if (compression != "none" && compression != "lz4") store.fail("compression", "must be none or lz4");
+    if (compression != "none" && compression != "lz4")
+      store.fail("compression", "must be none or lz4");
     g.storeCompression = compression == "lz4";
     store.done();
   }
   for (config::Section peer : s.blocks("peer")) g.peers.push_back(peerFrom(std::move(peer), g));
-  for (config::Section mapping : s.blocks("map")) g.mappings.push_back(mappingFrom(std::move(mapping)));
+  for (config::Section mapping : s.blocks("map"))
+    g.mappings.push_back(mappingFrom(std::move(mapping)));
   s.done();
   return g;
 }
--- a/src/protocols/cassandra/settings.h
+++ b/src/protocols/cassandra/settings.h
@@ -1,8 +1,8 @@
 // The block `cassandra` of our settings.
 #pragma once
 
-#include "protocols/cassandra/config.h"
 #include "config/hcl_settings.h"
+#include "protocols/cassandra/config.h"
 
 namespace reedchute::protocols::cassandra {
 
--- a/src/protocols/cassandra/statement_decoder.cpp
+++ b/src/protocols/cassandra/statement_decoder.cpp
@@ -14,7 +14,8 @@
 namespace {
 
 constexpr std::int64_t kLongestWaitMs = 86'400'000;
-constexpr std::int64_t kLatestMs = 100'000'000'000'000;  // far ahead, and far from what microseconds can hold
+constexpr std::int64_t kLatestMs =
+    100'000'000'000'000;  // far ahead, and far from what microseconds can hold
 
 std::uint64_t sessionOf(std::string_view key) {
   if (auto digits = parseNumber<std::uint64_t>(key, 16)) return *digits;
@@ -50,8 +51,8 @@
   TimePoint now;
   const runtime::WallClock& wall;
   cql::Asked asked;
-  cql::TextRead text;           // of a batch: its first statement
-  std::string own;              // the keyspace that bare names stand in
+  cql::TextRead text;  // of a batch: its first statement
+  std::string own;     // the keyspace that bare names stand in
   StatementDescription told;
   std::optional<Page> page;
   std::unique_ptr<Statement> statement = std::make_unique<Statement>();
@@ -61,8 +62,8 @@
   Outcome out;
 
   void refuse(std::int32_t code, std::string_view what) {
-    log::line("bad_statement", "code=%04x what=\"%.*s\"", static_cast<unsigned>(code), static_cast<int>(what.size()),
-              what.data());
+    log::line("bad_statement", "code=%04x what=\"%.*s\"", static_cast<unsigned>(code),
+              static_cast<int>(what.size()), what.data());
     answer(Opcode::error, cql::errorBody(code, what));
   }
   void answer(Opcode o, std::string body) {
@@ -72,10 +73,12 @@
   }
 };
 
-// A text that came, whose bytes stand at `at` in the frame's body with a length of four bytes before them.
+// A text that came, whose bytes stand at `at` in the frame's body with a length of four bytes
+// before them.
 void TakeIn::readOne(Reading& r, std::string_view text, std::size_t at, std::string_view keyspace,
                      Statement& into) const {
-  if (text.find('\0') != std::string_view::npos) return r.refuse(cql::kSyntaxError, "a zero byte in the statement");
+  if (text.find('\0') != std::string_view::npos)
+    return r.refuse(cql::kSyntaxError, "a zero byte in the statement");
   cql::TextRead read;
   switch (cql::readText(text, read)) {
     case cql::TextState::good:
@@ -89,13 +92,16 @@
   }
   r.own = keyspace.empty() ? r.keyspace : std::string(keyspace);
   if (!read.bare.empty() && read.kind != cql::Kind::use) {
-    if (r.own.empty()) return r.refuse(cql::kInvalid, "no keyspace is named, neither here nor by USE");
-    // A connection to a store is shared by clients who are in different keyspaces: bare names are given theirs.
+    if (r.own.empty())
+      return r.refuse(cql::kInvalid, "no keyspace is named, neither here nor by USE");
+    // A connection to a store is shared by clients who are in different keyspaces: bare names are
+    // given theirs.
     if (keyspace.empty()) {
       std::string full = cql::qualified(text, read.bare, r.own);
       std::string bytes;
       cql::addLongString(bytes, full);
-      into.patches.push_back({at - 4, 4 + text.size(), Statement::Put::bytes, nullptr, std::move(bytes)});
+      into.patches.push_back(
+          {at - 4, 4 + text.size(), Statement::Put::bytes, nullptr, std::move(bytes)});
     }
     if (read.keyspace.empty()) read.keyspace = r.own;
     read.systemTable = cql::systemKeyspace(read.keyspace);
@@ -109,13 +115,15 @@
   readOne(r, r.asked.text, at, r.asked.parameters.keyspace, *r.statement);
   if (r.whole) return;
   if (r.text.kind == cql::Kind::use) {
-    if (!system_.knowsKeyspace(r.text.keyspace)) return r.refuse(cql::kInvalid, "a keyspace that is not set up here");
+    if (!system_.knowsKeyspace(r.text.keyspace))
+      return r.refuse(cql::kInvalid, "a keyspace that is not set up here");
     r.out.useKeyspace = r.text.keyspace;
     return r.answer(Opcode::result, cql::setKeyspaceBody(r.text.keyspace));
   }
   if (r.text.systemTable) {
     std::string_view why;
-    if (auto body = system_.answer(r.text, r.asked.text, why)) return r.answer(Opcode::result, std::move(*body));
+    if (auto body = system_.answer(r.text, r.asked.text, why))
+      return r.answer(Opcode::result, std::move(*body));
     return r.refuse(cql::kInvalid, why);
   }
 }
@@ -141,7 +149,8 @@
 void TakeIn::execute(Reading& r) const {
   PreparedRef p = texts_.find(r.asked.id);
   if (!p) {
-    std::string body = cql::errorBody(cql::kUnprepared, "an id that isn't known here: prepare it again");
+    std::string body = cql::errorBody(cql::kUnprepared,
+                                      "an id that isn't known here: prepare it again");
     cql::addShortBytes(body, r.asked.id);
     return r.answer(Opcode::error, std::move(body));
   }
@@ -159,12 +168,14 @@
     if (part.prepared) {
       PreparedRef p = texts_.find(part.text);
       if (!p) {
-        std::string body = cql::errorBody(cql::kUnprepared, "an id that isn't known here: prepare it again");
+        std::string body = cql::errorBody(cql::kUnprepared,
+                                          "an id that isn't known here: prepare it again");
         cql::addShortBytes(body, part.text);
         return r.answer(Opcode::error, std::move(body));
       }
       r.text = p->read;
-      if (std::find(r.statement->needs.begin(), r.statement->needs.end(), p) == r.statement->needs.end())
+      if (std::find(r.statement->needs.begin(), r.statement->needs.end(), p) ==
+          r.statement->needs.end())
         r.statement->needs.push_back(p);
       r.statement->patches.push_back({part.at, 2 + part.text.size(), Statement::Put::id, p, {}});
     } else {
@@ -199,7 +210,8 @@
     if (name == "tenant") {
       r.received.tenant = value.substr(0, request::kMostTenant);
       r.received.arrival.tenant = placeOf(names_.tenants, value);
-      if (r.received.arrival.tenant < 0 && !names_.tenants.empty()) return r.refuse(cql::kInvalid, "an unknown tenant");
+      if (r.received.arrival.tenant < 0 && !names_.tenants.empty())
+        return r.refuse(cql::kInvalid, "an unknown tenant");
     }
     if (name == "cluster") number(value, r.told.group);
     if (name == "after") number(value, r.afterMs);
@@ -207,7 +219,8 @@
       number(value, r.waitMs);
       std::size_t at = static_cast<std::size_t>(value.data() - r.frame.body.data());
       if (r.waitMs && value.size() > 0)
-        r.statement->patches.push_back({at - 4, 4 + value.size(), Statement::Put::wait, nullptr, {}});
+        r.statement->patches.push_back(
+            {at - 4, 4 + value.size(), Statement::Put::wait, nullptr, {}});
     }
     if (r.whole) return;
   }
@@ -215,35 +228,41 @@
     return r.refuse(cql::kInvalid, "a wait that makes no sense");
   if (r.afterMs && (*r.afterMs < 0 || *r.afterMs > kLatestMs))
     return r.refuse(cql::kInvalid, "a position that makes no sense");
-  // Danger: of two open statements with one id, the later would pass for the earlier wherever ids are told apart.
+  // Danger: of two open statements with one id, the later would pass for the earlier wherever ids
+  // are told apart.
   if (!r.received.id.empty() && openIds_.contains(r.received.id))
     return r.refuse(cql::kInvalid, "an id that is open already");
 }
 
 void TakeIn::finish(Reading& r) const {
-  // Danger: a page of another front's, or one that was changed on its way, would make the read mean another.
+  // Danger: a page of another front's, or one that was changed on its way, would make the read mean
+  // another.
   if (const auto& state = r.asked.parameters.pageState) {
     r.page = unwrapped(*state);
     if (!r.page) return r.refuse(cql::kProtocolError, "a paging state that was not issued here");
     std::string bytes;
     cql::addBytes(bytes, r.page->state);
-    r.statement->patches.push_back(
-        {r.asked.parameters.pageAt, r.asked.parameters.pageSpan, Statement::Put::bytes, nullptr, std::move(bytes)});
+    r.statement->patches.push_back({r.asked.parameters.pageAt, r.asked.parameters.pageSpan,
+                                    Statement::Put::bytes, nullptr, std::move(bytes)});
     r.told.nextPage = true, r.told.pagePosition = r.page->position;
   }
   if (r.text.systemTable || r.text.someSystem)
-    return r.refuse(cql::kInvalid, "the stores' own tables can only be read here, by a plain query");
+    return r.refuse(cql::kInvalid,
+                    "the stores' own tables can only be read here, by a plain query");
   r.told.kind = r.text.kind, r.told.nature = r.text.nature;
   r.told.keyspace = r.text.keyspace, r.told.table = r.text.table;
   r.told.consistency = r.asked.parameters.consistency;
   MappedStatement placed;
   bool preparing = r.out.pending.preparing.has_value();
-  auto why = preparing ? chart_.placePrepare(r.told, groups_, placed) : chart_.place(r.told, groups_, placed);
+  auto why = preparing ? chart_.placePrepare(r.told, groups_, placed)
+                       : chart_.place(r.told, groups_, placed);
   if (why) return r.refuse(cql::kInvalid, *why);
   Arrival& a = r.received.arrival;
   a.workload = placed.workload, a.group = placed.group;
   r.received.mark = request::markOf(r.received.tenant, groups_.id(placed.group), r.told.mark);
-  r.received.timeout = r.waitMs ? Duration{*r.waitMs * 1000} : placed.timeout ? *placed.timeout : config_.timeout;
+  r.received.timeout = r.waitMs         ? Duration{*r.waitMs * 1000}
+                       : placed.timeout ? *placed.timeout
+                                        : config_.timeout;
   // A commit's time is rounded up and may lie ahead of this clock; it is a write all the same.
   auto since = [&](WallTime position) { return r.now - r.wall.pointOf(position); };
   if (r.afterMs) a.sinceWrite = since(WallTime{*r.afterMs * 1000});
@@ -263,9 +282,21 @@
   r.out.statement = std::move(r.received);
 }
 
-Outcome TakeIn::read(const Frame& f, const std::string& keyspace, TimePoint now, const runtime::WallClock& wall) const {
-  Reading r{.frame = f, .keyspace = keyspace, .now = now, .wall = wall, .asked = {}, .text = {}, .own = {},
-            .told = {}, .page = {}, .received = {}, .waitMs = {}, .afterMs = {}, .out = {}};
+Outcome TakeIn::read(const Frame& f, const std::string& keyspace, TimePoint now,
+                     const runtime::WallClock& wall) const {
+  Reading r{.frame = f,
+            .keyspace = keyspace,
+            .now = now,
+            .wall = wall,
+            .asked = {},
+            .text = {},
+            .own = {},
+            .told = {},
+            .page = {},
+            .received = {},
+            .waitMs = {},
+            .afterMs = {},
+            .out = {}};
   const char* why = "";
   if (!cql::readAsked(f, config_.batchMost, r.asked, why)) {
     r.refuse(cql::kProtocolError, why);
--- a/src/protocols/cassandra/statement_decoder.h
+++ b/src/protocols/cassandra/statement_decoder.h
@@ -1,5 +1,5 @@
-// Stage 1, take in, for the Cassandra protocol: from a frame to what the module is told of it, to an answer that is
-// ready at once, or to what is wrong with it. No I/O.
+// Stage 1, take in, for the Cassandra protocol: from a frame to what the module is told of it, to
+// an answer that is ready at once, or to what is wrong with it. No I/O.
 #pragma once
 
 #include <optional>
@@ -8,10 +8,10 @@
 
 #include "codec/cql/reply.h"
 #include "codec/cql/request.h"
-#include "protocols/cassandra/table_mapping.h"
 #include "protocols/cassandra/paging_state.h"
 #include "protocols/cassandra/prepared_statements.h"
 #include "protocols/cassandra/system_tables.h"
+#include "protocols/cassandra/table_mapping.h"
 #include "request/request.h"
 #include "runtime/wall_clock.h"
 
@@ -53,22 +53,29 @@
   std::optional<request::ReceivedStatement> statement;
   Pending pending;
   reedchute::cql::Opcode opcode = reedchute::cql::Opcode::error;
-  std::string body;           // of the answer
-  std::string useKeyspace;    // the session's from now on; empty: as it was
+  std::string body;         // of the answer
+  std::string useKeyspace;  // the session's from now on; empty: as it was
 };
 
 class TakeIn {
  public:
-  TakeIn(const Config& config, const Names& names, const IdIndex<std::int64_t>& groups, const request::OpenIds& openIds,
-         const TableMapping& chart, PreparedTexts& texts)
-      : config_(config), names_(names), groups_(groups), openIds_(openIds), chart_(chart), texts_(texts), system_(config) {}
+  TakeIn(const Config& config, const Names& names, const IdIndex<std::int64_t>& groups,
+         const request::OpenIds& openIds, const TableMapping& chart, PreparedTexts& texts)
+      : config_(config),
+        names_(names),
+        groups_(groups),
+        openIds_(openIds),
+        chart_(chart),
+        texts_(texts),
+        system_(config) {}
 
   Outcome read(const reedchute::cql::Frame& f, const std::string& keyspace, TimePoint now,
                const runtime::WallClock& wall) const;
 
  private:
   struct Reading;
-  void readOne(Reading& r, std::string_view text, std::size_t at, std::string_view keyspace, Statement& into) const;
+  void readOne(Reading& r, std::string_view text, std::size_t at, std::string_view keyspace,
+               Statement& into) const;
   void query(Reading& r) const;
   void prepare(Reading& r) const;
   void execute(Reading& r) const;
--- a/src/protocols/cassandra/streams.h
+++ b/src/protocols/cassandra/streams.h
@@ -1,5 +1,6 @@
-// The streams of one connection to a store, and what may be done on them: who waits to be written, to be prepared, to
-// be answered, and which streams belong to nobody any more until their answer comes. No I/O, no clock.
+// The streams of one connection to a store, and what may be done on them: who waits to be written,
+// to be prepared, to be answered, and which streams belong to nobody any more until their answer
+// comes. No I/O, no clock.
 #pragma once
 
 #include <cstdint>
@@ -25,10 +26,10 @@
   struct Stream {
     State state = State::free;
     request::UpstreamRequest* job = nullptr;
-    std::string preparing;          // the front's id of that text
-    bool paced = false;             // it counts in the pace of preparations
-    std::uint64_t writtenAt = 0;    // bytes that are written once its last one is
-    int again = 0;                  // times that the store said it isn't prepared
+    std::string preparing;        // the front's id of that text
+    bool paced = false;           // it counts in the pace of preparations
+    std::uint64_t writtenAt = 0;  // bytes that are written once its last one is
+    int again = 0;                // times that the store said it isn't prepared
   };
 
   explicit Streams(std::size_t most);
@@ -43,7 +44,9 @@
   int begin(request::UpstreamRequest* job);
   Stream& at(int stream) { return streams_[static_cast<std::size_t>(stream)]; }
   const Stream& at(int stream) const { return streams_[static_cast<std::size_t>(stream)]; }
-  bool known(int stream) const { return stream >= 0 && static_cast<std::size_t>(stream) < streams_.size(); }
+  bool known(int stream) const {
+    return stream >= 0 && static_cast<std::size_t>(stream) < streams_.size();
+  }
   // Its job has ended. `answerComes`: the stream isn't free before that.
   void end(int stream, bool answerComes);
   // An orphan's answer has come.
--- a/src/protocols/cassandra/system_tables.cpp
+++ b/src/protocols/cassandra/system_tables.cpp
@@ -16,7 +16,8 @@
 using Cell = std::optional<std::string>;
 using Row = std::vector<Cell>;
 
-constexpr const char *kRelease = "4.0.0", *kPartitioner = "org.apache.cassandra.dht.Murmur3Partitioner";
+constexpr const char *kRelease = "4.0.0",
+                     *kPartitioner = "org.apache.cassandra.dht.Murmur3Partitioner";
 
 std::string addressCell(const sockaddr_in& a) {
   return {reinterpret_cast<const char*>(&a.sin_addr.s_addr), sizeof a.sin_addr.s_addr};
@@ -52,14 +53,18 @@
 const std::vector<Column>* schemaColumns(std::string_view table) {
   static const std::vector<Column> kKeyspaces = {
       {"keyspace_name"}, {"durable_writes", Type::boolean}, {"replication", Type::mapOfText}};
-  static const std::vector<Column> kTables = {{"keyspace_name"}, {"table_name"}, {"id", Type::uuid}, {"comment"}};
-  static const std::vector<Column> kColumns = {{"keyspace_name"}, {"table_name"}, {"column_name"}, {"clustering_order"},
-                                               {"kind"}, {"position", Type::integer}, {"type"}};
+  static const std::vector<Column> kTables = {
+      {"keyspace_name"}, {"table_name"}, {"id", Type::uuid}, {"comment"}};
+  static const std::vector<Column> kColumns = {
+      {"keyspace_name"},           {"table_name"}, {"column_name"}, {"clustering_order"}, {"kind"},
+      {"position", Type::integer}, {"type"}};
   static const std::vector<Column> kTypes = {{"keyspace_name"}, {"type_name"}};
   static const std::vector<Column> kFunctions = {{"keyspace_name"}, {"function_name"}};
   static const std::vector<Column> kAggregates = {{"keyspace_name"}, {"aggregate_name"}};
-  static const std::vector<Column> kTriggers = {{"keyspace_name"}, {"table_name"}, {"trigger_name"}};
-  static const std::vector<Column> kIndexes = {{"keyspace_name"}, {"table_name"}, {"index_name"}, {"kind"}};
+  static const std::vector<Column> kTriggers = {
+      {"keyspace_name"}, {"table_name"}, {"trigger_name"}};
+  static const std::vector<Column> kIndexes = {
+      {"keyspace_name"}, {"table_name"}, {"index_name"}, {"kind"}};
   static const std::vector<Column> kViews = {{"keyspace_name"}, {"view_name"}, {"base_table_name"}};
   if (table == "keyspaces") return &kKeyspaces;
   if (table == "tables") return &kTables;
@@ -75,7 +80,8 @@
 
 Cell textMap(const std::vector<std::pair<std::string, std::string>>& pairs) {
   std::string cell = intCell(static_cast<std::int32_t>(pairs.size()));
-  for (const auto& [name, value] : pairs) reedchute::cql::addBytes(cell, name), reedchute::cql::addBytes(cell, value);
+  for (const auto& [name, value] : pairs)
+    reedchute::cql::addBytes(cell, name), reedchute::cql::addBytes(cell, value);
   return cell;
 }
 
@@ -90,18 +96,31 @@
   std::size_t hosts = g.peers.size() + 1;
   std::string address = addressCell(g.listen);
   Table t;
-  t.columns = {{"key"}, {"bootstrapped"}, {"broadcast_address", Type::inet}, {"broadcast_port", Type::integer},
-               {"cluster_name"}, {"cql_version"}, {"data_center"}, {"gossip_generation", Type::integer},
-               {"host_id", Type::uuid}, {"listen_address", Type::inet}, {"listen_port", Type::integer},
-               {"native_protocol_version"}, {"partitioner"}, {"rack"}, {"release_version"},
-               {"rpc_address", Type::inet}, {"rpc_port", Type::integer}, {"schema_version", Type::uuid},
+  t.columns = {{"key"},
+               {"bootstrapped"},
+               {"broadcast_address", Type::inet},
+               {"broadcast_port", Type::integer},
+               {"cluster_name"},
+               {"cql_version"},
+               {"data_center"},
+               {"gossip_generation", Type::integer},
+               {"host_id", Type::uuid},
+               {"listen_address", Type::inet},
+               {"listen_port", Type::integer},
+               {"native_protocol_version"},
+               {"partitioner"},
+               {"rack"},
+               {"release_version"},
+               {"rpc_address", Type::inet},
+               {"rpc_port", Type::integer},
+               {"schema_version", Type::uuid},
                {"tokens", Type::setOfText}};
   std::string port = intCell(ntohs(g.listen.sin_port));
   std::string schema(16, '\x11');
   schema[6] = '\x41', schema[8] = '\x81';
-  t.rows = {{"local", "COMPLETED", address, port, g.cluster, "3.4.5", g.datacenter, intCell(1), hostId(g.listen), address,
-             port, g.v5 ? "5" : "4", kPartitioner, g.rack, kRelease, address, port, schema,
-             reedchute::cql::textSet({tokenOf(0, hosts)})}};
+  t.rows = {{"local", "COMPLETED", address, port, g.cluster, "3.4.5", g.datacenter, intCell(1),
+             hostId(g.listen), address, port, g.v5 ? "5" : "4", kPartitioner, g.rack, kRelease,
+             address, port, schema, reedchute::cql::textSet({tokenOf(0, hosts)})}};
   return t;
 }
 
@@ -109,10 +128,14 @@
   Table t;
   t.columns = {{"peer", Type::inet}};
   if (second) t.columns.push_back({"peer_port", Type::integer});
-  t.columns.insert(t.columns.end(), {{"data_center"}, {"host_id", Type::uuid}, {"preferred_ip", Type::inet}, {"rack"},
+  t.columns.insert(t.columns.end(), {{"data_center"},
+                                     {"host_id", Type::uuid},
+                                     {"preferred_ip", Type::inet},
+                                     {"rack"},
                                      {"release_version"}});
   if (second)
-    t.columns.insert(t.columns.end(), {{"native_address", Type::inet}, {"native_port", Type::integer}});
+    t.columns.insert(t.columns.end(),
+                     {{"native_address", Type::inet}, {"native_port", Type::integer}});
   else
     t.columns.push_back({"rpc_address", Type::inet});
   t.columns.insert(t.columns.end(), {{"schema_version", Type::uuid}, {"tokens", Type::setOfText}});
@@ -122,7 +145,8 @@
     std::string address = addressCell(p.address), port = intCell(ntohs(p.address.sin_port));
     Row row = {address};
     if (second) row.push_back(port);
-    row.insert(row.end(), {p.datacenter, hostId(p.address), std::nullopt, p.rack, std::string(kRelease), address});
+    row.insert(row.end(), {p.datacenter, hostId(p.address), std::nullopt, p.rack,
+                           std::string(kRelease), address});
     if (second) row.push_back(port);
     row.insert(row.end(), {schema, reedchute::cql::textSet({tokenOf(k + 1, g.peers.size() + 1)})});
     t.rows.push_back(std::move(row));
@@ -136,7 +160,8 @@
   if (name != "keyspaces") return t;
   for (const std::string& k : keyspacesOf(g))
     t.rows.push_back({k, std::string(1, '\1'),
-                      textMap({{"class", "org.apache.cassandra.locator.SimpleStrategy"}, {"replication_factor", "1"}})});
+                      textMap({{"class", "org.apache.cassandra.locator.SimpleStrategy"},
+                               {"replication_factor", "1"}})});
   return t;
 }
 
@@ -144,16 +169,19 @@
 
 bool SystemTables::knowsKeyspace(std::string_view keyspace) const {
   if (reedchute::cql::systemKeyspace(keyspace)) return true;
-  return std::any_of(config_.mappings.begin(), config_.mappings.end(),
-                     [&](const Mapping& m) { return m.keyspace.empty() || m.keyspace == keyspace; });
+  return std::any_of(config_.mappings.begin(), config_.mappings.end(), [&](const Mapping& m) {
+    return m.keyspace.empty() || m.keyspace == keyspace;
+  });
 }
 
-std::optional<std::string> SystemTables::answer(const reedchute::cql::TextRead& read, std::string_view text,
+std::optional<std::string> SystemTables::answer(const reedchute::cql::TextRead& read,
+                                                std::string_view text,
                                                 std::string_view& why) const {
   why = "only reads of the front's system tables";
   if (read.kind != reedchute::cql::Kind::read) return std::nullopt;
   Table t;
-  const std::vector<Column>* columns = read.keyspace == "system_schema" ? schemaColumns(read.table) : nullptr;
+  const std::vector<Column>* columns = read.keyspace == "system_schema" ? schemaColumns(read.table)
+                                                                        : nullptr;
   if (columns)
     t = schema(config_, read.table, *columns);
   else if (read.keyspace == "system" && read.table == "local")
@@ -171,7 +199,8 @@
   std::vector<Column> some;
   std::vector<Row> rows(t.rows.size());
   for (const std::string& name : asked) {
-    auto it = std::find_if(t.columns.begin(), t.columns.end(), [&](const Column& c) { return c.name == name; });
+    auto it = std::find_if(t.columns.begin(), t.columns.end(),
+                           [&](const Column& c) { return c.name == name; });
     why = "an unknown column";
     if (it == t.columns.end()) return std::nullopt;
     some.push_back(*it);
--- a/src/protocols/cassandra/system_tables.h
+++ b/src/protocols/cassandra/system_tables.h
@@ -1,5 +1,5 @@
-// The tables by which a driver learns of its cluster, answered by the front: it and the configured fronts are the
-// cluster. No I/O.
+// The tables by which a driver learns of its cluster, answered by the front: it and the configured
+// fronts are the cluster. No I/O.
 #pragma once
 
 #include <optional>
--- a/src/protocols/cassandra/table_mapping.cpp
+++ b/src/protocols/cassandra/table_mapping.cpp
@@ -25,7 +25,8 @@
       o.effect = Effect::nonIdempotent;
       once = twin(o, self);
     }
-    // A read at any age or within a bound has no promise from one page to the next; this row gives it one.
+    // A read at any age or within a bound has no promise from one page to the next; this row gives
+    // it one.
     if (w.level == Level::any || w.level == Level::bounded) {
       Workload p = w;
       p.level = Level::session;
@@ -40,8 +41,10 @@
   prepare_ = twin(prepare, -1);
 }
 
-std::optional<std::string> TableMapping::placeGroup(const StatementDescription& told, const Mapping* m, const IdIndex<std::int64_t>& groups,
-                                             MappedStatement& into) const {
+std::optional<std::string> TableMapping::placeGroup(const StatementDescription& told,
+                                                    const Mapping* m,
+                                                    const IdIndex<std::int64_t>& groups,
+                                                    MappedStatement& into) const {
   if (!told.group && !m) return "neither a payload with its group nor a mapping that names one";
   into.group = groups.find(told.group ? *told.group : m->group);
   if (into.group < 0) return "an unknown group";
@@ -49,12 +52,14 @@
   return std::nullopt;
 }
 
-std::optional<std::string> TableMapping::placePrepare(const StatementDescription& told, const IdIndex<std::int64_t>& groups,
-                                               MappedStatement& into) const {
+std::optional<std::string> TableMapping::placePrepare(const StatementDescription& told,
+                                                      const IdIndex<std::int64_t>& groups,
+                                                      MappedStatement& into) const {
   const Mapping* named = nullptr;
   // Which consistency it will be executed with isn't known yet.
   for (const Mapping& m : mappings_)
-    if (!named && (m.keyspace.empty() || m.keyspace == told.keyspace) && (m.table.empty() || m.table == told.table))
+    if (!named && (m.keyspace.empty() || m.keyspace == told.keyspace) &&
+        (m.table.empty() || m.table == told.table))
       named = &m;
   into.workload = prepare_;
   return placeGroup(told, named, groups, into);
@@ -72,11 +77,13 @@
   return nullptr;
 }
 
-std::optional<std::string> TableMapping::place(const StatementDescription& told, const IdIndex<std::int64_t>& groups, MappedStatement& into) const {
+std::optional<std::string> TableMapping::place(const StatementDescription& told,
+                                               const IdIndex<std::int64_t>& groups,
+                                               MappedStatement& into) const {
   const Mapping* m = find(told);
   if (told.workload.empty() && !m)
-    return std::string("no workload is set up for a ") + nameOf(told.kind) + " of " + std::string(told.keyspace) + "." +
-           std::string(told.table);
+    return std::string("no workload is set up for a ") + nameOf(told.kind) + " of " +
+           std::string(told.keyspace) + "." + std::string(told.table);
   std::string_view workload = told.workload.empty() ? std::string_view(m->workload) : told.workload;
   into.workload = placeOf(names_, workload);
   if (into.workload < 0) return "an unknown workload";
@@ -87,8 +94,8 @@
   if (writes && w.level != Level::write) return "a write in a workload of reads";
   if (w.effect == Effect::deduplicated && told.mark.empty() && storesDropMarks_)
     return "no k where the workload needs one";
-  // Danger: what isn't idempotent by its nature doesn't become so by what its client says. Marks help where stores
-  // drop a repeat by them, and only as far.
+  // Danger: what isn't idempotent by its nature doesn't become so by what its client says. Marks
+  // help where stores drop a repeat by them, and only as far.
   bool natural = told.nature == Nature::idempotent;
   bool dropped = w.effect == Effect::deduplicated && storesDropMarks_;
   if (!natural && !dropped) into.workload = once_[static_cast<std::size_t>(into.workload)];
--- a/src/protocols/cassandra/table_mapping.h
+++ b/src/protocols/cassandra/table_mapping.h
@@ -1,5 +1,5 @@
-// Decides which workload and group a statement of this protocol belongs to, and as what it may be repeated. No I/O,
-// no clock. Whether it is then sent, and where, is the module's alone.
+// Decides which workload and group a statement of this protocol belongs to, and as what it may be
+// repeated. No I/O, no clock. Whether it is then sent, and where, is the module's alone.
 #pragma once
 
 #include <optional>
@@ -8,9 +8,9 @@
 #include <vector>
 
 #include "base/id_index.h"
-#include "protocols/cassandra/config.h"
-#include "decision/engine.h"
 #include "config/engine_settings.h"
+#include "decision/engine.h"
+#include "protocols/cassandra/config.h"
 
 namespace reedchute::protocols::cassandra {
 
@@ -20,9 +20,9 @@
   reedchute::cql::Nature nature = reedchute::cql::Nature::idempotent;
   std::string_view keyspace, table;
   std::uint16_t consistency = 0;
-  bool nextPage = false;                    // of a paged read
-  std::optional<WallTime> pagePosition;    // what the page before it was read at
-  std::string_view workload, mark;          // empty: not told
+  bool nextPage = false;                 // of a paged read
+  std::optional<WallTime> pagePosition;  // what the page before it was read at
+  std::string_view workload, mark;       // empty: not told
   std::optional<std::int64_t> group;
 };
 
@@ -31,8 +31,8 @@
   std::optional<Duration> timeout;  // the mapping's
 };
 
-// Rows of the module's workloads that stand for one of the settings' with something taken off: an effect that the
-// statement's nature forbids, or a page that must be as fresh as the one before.
+// Rows of the module's workloads that stand for one of the settings' with something taken off: an
+// effect that the statement's nature forbids, or a page that must be as fresh as the one before.
 class TableMapping {
  public:
   // Adds the rows to `terms`; `names` keeps only those that clients may name, and learns what
@@ -40,20 +40,26 @@
   TableMapping(const Config& config, EngineSettings& terms, Names& names);
 
   // Preparing a text: a read of no age at any member of the group.
-  std::optional<std::string> placePrepare(const StatementDescription& told, const IdIndex<std::int64_t>& groups, MappedStatement& into) const;
+  std::optional<std::string> placePrepare(const StatementDescription& told,
+                                          const IdIndex<std::int64_t>& groups,
+                                          MappedStatement& into) const;
 
   // Either fills `into`, or says why it can't be taken.
-  std::optional<std::string> place(const StatementDescription& told, const IdIndex<std::int64_t>& groups, MappedStatement& into) const;
+  std::optional<std::string> place(const StatementDescription& told,
+                                   const IdIndex<std::int64_t>& groups,
+                                   MappedStatement& into) const;
 
  private:
   const Mapping* find(const StatementDescription& told) const;
-  std::optional<std::string> placeGroup(const StatementDescription& told, const Mapping* m, const IdIndex<std::int64_t>& groups,
+  std::optional<std::string> placeGroup(const StatementDescription& told, const Mapping* m,
+                                        const IdIndex<std::int64_t>& groups,
                                         MappedStatement& into) const;
 
   std::vector<Mapping> mappings_;
   std::vector<std::string> names_;
   std::vector<Workload> workloads_;  // of the settings
-  std::vector<int> once_, paged_;    // by workload: its row without repeats, its row for further pages; itself if none
+  std::vector<int> once_,
+      paged_;  // by workload: its row without repeats, its row for further pages; itself if none
   int prepare_ = -1;
   bool storesDropMarks_;
 };
--- a/src/protocols/cassandra/upstream_connection.cpp
+++ b/src/protocols/cassandra/upstream_connection.cpp
@@ -5,11 +5,11 @@
 
 #include "codec/cql/framing.h"
 #include "codec/cql/reply.h"
+#include "log/log.h"
 #include "protocols/cassandra/error_outcomes.h"
-#include "protocols/cassandra/streams.h"
 #include "protocols/cassandra/statement_decoder.h"
+#include "protocols/cassandra/streams.h"
 #include "request/store_report.h"
-#include "log/log.h"
 
 namespace reedchute::protocols::cassandra {
 
@@ -22,14 +22,16 @@
 namespace {
 
 constexpr std::size_t kReadAtOnce = 64 * 1024;  // before what came is looked at
-constexpr double kPreparePart = 1.0 / 8;        // of the jobs that a connection carries, that may be preparations
+constexpr double kPreparePart =
+    1.0 / 8;                    // of the jobs that a connection carries, that may be preparations
 constexpr double kLook = 0.02;  // connect time-outs between two looks at what others prepare
-constexpr int kAgain = 2;  // times that one execution prepares anew what its store has lost
-constexpr int kInARow = 32;  // frames of one store before others have their turn
+constexpr int kAgain = 2;       // times that one execution prepares anew what its store has lost
+constexpr int kInARow = 32;     // frames of one store before others have their turn
 
 class Connection : public request::UpstreamConnection {
  public:
-  Connection(UpstreamProtocol& voice, upstream::ConnectionPools& owner, int of, request::ProtocolVersion spoken, int fd)
+  Connection(UpstreamProtocol& voice, upstream::ConnectionPools& owner, int of,
+             request::ProtocolVersion spoken, int fd)
       : UpstreamConnection(owner, of, spoken),
         voice_(voice),
         socket_(owner.scheduler(), fd),
@@ -52,7 +54,9 @@
     socket_.in.set();
   }
   std::size_t jobs() const override { return streams_.taken() + incoming_.size(); }
-  std::size_t held() const override { return in_.capacity() + out_.capacity() + going_.capacity() + framing_.held(); }
+  std::size_t held() const override {
+    return in_.capacity() + out_.capacity() + going_.capacity() + framing_.held();
+  }
 
   runtime::Task<bool> comeUp(TimePoint until) override;
   runtime::Task<> serve() override;
@@ -60,7 +64,9 @@
 
  private:
   runtime::Scheduler& scheduler() { return stores.scheduler(); }
-  WallTime newest() { return scheduler().wall().wallOf(scheduler().now()) + stores.limits().connectTimeout; }
+  WallTime newest() {
+    return scheduler().wall().wallOf(scheduler().now()) + stores.limits().connectTimeout;
+  }
   bool read(TimePoint now);
   void begin(int stream);
   void beginNew();
@@ -86,8 +92,9 @@
   cql::Framing framing_;
   Streams streams_;
   std::deque<UpstreamRequest*> incoming_;
-  std::string in_, out_, going_;  // read; to be written; being written when the kernel takes no more
-  std::size_t used_ = 0;          // of what was read
+  std::string in_, out_,
+      going_;             // read; to be written; being written when the kernel takes no more
+  std::size_t used_ = 0;  // of what was read
   std::uint64_t queued_ = 0, written_ = 0;  // bytes, since the connection began
   TimePoint partSince_ = kNever, heardAt_ = kNever, retiredAt_ = kNever;
   bool retired_ = false, writing_ = false, broken_ = false;
@@ -190,8 +197,8 @@
   stores.finish(job, ending);
 }
 
-// What an execution needs is prepared first, one text after the other and on its own stream; what another job of
-// this connection is preparing is waited for.
+// What an execution needs is prepared first, one text after the other and on its own stream; what
+// another job of this connection is preparing is waited for.
 void Connection::begin(int stream) {
   Streams::Stream& s = streams_.at(stream);
   // Danger: what waited here may be written too late, for nobody, or to a store that drains by now.
@@ -224,7 +231,8 @@
   here.state = Streams::State::asked;
   if (s) {
     std::vector<std::string> ids;
-    for (const PreparedRef& text : s->needs) ids.push_back(voice_.known(store).prepared.find(text->id)->id);
+    for (const PreparedRef& text : s->needs)
+      ids.push_back(voice_.known(store).prepared.find(text->id)->id);
     here.job->toldMs = here.job->leftMs(scheduler().instant());
     put(stream, s->flags, s->opcode, worded(*s, here.job->toldMs, ids));
   } else {
@@ -233,7 +241,8 @@
   here.writtenAt = queued_;
 }
 
-// Danger: behind what the kernel doesn't take a job would be written long after its time; it waits unwritten.
+// Danger: behind what the kernel doesn't take a job would be written long after its time; it waits
+// unwritten.
 void Connection::beginNew() {
   while (!writing_ && out_.size() < kReadAtOnce && !streams_.full() && !retired_) {
     UpstreamRequest* job = nullptr;
@@ -263,11 +272,14 @@
   for (int stream : streams_.busy()) {
     Streams::Stream& s = streams_.at(stream);
     if (!s.job->cancelled && s.job->until > now) continue;
-    // What waits for the kernel to take it counts as asked: it can't be taken back. What was only prepared never ran,
-    // and a time-out would say that it may have.
-    bool asked = s.state == Streams::State::asked, out = asked || s.state == Streams::State::preparing;
-    AttemptOutcome called = asked ? AttemptOutcome::cancelled : AttemptOutcome::neverSent, late = asked ? AttemptOutcome::timeout : AttemptOutcome::connectFailed;
-    // Danger: a connection on which nothing comes is likely dead, and each job given to it loses its time.
+    // What waits for the kernel to take it counts as asked: it can't be taken back. What was only
+    // prepared never ran, and a time-out would say that it may have.
+    bool asked = s.state == Streams::State::asked,
+         out = asked || s.state == Streams::State::preparing;
+    AttemptOutcome called = asked ? AttemptOutcome::cancelled : AttemptOutcome::neverSent,
+                   late = asked ? AttemptOutcome::timeout : AttemptOutcome::connectFailed;
+    // Danger: a connection on which nothing comes is likely dead, and each job given to it loses
+    // its time.
     if (!s.job->cancelled && out && heardAt_ < s.job->begun) retire();
     finish(stream, s.job->cancelled ? called : late, out);
   }
@@ -280,9 +292,10 @@
   for (int stream : streams_.busy()) {
     Streams::Stream& s = streams_.at(stream);
     bool written = s.state == Streams::State::asked && s.writtenAt <= written_;
-    finish(stream, s.job->cancelled ? (written ? AttemptOutcome::cancelled : AttemptOutcome::neverSent)
-                   : written        ? AttemptOutcome::reset
-                                    : AttemptOutcome::connectFailed,
+    finish(stream,
+           s.job->cancelled ? (written ? AttemptOutcome::cancelled : AttemptOutcome::neverSent)
+           : written        ? AttemptOutcome::reset
+                            : AttemptOutcome::connectFailed,
            false);
   }
   while (!incoming_.empty()) {
@@ -314,7 +327,9 @@
     streams_.prepared(stream);
     return begin(stream);
   }
-  AttemptOutcome ending = f.opcode == Opcode::error ? endingOf(r.code, cql::valueOf(r.payload, "turned")) : AttemptOutcome::malformedResponse;
+  AttemptOutcome ending = f.opcode == Opcode::error
+                              ? endingOf(r.code, cql::valueOf(r.payload, "turned"))
+                              : AttemptOutcome::malformedResponse;
   // Nothing of the statement itself was ever sent.
   if (ending == AttemptOutcome::error) ending = AttemptOutcome::overloaded;
   if (ending == AttemptOutcome::invalid) {
@@ -329,8 +344,8 @@
   UpstreamRequest& job = *s.job;
   const auto* statement = static_cast<const Statement*>(job.payload);
   learn(r.payload, job);
-  if (f.opcode == Opcode::error && r.code == cql::kUnprepared && statement && !statement->needs.empty() &&
-      s.again < kAgain) {
+  if (f.opcode == Opcode::error && r.code == cql::kUnprepared && statement &&
+      !statement->needs.empty() && s.again < kAgain) {
     // Danger: it has lost its texts, likely all of them, as it was started again. Nothing ran.
     ++s.again;
     voice_.known(store).prepared.forgetAll();
@@ -343,7 +358,8 @@
     if (f.opcode == Opcode::supported && cql::readMultimap(f.body, said)) {
       ending = AttemptOutcome::ok;
       for (const auto& [name, values] : said)
-        if (name == "USAGE" && !values.empty()) job.report = request::readReport(values.front(), newest());
+        if (name == "USAGE" && !values.empty())
+          job.report = request::readReport(values.front(), newest());
     } else if (f.opcode == Opcode::error) {
       ending = endingOf(r.code, {});
     }
@@ -355,11 +371,14 @@
     bool asWished = statement->opcode != Opcode::prepare || r.kind == cql::ResultKind::prepared;
     if (asWished) ending = AttemptOutcome::ok;
     if (ending == AttemptOutcome::ok && !statement->preparedId.empty())
-      voice_.known(store).prepared.learn(statement->preparedId, {std::string(r.id), std::string(r.resultId)});
+      voice_.known(store).prepared.learn(statement->preparedId,
+                                         {std::string(r.id), std::string(r.resultId)});
   }
-  if (ending == AttemptOutcome::malformedResponse) job.role = Role::unknown, job.position.reset(), job.report = {};
+  if (ending == AttemptOutcome::malformedResponse)
+    job.role = Role::unknown, job.position.reset(), job.report = {};
   job.answer.bytes = f.body;
-  job.answer.form = static_cast<unsigned>(f.flags & ~cql::kCompressed) << 8 | static_cast<unsigned>(f.opcode);
+  job.answer.form = static_cast<unsigned>(f.flags & ~cql::kCompressed) << 8 |
+                    static_cast<unsigned>(f.opcode);
   finish(stream, job.cancelled ? AttemptOutcome::cancelled : ending, false);
 }
 
@@ -369,19 +388,27 @@
   if (f.opcode == Opcode::event) return true;  // none was asked for
   if (!streams_.known(f.stream)) return garbled("stream");
   Streams::Stream& s = streams_.at(f.stream);
-  // Danger: an answer that nobody asked for, or a second one, could pass for the next job's on that stream.
-  if (s.state == Streams::State::free || s.state == Streams::State::parked) return garbled("unasked");
+  // Danger: an answer that nobody asked for, or a second one, could pass for the next job's on that
+  // stream.
+  if (s.state == Streams::State::free || s.state == Streams::State::parked)
+    return garbled("unasked");
   if (s.state == Streams::State::orphan) {
     streams_.freed(f.stream);
     return true;
   }
   cql::Reply r;
   bool sound = cql::readReply(f, r);
-  bool possible = f.opcode == Opcode::result || f.opcode == Opcode::error || f.opcode == Opcode::supported;
+  bool possible = f.opcode == Opcode::result || f.opcode == Opcode::error ||
+                  f.opcode == Opcode::supported;
   if (!sound || !possible) {
-    // Danger: nothing of a spoilt answer is to be believed, least of all that the statement never ran.
+    // Danger: nothing of a spoilt answer is to be believed, least of all that the statement never
+    // ran.
     bool ran = s.state == Streams::State::asked;
-    finish(f.stream, s.job->cancelled ? AttemptOutcome::cancelled : ran ? AttemptOutcome::malformedResponse : AttemptOutcome::connectFailed, false);
+    finish(f.stream,
+           s.job->cancelled ? AttemptOutcome::cancelled
+           : ran            ? AttemptOutcome::malformedResponse
+                            : AttemptOutcome::connectFailed,
+           false);
     return garbled("answer");
   }
   if (s.state == Streams::State::preparing)
@@ -419,7 +446,8 @@
       if (in_.empty()) partSince_ = kNever;
       // Danger: a length that promises more than ever comes would hold all jobs behind it.
       if (!in_.empty() && partSince_ == kNever) partSince_ = now;
-      if (partSince_ != kNever && now - partSince_ >= stores.limits().connectTimeout) return garbled("stalled");
+      if (partSince_ != kNever && now - partSince_ >= stores.limits().connectTimeout)
+        return garbled("stalled");
       return true;
     }
     heardAt_ = now;
@@ -461,18 +489,22 @@
     if (had && streams_.jobs() == 0) idleSince = now;
     bool idle = streams_.jobs() == 0 && incoming_.empty();
     if (idle && retired_) break;
-    // Danger: the store's machine closes what has been idle for the stated time; a job that is written just then is
-    // lost. A connection is given up a connect time-out earlier.
-    TimePoint until = idle ? idleSince + stores.limits().keepalive - stores.limits().connectTimeout : nextDeadline();
+    // Danger: the store's machine closes what has been idle for the stated time; a job that is
+    // written just then is lost. A connection is given up a connect time-out earlier.
+    TimePoint until = idle ? idleSince + stores.limits().keepalive - stores.limits().connectTimeout
+                           : nextDeadline();
     if (idle && until <= now) break;
-    // Danger: after a drain's grace nothing new may reach the store, nor what the kernel hasn't taken by then.
+    // Danger: after a drain's grace nothing new may reach the store, nor what the kernel hasn't
+    // taken by then.
     TimePoint graceEnds = retiredAt_ + stores.limits().connectTimeout;
     if (retired_ && writing_ && graceEnds <= now) break;
     if (retired_ && writing_) until = std::min(until, graceEnds);
     // Texts may be prepared by another connection meanwhile.
-    if (!streams_.parked().empty()) until = std::min(until, now + stores.limits().connectTimeout * kLook);
+    if (!streams_.parked().empty())
+      until = std::min(until, now + stores.limits().connectTimeout * kLook);
     if (partSince_ != kNever) until = std::min(until, partSince_ + stores.limits().connectTimeout);
-    // Danger: frames without end, as fast as they can be read, would have this thread for themselves.
+    // Danger: frames without end, as fast as they can be read, would have this thread for
+    // themselves.
     if (std::exchange(more_, false))
       co_await runtime::sleepUntil(scheduler(), now + Duration{1});
     else
@@ -495,7 +527,8 @@
   return known_.try_emplace(store, room_, most).first->second;
 }
 
-std::unique_ptr<request::UpstreamConnection> UpstreamProtocol::carrier(upstream::ConnectionPools& stores, int store, request::ProtocolVersion version, int fd) {
+std::unique_ptr<request::UpstreamConnection> UpstreamProtocol::carrier(
+    upstream::ConnectionPools& stores, int store, request::ProtocolVersion version, int fd) {
   return std::make_unique<Connection>(*this, stores, store, version, fd);
 }
 
--- a/src/protocols/cassandra/upstream_connection.h
+++ b/src/protocols/cassandra/upstream_connection.h
@@ -1,4 +1,5 @@
-// The Cassandra protocol towards the stores: a connection carries many jobs at once, each on a stream of its own.
+// The Cassandra protocol towards the stores: a connection carries many jobs at once, each on a
+// stream of its own.
 #pragma once
 
 #include <map>
@@ -11,10 +12,12 @@
 
 class UpstreamProtocol : public request::UpstreamProtocol {
  public:
-  UpstreamProtocol(const Config& config, int version, StorePrepared::Room& room) : config_(config), version_(version), room_(room) {}
+  UpstreamProtocol(const Config& config, int version, StorePrepared::Room& room)
+      : config_(config), version_(version), room_(room) {}
 
-  std::unique_ptr<request::UpstreamConnection> carrier(upstream::ConnectionPools& stores, int store, request::ProtocolVersion version,
-                                             int fd) override;
+  std::unique_ptr<request::UpstreamConnection> carrier(upstream::ConnectionPools& stores, int store,
+                                                       request::ProtocolVersion version,
+                                                       int fd) override;
   std::size_t atOnce() const override { return config_.storeStreams; }
   void forget(int store) override { known_.erase(store); }
 
--- a/src/protocols/postgres/client_codec.cpp
+++ b/src/protocols/postgres/client_codec.cpp
@@ -4,8 +4,8 @@
 #include <deque>
 #include <utility>
 
-#include "log/log.h"
 #include "codec/pg/messages.h"
+#include "log/log.h"
 
 namespace reedchute::protocols::postgres {
 namespace pg = reedchute::pg;
@@ -14,9 +14,9 @@
 constexpr std::size_t kMostMessage = 160 * 1024;  // a value of 64 KiB in hex digits, and the rest
 constexpr std::size_t kMostStartup = 10'000;      // as PostgreSQL has it
 
-// Statements of one client go side by side as far as that shows in nothing but time: their answers go out in
-// the order of the statements, and a write waits until all before it have their answers, as what stands
-// behind a write does.
+// Statements of one client go side by side as far as that shows in nothing but time: their answers
+// go out in the order of the statements, and a write waits until all before it have their answers,
+// as what stands behind a write does.
 class Session : public client::ClientCodec, public request::ResponseSink {
  public:
   Session(ClientProtocol& door, client::ClientChannel& line) : door_(door), line_(line) {}
@@ -29,8 +29,9 @@
   std::size_t owed() const override { return replies_.size(); }
   bool full() const override {
     if (replies_.empty()) return false;
-    return waits_ || replies_.back().after != After::goesOn || replies_.size() >= door_.pipeline.statements ||
-           door_.kept > door_.pipeline.bytes || !door_.handler.roomy();
+    return waits_ || replies_.back().after != After::goesOn ||
+           replies_.size() >= door_.pipeline.statements || door_.kept > door_.pipeline.bytes ||
+           !door_.handler.roomy();
   }
   std::size_t kept() const override {
     auto waits = [](const Reply& r) { return r.done && r.until > kNever; };
@@ -60,8 +61,10 @@
     answered(requestId, std::move(answer.bytes));
   }
   void rejected(int requestId, Duration retryAfter) override {
-    std::string back = retryAfter > Duration{} ? std::to_string(retryAfter.us / 1000) : std::string();
-    answered(requestId, pg::error(false, "53300", "rejected: trying again does no harm", back) + pg::ready());
+    std::string back = retryAfter > Duration{} ? std::to_string(retryAfter.us / 1000)
+                                               : std::string();
+    answered(requestId,
+             pg::error(false, "53300", "rejected: trying again does no harm", back) + pg::ready());
   }
   bool gone() const override { return line_.clientGone(); }
   // Danger: 53300 and 57P03 tell a client that trying again is harmless, and here it may not be.
@@ -76,7 +79,7 @@
   struct Reply {
     int statement = -1;
     bool write = false;
-    bool done = false;         // `bytes` are the whole of it
+    bool done = false;  // `bytes` are the whole of it
     After after = After::goesOn;
     TimePoint until = kNever;  // that its client waits, for the answer to a statement
     std::string bytes;
@@ -173,8 +176,8 @@
 
   // `alone`: nothing has come behind it.
   void query(std::string_view text, TimePoint came, std::size_t& used, bool alone) {
-    // Danger: a client that asks again at once would meet the end of its connection with its next request. It is told
-    // with this one, of which nothing has run.
+    // Danger: a client that asks again at once would meet the end of its connection with its next
+    // request. It is told with this one, of which nothing has run.
     if (alone && replies_.empty() && !door_.handler.takes(came))
       return end("57P03", "this server is shutting down: ask another", After::endsForLeaving);
     request::ReceivedStatement taken;
@@ -183,14 +186,17 @@
     if (auto reply = door_.takeIn.read(text, door_.scheduler.now(), door_.scheduler.wall(), taken))
       return say(std::move(*reply));
     bool write = door_.takeIn.writes(taken.arrival.workload);
-    // Danger: a read that overtakes the write before it would not see it, nor a write the one before it.
-    waits_ = std::any_of(replies_.begin(), replies_.end(), [&](const Reply& r) { return write || r.write; });
+    // Danger: a read that overtakes the write before it would not see it, nor a write the one
+    // before it.
+    waits_ = std::any_of(replies_.begin(), replies_.end(),
+                         [&](const Reply& r) { return write || r.write; });
     if (waits_) return void(used = 0);
     int requestId = first_ + static_cast<int>(replies_.size());
     Reply& r = replies_.emplace_back();
     r.write = write, r.until = taken.came + taken.timeout;
     int statement = door_.handler.admit(std::move(taken), *this, requestId);
-    if (statement >= 0) replies_.back().statement = statement;  // otherwise it has its answer already
+    if (statement >= 0)
+      replies_.back().statement = statement;  // otherwise it has its answer already
   }
 
   ClientProtocol& door_;
@@ -204,8 +210,12 @@
 
 }  // namespace
 
-std::unique_ptr<client::ClientCodec> ClientProtocol::talk(client::ClientChannel& line) { return std::make_unique<Session>(*this, line); }
+std::unique_ptr<client::ClientCodec> ClientProtocol::talk(client::ClientChannel& line) {
+  return std::make_unique<Session>(*this, line);
+}
 
-std::size_t ClientProtocol::mostMessage() const { return kMostMessage; }
+std::size_t ClientProtocol::mostMessage() const {
+  return kMostMessage;
+}
 
 }  // namespace reedchute::protocols::postgres
--- a/src/protocols/postgres/client_codec.h
+++ b/src/protocols/postgres/client_codec.h
@@ -1,12 +1,13 @@
 // PostgreSQL towards the clients: simple queries, answered in their order.
 #pragma once
 
-#include "protocols/postgres/statement_decoder.h"
 #include "client/client_connections.h"
+#include "protocols/postgres/statement_decoder.h"
 
 namespace reedchute::protocols::postgres {
 
-// What one client may have in hand at a time, and how many bytes of answers may wait for their turn, of all clients.
+// What one client may have in hand at a time, and how many bytes of answers may wait for their
+// turn, of all clients.
 struct Pipeline {
   std::size_t statements = 1, bytes = 0;
 };
@@ -14,7 +15,8 @@
 class ClientProtocol : public client::ClientProtocol {
  public:
   // `version`: the row of the stores' table in which its statements travel.
-  ClientProtocol(runtime::Scheduler& s, request::StatementHandler& d, TakeIn t, request::ProtocolVersion in, Pipeline p)
+  ClientProtocol(runtime::Scheduler& s, request::StatementHandler& d, TakeIn t,
+                 request::ProtocolVersion in, Pipeline p)
       : scheduler(s), handler(d), takeIn(t), version(in), pipeline(p) {}
 
   std::unique_ptr<client::ClientCodec> talk(client::ClientChannel& line) override;
--- a/src/protocols/postgres/statement_decoder.cpp
+++ b/src/protocols/postgres/statement_decoder.cpp
@@ -3,21 +3,24 @@
 #include <algorithm>
 
 #include "base/parse_number.h"
-#include "log/log.h"
 #include "codec/pg/messages.h"
 #include "codec/pg/statement.h"
+#include "log/log.h"
 
 namespace reedchute::protocols::postgres {
 namespace {
 
-constexpr std::size_t kMostText = 64 * 1024 * 2 + 4096;  // a value of 64 KiB in hex digits, and the rest
+constexpr std::size_t kMostText = 64 * 1024 * 2 +
+                                  4096;  // a value of 64 KiB in hex digits, and the rest
 constexpr std::int64_t kLongestWaitMs = 86'400'000;
-constexpr std::int64_t kLatestMs = 100'000'000'000'000;  // far ahead, and far from what microseconds can hold
+constexpr std::int64_t kLatestMs =
+    100'000'000'000'000;  // far ahead, and far from what microseconds can hold
 
 namespace pg = reedchute::pg;
 
 std::string refusal(std::string_view code, std::string_view text) {
-  log::line("bad_statement", "code=%s what=\"%s\"", std::string(code).c_str(), std::string(text).c_str());
+  log::line("bad_statement", "code=%s what=\"%s\"", std::string(code).c_str(),
+            std::string(text).c_str());
   return pg::error(false, code, text) + pg::ready();
 }
 
@@ -31,10 +34,12 @@
 
 }  // namespace
 
-std::optional<std::string> TakeIn::read(std::string_view text, TimePoint now, const runtime::WallClock& wall,
+std::optional<std::string> TakeIn::read(std::string_view text, TimePoint now,
+                                        const runtime::WallClock& wall,
                                         request::ReceivedStatement& taken) const {
   if (text.size() > kMostText) return refusal("54000", "the statement is too long");
-  if (text.find('\0') != std::string_view::npos) return refusal("22021", "a zero byte in the statement");
+  if (text.find('\0') != std::string_view::npos)
+    return refusal("22021", "a zero byte in the statement");
   pg::Fields f;
   switch (pg::readStatement(text, f)) {
     case pg::Read::good:
@@ -55,11 +60,13 @@
   if (a.workload < 0) return refusal("22023", "an unknown workload");
   a.group = groups_.find(*f.group);
   if (a.group < 0) return refusal("22023", "an unknown group");
-  // Danger: of two open statements with one id, the later would pass for the earlier wherever ids are told apart.
+  // Danger: of two open statements with one id, the later would pass for the earlier wherever ids
+  // are told apart.
   if (openIds_.contains(std::string(f.id))) return refusal("22023", "an id that is open already");
   if (names_.marked[static_cast<std::size_t>(a.workload)] && f.mark.empty())
     return refusal("22023", "no k where the workload needs one");
-  if (f.afterMs && (*f.afterMs < 0 || *f.afterMs > kLatestMs)) return refusal("22023", "a position that makes no sense");
+  if (f.afterMs && (*f.afterMs < 0 || *f.afterMs > kLatestMs))
+    return refusal("22023", "a position that makes no sense");
   if (*f.waitMs > kLongestWaitMs) return refusal("22023", "a wait that makes no sense");
   taken.timeout = Duration{*f.waitMs * 1000};
   a.session = sessionOf(f.key);
--- a/src/protocols/postgres/statement_decoder.h
+++ b/src/protocols/postgres/statement_decoder.h
@@ -1,4 +1,5 @@
-// Stage 1, take in, for PostgreSQL: from the text of a query to what the module is told of it, or to what is wrong with it.
+// Stage 1, take in, for PostgreSQL: from the text of a query to what the module is told of it, or
+// to what is wrong with it.
 #pragma once
 
 #include <cstdint>
@@ -7,10 +8,10 @@
 #include <string_view>
 
 #include "base/id_index.h"
+#include "config/engine_settings.h"
 #include "decision/engine.h"
 #include "request/request.h"
 #include "runtime/wall_clock.h"
-#include "config/engine_settings.h"
 
 namespace reedchute::protocols::postgres {
 
@@ -23,11 +24,13 @@
 
 class TakeIn {
  public:
-  TakeIn(const EngineSettings& terms, const Names& names, const IdIndex<std::int64_t>& groups, const request::OpenIds& openIds)
+  TakeIn(const EngineSettings& terms, const Names& names, const IdIndex<std::int64_t>& groups,
+         const request::OpenIds& openIds)
       : terms_(terms), names_(names), groups_(groups), openIds_(openIds) {}
 
   // Either fills `taken`, or returns the whole answer that the client gets at once.
-  std::optional<std::string> read(std::string_view text, TimePoint now, const runtime::WallClock& wall,
+  std::optional<std::string> read(std::string_view text, TimePoint now,
+                                  const runtime::WallClock& wall,
                                   request::ReceivedStatement& taken) const;
 
   bool writes(int workload) const {
--- a/src/protocols/postgres/upstream_connection.cpp
+++ b/src/protocols/postgres/upstream_connection.cpp
@@ -4,12 +4,12 @@
 #include <optional>
 #include <utility>
 
+#include "codec/pg/messages.h"
+#include "codec/pg/statement.h"
+#include "log/log.h"
 #include "protocols/postgres/statement_decoder.h"
 #include "request/store_report.h"
-#include "log/log.h"
 #include "upstream/connection_pools.h"
-#include "codec/pg/messages.h"
-#include "codec/pg/statement.h"
 
 namespace reedchute::protocols::postgres {
 namespace pg = reedchute::pg;
@@ -17,9 +17,11 @@
 namespace {
 
 constexpr std::size_t kReadAtOnce = 64 * 1024;  // before what came is looked at
-constexpr std::size_t kMostBeside = 64 * 1024;  // of parameters and notices, in one answer or between two
-constexpr std::size_t kTail = 256;              // what usually follows a row
-// A store is told what is left as the first byte is written, and may be told a little more than is left at the last.
+constexpr std::size_t kMostBeside =
+    64 * 1024;                      // of parameters and notices, in one answer or between two
+constexpr std::size_t kTail = 256;  // what usually follows a row
+// A store is told what is left as the first byte is written, and may be told a little more than is
+// left at the last.
 constexpr Duration kLongestWrite{100'000};
 constexpr const char *kUser = "web", *kDatabase = "orders";  // as clients give them
 
@@ -47,8 +49,8 @@
     job = j;
     socket.in.set();
   }
-  // Danger: an answer may have come already, and with it what its store is; unread it would be lost with the connection.
-  // While it is written the job is only stopped.
+  // Danger: an answer may have come already, and with it what its store is; unread it would be lost
+  // with the connection. While it is written the job is only stopped.
   void cancel(UpstreamRequest*) override { writing ? socket.close() : socket.in.set(); }
   void close() override { socket.close(); }
   std::size_t jobs() const override { return job != nullptr; }
@@ -59,8 +61,8 @@
 
   enum class Seen { nothing, good, broken };
 
-  // Takes one message off the buffer; `broken` where the stream makes no sense. Danger: parameters and notices without
-  // end, as fast as they can be read, would have this thread for themselves.
+  // Takes one message off the buffer; `broken` where the stream makes no sense. Danger: parameters
+  // and notices without end, as fast as they can be read, would have this thread for themselves.
   Seen take(pg::Message& m) {
     Seen seen = frame(m);
     if (seen == Seen::good && (m.type == 'S' || m.type == 'N')) beside += m.whole.size();
@@ -85,9 +87,10 @@
 
   // Between jobs: is it still open, and has nothing come that a job's answer could be mistaken for?
   bool quiet() {
-    // Danger: the end may stand right behind what came last, and its event may not have been seen yet; a statement that
-    // is written then is lost. So it is read up to where nothing is left.
-    for (runtime::Socket::Got got = runtime::Socket::Got::some; got != runtime::Socket::Got::nothing;) {
+    // Danger: the end may stand right behind what came last, and its event may not have been seen
+    // yet; a statement that is written then is lost. So it is read up to where nothing is left.
+    for (runtime::Socket::Got got = runtime::Socket::Got::some;
+         got != runtime::Socket::Got::nothing;) {
       got = socket.read(in, kReadAtOnce);
       if (got == runtime::Socket::Got::ended) return false;
       pg::Message m;
@@ -97,8 +100,8 @@
     return true;
   }
 
-  // The next message, in `in` until drop(); false where the connection ended or the time came first, and where
-  // the store makes a pause of `pause` in the middle of its answer.
+  // The next message, in `in` until drop(); false where the connection ended or the time came
+  // first, and where the store makes a pause of `pause` in the middle of its answer.
   runtime::Task<bool> next(pg::Message& m, TimePoint until, bool begun = false) {
     for (;;) {
       Seen seen = take(m);
@@ -107,7 +110,8 @@
         garbled = true;
         co_return false;
       }
-      // A row says early how long it is: its place is taken once, and not again and again as it grows.
+      // A row says early how long it is: its place is taken once, and not again and again as it
+      // grows.
       std::size_t whole = kept + pg::statedSize(std::string_view(in).substr(kept));
       if (whole > in.capacity()) in.reserve(whole + kTail);
       // Danger: rows that all stores send at once would together take all memory there is.
@@ -130,13 +134,18 @@
     }
   }
   runtime::Scheduler& scheduler() { return stores.scheduler(); }
-  // A commit's time is rounded up, and clocks are read at different moments: a little ahead is no untruth.
-  WallTime newest() { return scheduler().wall().wallOf(scheduler().now()) + stores.limits().connectTimeout; }
+  // A commit's time is rounded up, and clocks are read at different moments: a little ahead is no
+  // untruth.
+  WallTime newest() {
+    return scheduler().wall().wallOf(scheduler().now()) + stores.limits().connectTimeout;
+  }
 
   runtime::Socket socket;
   std::string in;
-  std::size_t beside = 0;          // bytes of parameters and notices since the last answer
-  std::size_t used = 0, kept = 0;  // of `in`: the message in hand; before it, what of the answer goes on as it came
+  std::size_t beside = 0;  // bytes of parameters and notices since the last answer
+  std::size_t
+      used = 0,
+      kept = 0;  // of `in`: the message in hand; before it, what of the answer goes on as it came
   UpstreamRequest* job = nullptr;
   bool garbled = false, timedOut = false, writing = false, asked = false;
 
@@ -148,14 +157,14 @@
 void Connection::learn(std::string_view payload, UpstreamRequest& to) {
   auto name = pg::takeString(payload), value = pg::takeString(payload);
   if (!name || !value) return;
-  if (*name == "server_role")
-    to.role = request::readRole(*value);
+  if (*name == "server_role") to.role = request::readRole(*value);
   if (*name == "usage") to.report = request::readReport(*value, newest());
   if (*name == "commit_clock")
     if (auto at = request::readPosition(*value, newest())) to.position = at;
 }
 
-// The answer goes on in the buffer in which it came: values may be long, and each copy of them costs.
+// The answer goes on in the buffer in which it came: values may be long, and each copy of them
+// costs.
 void Connection::handOver(UpstreamRequest& to) {
   std::string behind = in.substr(kept);
   in.resize(kept);
@@ -187,15 +196,16 @@
   }
 }
 
-// Reads the answer to the job, of which `rest` is still to be written, if its connection holds; false where the
-// connection is of no more use. Sets the job's ending.
+// Reads the answer to the job, of which `rest` is still to be written, if its connection holds;
+// false where the connection is of no more use. Sets the job's ending.
 runtime::Task<bool> Connection::perform(std::optional<std::string_view> rest) {
   UpstreamRequest& j = *job;
   bool written = rest && rest->empty();
   if (written) j.wholeAt = j.leftAt;
   if (rest && !written) {
     writing = true;
-    // Danger: a read whose last byte leaves too late is a stale one, a write's too late for its window a second effect.
+    // Danger: a read whose last byte leaves too late is a stale one, a write's too late for its
+    // window a second effect.
     TimePoint wholeBy = std::min(std::min(j.until, j.sendBy), j.leftAt + kLongestWrite);
     written = co_await runtime::writeAll(socket, *rest, wholeBy);
     if (written) j.wholeAt = scheduler().instant();
@@ -203,7 +213,8 @@
   }
   if (!written) {
     // Danger: a job that was called off while it was written says nothing about the store.
-    // So does one that was held up on its way: the kernel may take it late for this process's own sake.
+    // So does one that was held up on its way: the kernel may take it late for this process's own
+    // sake.
     bool late = scheduler().now() >= std::min(j.sendBy, j.leftAt + kLongestWrite);
     j.outcome = j.cancelled || late ? AttemptOutcome::neverSent : AttemptOutcome::connectFailed;
     co_return false;
@@ -226,7 +237,8 @@
         sound = described && !complete && !failed && rows == 0;
         ++rows;
         if (j.statement < 0)
-          if (auto value = pg::firstColumn(m.payload)) j.report = request::readReport(*value, newest());
+          if (auto value = pg::firstColumn(m.payload))
+            j.report = request::readReport(*value, newest());
         keep();
         break;
       case 'C':
@@ -245,7 +257,8 @@
           j.outcome = AttemptOutcome::overloaded;
         else
           j.outcome = blamesStatement(code) ? AttemptOutcome::invalid : AttemptOutcome::error;
-        if (code != "25006" && code != "72000" && code != "53300" && code != "XX000" && j.statement >= 0)
+        if (code != "25006" && code != "72000" && code != "53300" && code != "XX000" &&
+            j.statement >= 0)
           log::line("store_error", "store=%d code=%.5s", store, std::string(code).c_str());
         break;
       }
@@ -271,17 +284,19 @@
   }
   if (garbled) {
     log::line("store_garbled", "store=%d", store);
-    // Danger: nothing of a spoilt answer is to be believed, least of all that the statement never ran.
+    // Danger: nothing of a spoilt answer is to be believed, least of all that the statement never
+    // ran.
     j.role = Role::unknown, j.position.reset(), j.report = {};
     j.outcome = j.cancelled ? AttemptOutcome::cancelled : AttemptOutcome::malformedResponse;
     co_return false;
   }
-  if (failed) co_return false;  // its word stands, though the connection ended before it was ready again
+  if (failed)
+    co_return false;  // its word stands, though the connection ended before it was ready again
   if (complete && !j.cancelled) handOver(j);
   j.outcome = j.cancelled ? AttemptOutcome::cancelled
-             : complete  ? AttemptOutcome::ok
-             : timedOut  ? AttemptOutcome::timeout
-                         : AttemptOutcome::reset;
+              : complete  ? AttemptOutcome::ok
+              : timedOut  ? AttemptOutcome::timeout
+                          : AttemptOutcome::reset;
   co_return false;
 }
 
@@ -291,8 +306,8 @@
     if (!job) {
       idleSince = scheduler().now();
       stores.ready(*this);
-      // Danger: the store's machine closes what has been idle for the stated time; a job that is written just
-      // then is lost. A connection is given up a connect time-out earlier.
+      // Danger: the store's machine closes what has been idle for the stated time; a job that is
+      // written just then is lost. A connection is given up a connect time-out earlier.
       TimePoint until = idleSince + stores.limits().keepalive - stores.limits().connectTimeout;
       bool alive = true;
       while (alive && !job) {
@@ -303,7 +318,8 @@
       if (!job) stores.unready(*this);
       if (!alive) break;
     }
-    // Danger: what the store sent unasked would pass for the answer, and what it ended would lose the job.
+    // Danger: what the store sent unasked would pass for the answer, and what it ended would lose
+    // the job.
     if (!quiet()) {
       if (job->cancelled) break;
       stores.giveBack(std::exchange(job, nullptr));
@@ -311,8 +327,8 @@
     }
     UpstreamRequest* j = job;
     std::string words = wordsOf(*j, stores.scheduler().instant());
-    // Danger: the process may stand still anywhere; as little as can be lies between this look at the time and the
-    // write.
+    // Danger: the process may stand still anywhere; as little as can be lies between this look at
+    // the time and the write.
     if (!stores.leaves(*j)) {
       job = nullptr;
       stores.finish(j, AttemptOutcome::neverSent);
@@ -331,13 +347,16 @@
 
 runtime::Task<> Connection::end() {
   socket.close();
-  if (job) stores.finish(std::exchange(job, nullptr), asked ? AttemptOutcome::reset : AttemptOutcome::neverSent);
+  if (job)
+    stores.finish(std::exchange(job, nullptr),
+                  asked ? AttemptOutcome::reset : AttemptOutcome::neverSent);
   co_return;
 }
 
 }  // namespace
 
-std::unique_ptr<request::UpstreamConnection> UpstreamProtocol::carrier(upstream::ConnectionPools& stores, int store, request::ProtocolVersion version, int fd) {
+std::unique_ptr<request::UpstreamConnection> UpstreamProtocol::carrier(
+    upstream::ConnectionPools& stores, int store, request::ProtocolVersion version, int fd) {
   return std::make_unique<Connection>(stores, store, version, fd);
 }
 
--- a/src/protocols/postgres/upstream_connection.h
+++ b/src/protocols/postgres/upstream_connection.h
@@ -7,8 +7,9 @@
 
 class UpstreamProtocol : public request::UpstreamProtocol {
  public:
-  std::unique_ptr<request::UpstreamConnection> carrier(upstream::ConnectionPools& stores, int store, request::ProtocolVersion version,
-                                             int fd) override;
+  std::unique_ptr<request::UpstreamConnection> carrier(upstream::ConnectionPools& stores, int store,
+                                                       request::ProtocolVersion version,
+                                                       int fd) override;
   std::size_t atOnce() const override { return 1; }
 };
 
--- a/src/proxy/protocols.cpp
+++ b/src/proxy/protocols.cpp
@@ -2,18 +2,20 @@
 
 #include <algorithm>
 
-#include "protocols/cassandra/upstream_connection.h"
+#include "pipeline/statement_table.h"
 #include "protocols/cassandra/client_codec.h"
-#include "protocols/postgres/upstream_connection.h"
+#include "protocols/cassandra/upstream_connection.h"
 #include "protocols/postgres/client_codec.h"
-#include "pipeline/statement_table.h"
+#include "protocols/postgres/upstream_connection.h"
 
 namespace reedchute::proxy {
 namespace {
 
-// Of the memory: for the statements that one client has in hand, and for answers that wait for those before them.
+// Of the memory: for the statements that one client has in hand, and for answers that wait for
+// those before them.
 constexpr std::size_t kPipelinePart = 16, kKeptPart = 16;
-// Of the memory: for the texts that clients have prepared, and for what stores have prepared, all together.
+// Of the memory: for the texts that clients have prepared, and for what stores have prepared, all
+// together.
 constexpr std::size_t kPreparedPart = 32, kStoresPreparedPart = 8;
 
 class Postgres : public Protocol {
@@ -21,8 +23,10 @@
   Postgres(Config& config, const ProtocolContext& g)
       : config_(config),
         speech_(g.stores.add(voice_)),
-        door_(g.scheduler, g.handler, protocols::postgres::TakeIn(config.terms, config.names, g.groups, g.openIds), speech_,
-              {std::max<std::size_t>(1, config.memory / kPipelinePart / pipeline::StatementTable::costOf(0)),
+        door_(g.scheduler, g.handler,
+              protocols::postgres::TakeIn(config.terms, config.names, g.groups, g.openIds), speech_,
+              {std::max<std::size_t>(
+                   1, config.memory / kPipelinePart / pipeline::StatementTable::costOf(0)),
                config.memory / kKeptPart}) {}
 
   const char* name() const override { return "postgres"; }
@@ -30,7 +34,9 @@
   sockaddr_in listen() const override { return config_.listen; }
   std::vector<request::ProtocolVersion> versions() const override { return {speech_}; }
   bool probes() const override { return !config_.cassandra || !config_.cassandra->probes; }
-  std::optional<sockaddr_in> addressOf(const discovery::Endpoint& m) const override { return m.address; }
+  std::optional<sockaddr_in> addressOf(const discovery::Endpoint& m) const override {
+    return m.address;
+  }
 
  private:
   const Config& config_;
@@ -50,13 +56,16 @@
         five_(config_, 5, room_),
         speeches_{g.stores.add(four_), g.stores.add(five_)},
         door_(g.scheduler, g.handler, *this, config_,
-              protocols::cassandra::TakeIn(config_, config.names, g.groups, g.openIds, *config.chart, texts_), texts_, speeches_[0],
-              speeches_[1]) {}
+              protocols::cassandra::TakeIn(config_, config.names, g.groups, g.openIds,
+                                           *config.chart, texts_),
+              texts_, speeches_[0], speeches_[1]) {}
 
   const char* name() const override { return "cassandra"; }
   client::ClientProtocol& door() override { return door_; }
   sockaddr_in listen() const override { return config_.listen; }
-  void listening(int port) override { config_.listen.sin_port = htons(static_cast<std::uint16_t>(port)); }
+  void listening(int port) override {
+    config_.listen.sin_port = htons(static_cast<std::uint16_t>(port));
+  }
   std::size_t connections() const override { return config_.connections; }
   std::vector<request::ProtocolVersion> versions() const override { return speeches_; }
   bool probes() const override { return config_.probes; }
--- a/src/proxy/protocols.h
+++ b/src/proxy/protocols.h
@@ -1,5 +1,5 @@
-// The table of the protocols that the front speaks. Each has its folder under src/doors; another one is a folder and
-// a row more.
+// The table of the protocols that the front speaks. Each has its folder under src/doors; another
+// one is a folder and a row more.
 #pragma once
 
 #include <memory>
@@ -7,9 +7,9 @@
 #include <vector>
 
 #include "base/id_index.h"
-#include "request/request.h"
-#include "config/config.h"
 #include "client/client_connections.h"
+#include "config/config.h"
+#include "request/request.h"
 #include "upstream/connection_pools.h"
 
 namespace reedchute::proxy {
@@ -31,7 +31,9 @@
   virtual client::ClientProtocol& door() = 0;
   virtual sockaddr_in listen() const = 0;
   virtual void listening(int /*port*/) {}
-  virtual std::size_t connections() const { return 0; }  // that its clients may hold; 0: what the others leave
+  virtual std::size_t connections() const {
+    return 0;
+  }  // that its clients may hold; 0: what the others leave
   virtual std::vector<request::ProtocolVersion> versions() const = 0;
   virtual bool probes() const = 0;  // is it the one in which stores are probed?
   // Where a store is spoken to in it.
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -7,67 +7,85 @@
 #include <cerrno>
 #include <utility>
 
-#include "proxy/startup.h"
 #include "invariants/violations.h"
 #include "log/log.h"
+#include "proxy/startup.h"
 
 namespace reedchute::proxy {
 namespace {
 
-// Descriptors: a reserve for the list, the signals, the log and the like; of the rest, a third is the
-// stores'.
+// Descriptors: a reserve for the list, the signals, the log and the like; of the rest, a third is
+// the stores'.
 constexpr std::size_t kReserve = 24;
 constexpr std::size_t kStorePart = 3;
-// PROTOCOL: clients hold a third of the descriptors at most for what they ask; half of that may stand idle.
+// PROTOCOL: clients hold a third of the descriptors at most for what they ask; half of that may
+// stand idle.
 constexpr std::size_t kIdlePart = 6;
-// Memory, as parts of what is allowed: buffers of clients, answers on their way from stores and one row of them,
-// statements in hand with what they usually need, and the list as it comes: 2 MB of 32, or 2 KB for each of 1,024
-// stores, and twice as much for its values while it is read.
-constexpr std::size_t kClientPart = 4, kAnswerPart = 4, kRowPart = 32, kStatementPart = 2, kListPart = 16;
-// PROTOCOL: after SIGTERM clients keep coming for 0.2 to 0.4 s, and what arrives up to 0.7 s after it counts. What is
-// taken later may not have its answer before the process is killed, and the signal may be read 0.15 s late.
+// Memory, as parts of what is allowed: buffers of clients, answers on their way from stores and one
+// row of them, statements in hand with what they usually need, and the list as it comes: 2 MB of
+// 32, or 2 KB for each of 1,024 stores, and twice as much for its values while it is read.
+constexpr std::size_t kClientPart = 4, kAnswerPart = 4, kRowPart = 32, kStatementPart = 2,
+                      kListPart = 16;
+// PROTOCOL: after SIGTERM clients keep coming for 0.2 to 0.4 s, and what arrives up to 0.7 s after
+// it counts. What is taken later may not have its answer before the process is killed, and the
+// signal may be read 0.15 s late.
 constexpr Duration kStillComing{550'000};
-// In connect time-outs: whoever has come is left alone for so long; owes a whole message; may be closed when idle.
+// In connect time-outs: whoever has come is left alone for so long; owes a whole message; may be
+// closed when idle.
 constexpr double kGrace = 0.1, kSilence = 6, kIdle = 8;
-// PROTOCOL: what a silent watch misses counts as told so long after it fell silent, and for a call that may wait, a
-// third of that after its wait, and so does whatever a call that failed did not bring. A watch waits two fifths of it,
-// and is broken a sixth later; what is left is for the next call, which may fail once more.
+// PROTOCOL: what a silent watch misses counts as told so long after it fell silent, and for a call
+// that may wait, a third of that after its wait, and so does whatever a call that failed did not
+// bring. A watch waits two fifths of it, and is broken a sixth later; what is left is for the next
+// call, which may fail once more.
 constexpr Duration kToldAnyway{6'000'000};
 // PROTOCOL: what an answer tells counts as known so long after it was written.
 constexpr Duration kKnownAfter{100'000};
 constexpr double kWatchPart = 2.0 / 5, kSilentPart = 1.0 / 6;
-// Where the list is pushed, what its agent has counts as told: as parts of the grace of a drain, how long a connection
-// to it may take, and the pause between calls that fail.
+// Where the list is pushed, what its agent has counts as told: as parts of the grace of a drain,
+// how long a connection to it may take, and the pause between calls that fail.
 constexpr double kDialPart = 2.0 / 5, kRetryPart = 1.0 / 5;
-constexpr double kFirstList = 2;   // connect time-outs that clients are kept waiting for the first list
+constexpr double kFirstList =
+    2;  // connect time-outs that clients are kept waiting for the first list
 constexpr double kRemembered = 2;  // keepalives that a store which is gone is remembered for
 constexpr Duration kTallyEvery{5'000'000};
-// A configuration that can't be read is tried again for so long after its signal, first after so many ticks.
+// A configuration that can't be read is tried again for so long after its signal, first after so
+// many ticks.
 constexpr Duration kReloadTried{10'000'000};
 constexpr double kReloadFirst = 4;
 
 upstream::ConnectionPools::Limits storeLimits(const Config& g) {
-  return {g.terms.connectTimeout, g.keepalive, (g.sockets - kReserve) / kStorePart, g.memory / kRowPart,
-          g.memory / kAnswerPart};
+  return {g.terms.connectTimeout, g.keepalive, (g.sockets - kReserve) / kStorePart,
+          g.memory / kRowPart, g.memory / kAnswerPart};
 }
 
-// On sockets what the list's service has, and what an answer tells, counts as told at its time, read or not.
+// On sockets what the list's service has, and what an answer tells, counts as told at its time,
+// read or not.
 Config counted(Config g) {
   g.terms.toldAnyway = kToldAnyway, g.terms.answersCountAfter = kKnownAfter;
   return g;
 }
 
 discovery::EndpointWatcher::Pace listPace(const EngineSettings& t) {
-  Duration dial = t.mustAsk ? t.connectTimeout : std::min(t.connectTimeout, t.drainGrace * kDialPart);
+  Duration dial = t.mustAsk ? t.connectTimeout
+                            : std::min(t.connectTimeout, t.drainGrace * kDialPart);
   return {std::min(t.askEvery, kToldAnyway * kWatchPart), kToldAnyway * kSilentPart, dial,
           std::min(t.connectTimeout, t.drainGrace) * kRetryPart, t.mustAsk};
 }
 
 // `part`: of all places for clients, that one protocol's have.
-client::ClientConnections::Limits clientLimits(const Config& g, std::size_t places, std::size_t part) {
+client::ClientConnections::Limits clientLimits(const Config& g, std::size_t places,
+                                               std::size_t part) {
   Duration unit = g.terms.connectTimeout;
-  auto share = [&](std::size_t of) { return part == places ? of : std::max<std::size_t>(1, of * part / places); };
-  return {part, unit, g.keepalive, unit * kGrace, unit * kSilence, unit * kIdle, share(g.sockets / kIdlePart),
+  auto share = [&](std::size_t of) {
+    return part == places ? of : std::max<std::size_t>(1, of * part / places);
+  };
+  return {part,
+          unit,
+          g.keepalive,
+          unit * kGrace,
+          unit * kSilence,
+          unit * kIdle,
+          share(g.sockets / kIdlePart),
           share(g.memory / kClientPart)};
 }
 
@@ -114,12 +132,14 @@
       responder_(groups_),
       statements_(scheduler_, engine_, responder_, config_.terms),
       stores_(scheduler_, statements_, storeLimits(config_)),
-      protocols_(protocolsOf(config_, {scheduler_, *this, stores_, storeIds_, groups_, statements_.openIds()})),
-      dispatcher_(scheduler_, statements_, stores_, config_.terms.connectTimeout, probeVersion(protocols_)),
+      protocols_(protocolsOf(
+          config_, {scheduler_, *this, stores_, storeIds_, groups_, statements_.openIds()})),
+      dispatcher_(scheduler_, statements_, stores_, config_.terms.connectTimeout,
+                  probeVersion(protocols_)),
       router_(scheduler_, engine_, statements_, dispatcher_, responder_, stores_),
       admission_(engine_, statements_),
-      list_(scheduler_, *this, config_.discovery, config_.discoveryHost,
-            config_.known.version, listPace(config_.terms), config_.memory / kListPart),
+      list_(scheduler_, *this, config_.discovery, config_.discoveryHost, config_.known.version,
+            listPace(config_.terms), config_.memory / kListPart),
       told_(scheduler_),
       listed_(scheduler_) {
   router_.list(&list_);
@@ -130,11 +150,13 @@
   }
   std::size_t places = clientPlaces(config_), reserved = 0;
   for (const auto& p : protocols_) reserved += p->connections();
-  if (reserved * 2 > places) throw Malformed("the doors' connections need more than half of the places for clients");
+  if (reserved * 2 > places)
+    throw Malformed("the doors' connections need more than half of the places for clients");
   for (const auto& p : protocols_)
     clients_.push_back(std::make_unique<client::ClientConnections>(
         scheduler_, p->door(), counters_,
-        clientLimits(config_, places, p->connections() > 0 ? p->connections() : places - reserved)));
+        clientLimits(config_, places,
+                     p->connections() > 0 ? p->connections() : places - reserved)));
 }
 
 std::size_t Proxy::sessions() const {
@@ -189,8 +211,9 @@
   log::flushCounts();
 }
 
-// Danger: what the list's agent has counts as told from the first moment, and the list known from before may be old:
-// a statement taken before the agent was heard could go to a store that has drained since. It may be away, though.
+// Danger: what the list's agent has counts as told from the first moment, and the list known from
+// before may be old: a statement taken before the agent was heard could go to a store that has
+// drained since. It may be away, though.
 runtime::Task<> Proxy::open() {
   co_await listed_.wait(scheduler_.now() + config_.terms.connectTimeout * kFirstList);
   if (lifecycle_ == Lifecycle::shuttingDown) co_return;
@@ -215,8 +238,8 @@
   }
 }
 
-// Danger: the file may be half written as the signal comes, or a descriptor for it may be missing at this moment; no
-// other signal would tell when it can be read.
+// Danger: the file may be half written as the signal comes, or a descriptor for it may be missing
+// at this moment; no other signal would tell when it can be read.
 runtime::Task<> Proxy::watchReloads() {
   for (;;) {
     co_await reloads_.wait();
@@ -230,7 +253,8 @@
   }
 }
 
-// Danger: the file may be missing, half written or senseless; then all stays as it is. False where it can't be read.
+// Danger: the file may be missing, half written or senseless; then all stays as it is. False where
+// it can't be read.
 bool Proxy::reload() {
   Config next;
   try {
@@ -239,7 +263,8 @@
     log::line("reload_bad", "what=\"%s\"", e.what());
     return false;
   }
-  for (const char* field : changedForRestart(config_, next)) log::line("reload_ignored", "field=%s", field);
+  for (const char* field : changedForRestart(config_, next))
+    log::line("reload_ignored", "field=%s", field);
   log::line("reload", "discovery=%s", next.discoveryHost.c_str());
   config_.discovery = next.discovery;
   config_.discoveryHost = next.discoveryHost;
@@ -279,21 +304,26 @@
 void Proxy::tellTally() {
   auto count = [](std::uint64_t n) { return static_cast<unsigned long long>(n); };
   const pipeline::Responder::AnswerCounts& ends = responder_.answers();
-  log::line("tally",
-            "taken=%llu open=%zu sessions=%zu store_connections=%zu stores=%zu gone=%zu completed=%llu "
-            "rejected=%llu "
-            "aborted=%llu executions=%llu probes=%llu connects=%llu answered=%llu client_gone=%llu late=%llu",
-            count(counters_.taken), statements_.openCount(), sessions(), stores_.connections(), storeIds_.size(),
-            gone_.size(), count(ends.completed), count(ends.rejected), count(ends.aborted),
-            count(dispatcher_.executions()), count(dispatcher_.probes()), count(stores_.opened()),
-            count(counters_.answered), count(counters_.gone), count(counters_.late));
-}
-
-// Why connections of clients ended, why attempts were refused as they were to leave, and what the checks have found.
+  log::line(
+      "tally",
+      "taken=%llu open=%zu sessions=%zu store_connections=%zu stores=%zu gone=%zu completed=%llu "
+      "rejected=%llu "
+      "aborted=%llu executions=%llu probes=%llu connects=%llu answered=%llu client_gone=%llu "
+      "late=%llu",
+      count(counters_.taken), statements_.openCount(), sessions(), stores_.connections(),
+      storeIds_.size(), gone_.size(), count(ends.completed), count(ends.rejected),
+      count(ends.aborted), count(dispatcher_.executions()), count(dispatcher_.probes()),
+      count(stores_.opened()), count(counters_.answered), count(counters_.gone),
+      count(counters_.late));
+}
+
+// Why connections of clients ended, why attempts were refused as they were to leave, and what the
+// checks have found.
 void Proxy::tellEnds() const {
   std::string fields;
   auto add = [&](const char* kind, const char* name, std::uint64_t count) {
-    if (count > 0) fields += std::string(fields.empty() ? "" : " ") + kind + name + "=" + std::to_string(count);
+    if (count > 0)
+      fields += std::string(fields.empty() ? "" : " ") + kind + name + "=" + std::to_string(count);
   };
   for (int k = 1; k < static_cast<int>(client::CloseReason::count); ++k) {
     auto why = static_cast<client::CloseReason>(k);
@@ -317,8 +347,9 @@
   auto missing = static_cast<long long>(counters_.missing(owed));
   if (missing == 0) return;
   auto count = [](std::uint64_t n) { return static_cast<unsigned long long>(n); };
-  log::line("answers_missing", "statements=%lld taken=%llu answered=%llu client_gone=%llu owed=%zu", missing,
-            count(counters_.taken), count(counters_.answered), count(counters_.gone), owed);
+  log::line("answers_missing", "statements=%lld taken=%llu answered=%llu client_gone=%llu owed=%zu",
+            missing, count(counters_.taken), count(counters_.answered), count(counters_.gone),
+            owed);
 }
 
 runtime::Task<> Proxy::tally() {
@@ -340,24 +371,27 @@
     log::line("ledger", "state=%s what=\"%s\"", ledger::nameOf(s.is), s.what.c_str());
   if (s.lost != ledgerWas_.lost)
     log::line("ledger_lost", "entries=%llu", static_cast<unsigned long long>(s.lost));
-  if (s.jumps != ledgerWas_.jumps) log::line("ledger_clock", "jumps=%llu", static_cast<unsigned long long>(s.jumps));
+  if (s.jumps != ledgerWas_.jumps)
+    log::line("ledger_clock", "jumps=%llu", static_cast<unsigned long long>(s.jumps));
   if (s.diskErrors != ledgerWas_.diskErrors)
     log::line("ledger_disk", "errors=%llu", static_cast<unsigned long long>(s.diskErrors));
-  log::line("ledger_tally", "written=%llu durable=%llu ring_free=%zu", static_cast<unsigned long long>(s.written),
-            static_cast<unsigned long long>(s.durable), s.ringFree);
+  log::line("ledger_tally", "written=%llu durable=%llu ring_free=%zu",
+            static_cast<unsigned long long>(s.written), static_cast<unsigned long long>(s.durable),
+            s.ringFree);
   ledgerWas_ = s;
 }
 
 int Proxy::admit(request::ReceivedStatement taken, request::ResponseSink& sink, int requestId) {
   ++counters_.taken;
   // Danger: statements whose answers are long would together take all memory there is.
-  if (statements_.held() + pipeline::StatementTable::costOf(taken.payload->size()) > config_.memory / kStatementPart) {
+  if (statements_.held() + pipeline::StatementTable::costOf(taken.payload->size()) >
+      config_.memory / kStatementPart) {
     log::line("memory_full", "bytes=%zu open=%zu", statements_.held(), statements_.openCount());
     sink.rejected(requestId, Duration{});
     return -1;
   }
-  // Danger: a client that is still owed an answer may ask once more behind it; the process may be killed before that
-  // has its own.
+  // Danger: a client that is still owed an answer may ask once more behind it; the process may be
+  // killed before that has its own.
   if (!takes(taken.came)) {
     log::line("too_late", "open=%zu", statements_.openCount());
     sink.rejected(requestId, Duration{});
@@ -373,10 +407,12 @@
   return admission_.admit(std::move(taken), sink, requestId, scheduler_.now());
 }
 
-bool Proxy::roomy() const { return statements_.held() * 2 < config_.memory / kStatementPart; }
+bool Proxy::roomy() const {
+  return statements_.held() * 2 < config_.memory / kStatementPart;
+}
 
-// Danger: a client also leaves because the answer that it is owed never came; that is no going before its
-// time.
+// Danger: a client also leaves because the answer that it is owed never came; that is no going
+// before its time.
 void Proxy::left(int statement) {
   const pipeline::Statement& st = statements_.row(statement);
   if (st.open && scheduler_.now() <= st.giveUpAt + request::kStillOwed)
@@ -390,8 +426,8 @@
 }
 
 void Proxy::listCame(const discovery::EndpointList& roster) {
-  log::line("list", "version=%lld full=%d entries=%zu", static_cast<long long>(roster.version), roster.full,
-            roster.members.size());
+  log::line("list", "version=%lld full=%d entries=%zu", static_cast<long long>(roster.version),
+            roster.full, roster.members.size());
   tellList(roster, true);
   listed_.set();
 }
@@ -421,10 +457,13 @@
     if (m.startedMs > 0) e.started = startOf(e.store, WallTime{m.startedMs * 1000});
     for (const auto& p : protocols_)
       if (auto address = p->addressOf(m))
-        for (request::ProtocolVersion version : p->versions()) stores_.place(e.store, version, *address);
+        for (request::ProtocolVersion version : p->versions())
+          stores_.place(e.store, version, *address);
     engine_.addEndpoint(e, now);
     statements_.guard().listed(e.store, e.group, e.zone, e.listed, now);
-    const char* state = m.listed == EndpointStatus::up ? "up" : m.listed == EndpointStatus::draining ? "draining" : "gone";
+    const char* state = m.listed == EndpointStatus::up         ? "up"
+                        : m.listed == EndpointStatus::draining ? "draining"
+                                                               : "gone";
     log::line("member", "store=%d id=%s group=%lld state=%s primary=%d started_ms=%lld", e.store,
               m.id.c_str(), static_cast<long long>(m.group), state, m.primary,
               static_cast<long long>(m.startedMs));
@@ -438,8 +477,9 @@
   statements_.touch();
 }
 
-// Danger: read anew after the wall clock was set, a start that was told before would pass for another one, and one told
-// since might lie before it. Nothing that is told of has started later than now.
+// Danger: read anew after the wall clock was set, a start that was told before would pass for
+// another one, and one told since might lie before it. Nothing that is told of has started later
+// than now.
 TimePoint Proxy::startOf(int store, WallTime told) {
   Start& known = starts_[store];
   TimePoint at = std::min(scheduler_.wall().pointOf(told), scheduler_.now());
@@ -447,20 +487,24 @@
   return known.at;
 }
 
-// Danger: a read that waits for its connection was found fresh by the clock as it was. It is placed anew.
+// Danger: a read that waits for its connection was found fresh by the clock as it was. It is placed
+// anew.
 void Proxy::clockStepped(Duration ahead) {
   log::line("clock_step", "ahead_ms=%lld", static_cast<long long>(ahead.us / 1000));
   engine_.onClockStepped(ahead);
   stores_.recall([&](const request::UpstreamRequest& j) {
     if (j.statement < 0) return false;
-    Level level = config_.terms.workloads[static_cast<std::size_t>(statements_.row(j.statement).workload)].level;
+    Level level = config_.terms
+                      .workloads[static_cast<std::size_t>(statements_.row(j.statement).workload)]
+                      .level;
     return ahead > Duration{} && (level == Level::bounded || level == Level::fresh);
   });
   statements_.touch();
 }
 
-// Danger: with stores ever new, all that is kept of each would pile up. What is known of one is kept for a while,
-// as the list may drop by mistake what runs on; where a drop doesn't bind, for as long as the front runs.
+// Danger: with stores ever new, all that is kept of each would pile up. What is known of one is
+// kept for a while, as the list may drop by mistake what runs on; where a drop doesn't bind, for as
+// long as the front runs.
 void Proxy::forgetGone() {
   if (!config_.terms.goneBinds) return;
   std::erase_if(gone_, [&](const auto& entry) {
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -1,5 +1,5 @@
-// The front: one object whose phases lead from the start to the exit. It owns the module, the stages and the
-// peers, and ties them together.
+// The front: one object whose phases lead from the start to the exit. It owns the module, the
+// stages and the peers, and ties them together.
 #pragma once
 
 #include <csignal>
@@ -7,23 +7,23 @@
 #include <optional>
 
 #include "base/id_index.h"
-#include "config/config.h"
-#include "proxy/protocols.h"
 #include "client/client_connections.h"
+#include "config/config.h"
 #include "discovery/endpoint_watcher.h"
-#include "upstream/connection_pools.h"
 #include "pipeline/admission.h"
-#include "pipeline/statement_table.h"
+#include "pipeline/dispatcher.h"
 #include "pipeline/responder.h"
 #include "pipeline/router.h"
-#include "pipeline/dispatcher.h"
+#include "pipeline/statement_table.h"
+#include "proxy/protocols.h"
+#include "upstream/connection_pools.h"
 
 namespace reedchute::proxy {
 
 enum class Lifecycle {
   starting,  // the known list is told to the module, nothing listens yet
   serving,
-  draining,  // told to end: still serving whoever comes, as clients hear of it late
+  draining,      // told to end: still serving whoever comes, as clients hear of it late
   shuttingDown,  // no new clients; idle ones are sent away, what was taken gets its answer
   ended,
 };
@@ -92,8 +92,8 @@
   std::vector<std::unique_ptr<client::ClientConnections>> clients_;  // by protocol
   discovery::EndpointWatcher list_;
   TimePoint takenUntil_ = kForever;  // statements, once it was told to end
-  runtime::Event told_;    // a signal to end has come
-  runtime::Event listed_;  // the list has come
+  runtime::Event told_;              // a signal to end has come
+  runtime::Event listed_;            // the list has come
   request::RequestCounters counters_;
   ledger::FeedState ledgerWas_;
 };
--- a/src/proxy/startup.h
+++ b/src/proxy/startup.h
@@ -1,5 +1,5 @@
-// What a process needs to start, had through the failures of a moment: an address that the process before it
-// still holds, a machine that has no descriptor left just now.
+// What a process needs to start, had through the failures of a moment: an address that the process
+// before it still holds, a machine that has no descriptor left just now.
 #pragma once
 
 #include <cerrno>
@@ -28,8 +28,8 @@
   }
 }
 
-// What `make` returns, which is called again while it throws a std::system_error that passes, for some
-// seconds. It blocks: for use before anything is served.
+// What `make` returns, which is called again while it throws a std::system_error that passes, for
+// some seconds. It blocks: for use before anything is served.
 template <class Make>
 auto retryAtStart(const Make& make) {
   constexpr std::chrono::milliseconds kPause{50};
--- a/src/request/statement.h
+++ b/src/request/statement.h
@@ -5,8 +5,8 @@
 #include <string>
 #include <vector>
 
-#include "request/request.h"
 #include "invariants/attempt_guard.h"
+#include "request/request.h"
 
 namespace reedchute::pipeline {
 
@@ -22,11 +22,12 @@
   TimePoint giveUpAt;
   bool open = false;
   int out = 0;
-  std::vector<request::UpstreamRequest*> jobs;  // by the execution's number; none where it has ended
-  std::vector<invariants::EarlierAttempt> attempts;  // the same, as the guard knows them
-  AttemptOutcome lastOutcome = AttemptOutcome::neverSent;             // of the attempt that ended last
-  TimePoint came;                               // when it was taken
-  TimePoint clientLeftAt = kForever;            // when it was seen that its client had gone
+  std::vector<request::UpstreamRequest*>
+      jobs;  // by the execution's number; none where it has ended
+  std::vector<invariants::EarlierAttempt> attempts;        // the same, as the guard knows them
+  AttemptOutcome lastOutcome = AttemptOutcome::neverSent;  // of the attempt that ended last
+  TimePoint came;                                          // when it was taken
+  TimePoint clientLeftAt = kForever;  // when it was seen that its client had gone
 };
 
 }  // namespace reedchute::pipeline
--- a/src/request/store_report.cpp
+++ b/src/request/store_report.cpp
@@ -20,12 +20,14 @@
     std::size_t equals = pair.find('=');
     if (equals == std::string_view::npos) continue;
     std::optional<double> value = parseNumber<double>(pair.substr(equals + 1));
-    if (!value || !(std::abs(*value) < kMostNumber)) continue;  // nor infinity, nor what is no number
-    // Danger: a store that has no position yet says 0, and no primary; taken for a report it would hide the
-    // one.
+    if (!value || !(std::abs(*value) < kMostNumber))
+      continue;  // nor infinity, nor what is no number
+    // Danger: a store that has no position yet says 0, and no primary; taken for a report it would
+    // hide the one.
     if (pair.substr(0, equals) == "x0" && *value > 0)
       report.position = WallTime{static_cast<std::int64_t>(*value * 1e6)};
-    // Danger: a position ahead of the clock would hide every later one, and make stale reads look fresh.
+    // Danger: a position ahead of the clock would hide every later one, and make stale reads look
+    // fresh.
     if (report.position && *report.position > newest) return {};
     if (pair.substr(0, equals) == "x1") report.primary = *value > 0.5;
   }
--- a/src/request/store_report.h
+++ b/src/request/store_report.h
@@ -7,7 +7,8 @@
 
 namespace reedchute::request {
 
-// name=value pairs set apart by commas, as reports come. One whose position lies after `newest` is none.
+// name=value pairs set apart by commas, as reports come. One whose position lies after `newest` is
+// none.
 StoreReport readReport(std::string_view text, WallTime newest);
 
 // A store's word for its role, as it stands beside its answers.
--- a/src/runtime/backoff.h
+++ b/src/runtime/backoff.h
@@ -1,4 +1,5 @@
-// Pauses between the tries of something that fails: each twice the last, up to a bound. No I/O, no clock.
+// Pauses between the tries of something that fails: each twice the last, up to a bound. No I/O, no
+// clock.
 #pragma once
 
 #include <algorithm>
--- a/src/runtime/scheduler.cpp
+++ b/src/runtime/scheduler.cpp
@@ -41,7 +41,8 @@
 };
 
 Scheduler::Root Scheduler::runRoot(Task<> task) {
-  // Danger: an exception that leaves a coroutine ends the program, and with it every statement in hand.
+  // Danger: an exception that leaves a coroutine ends the program, and with it every statement in
+  // hand.
   try {
     co_await task;
   } catch (const std::exception& e) {
@@ -49,7 +50,9 @@
   }
 }
 
-void throwErrno(const char* what) { throw std::system_error(errno, std::generic_category(), what); }
+void throwErrno(const char* what) {
+  throw std::system_error(errno, std::generic_category(), what);
+}
 
 Scheduler::Scheduler() : epoll_(epoll_create1(EPOLL_CLOEXEC)) {
   if (epoll_ < 0) throwErrno("epoll can't be had");
@@ -88,10 +91,12 @@
   if (!coarse_) {
     timespec t{most.us / 1'000'000, most.us % 1'000'000 * 1000};
     n = epoll_pwait2(epoll_, events, kEventsAtOnce, &t, nullptr);
-    // Danger: where it is refused, as old filters do with what they don't know, it would be called in a loop.
+    // Danger: where it is refused, as old filters do with what they don't know, it would be called
+    // in a loop.
     coarse_ = n < 0 && errno != EINTR;
   }
-  if (coarse_) n = epoll_wait(epoll_, events, kEventsAtOnce, static_cast<int>((most.us + 999) / 1000));
+  if (coarse_)
+    n = epoll_wait(epoll_, events, kEventsAtOnce, static_cast<int>((most.us + 999) / 1000));
   if (n < 0 && errno != EINTR) throwErrno("epoll can't be waited for");
   return n;
 }
@@ -110,16 +115,18 @@
   epoll_event events[kEventsAtOnce];
   if (!timers_.empty()) until = std::min(until, timers_.begin()->first.first);
   for (const auto& [descriptor, due] : retries_) until = std::min(until, due);
-  Duration left = again_ || !ready_.empty() ? Duration{} : std::clamp(until - now_, Duration{}, Duration{kLongestWait});
+  Duration left = again_ || !ready_.empty()
+                      ? Duration{}
+                      : std::clamp(until - now_, Duration{}, Duration{kLongestWait});
   TimePoint begun = monotonicNow();
   int n = waitForEvents(events, left);
   readClock();
-  // Danger: a coroutine may close a descriptor whose events are still in hand, and its number may be used again at
-  // once; and what a round decides rests on all that has come: a client's end in the next batch would be seen too
-  // late. So all events are noted before the first coroutine runs.
+  // Danger: a coroutine may close a descriptor whose events are still in hand, and its number may
+  // be used again at once; and what a round decides rests on all that has come: a client's end in
+  // the next batch would be seen too late. So all events are noted before the first coroutine runs.
   noteEvents(events, n);
-  // Danger: the process may have been held up between the wait and the look at the clock; then these events are older
-  // than the round, and what has come since would be missing from it.
+  // Danger: the process may have been held up between the wait and the look at the clock; then
+  // these events are older than the round, and what has come since would be missing from it.
   bool mayBeOld = now_ - begun >= kOldRound;
   for (int batch = 1; (n == kEventsAtOnce || mayBeOld) && batch < kBatchesAtOnce; ++batch) {
     mayBeOld = false;
@@ -137,7 +144,9 @@
   return d.watched_;
 }
 
-void Scheduler::retryLater(Descriptor& d) { retries_.try_emplace(&d, now_ + kRetryPause); }
+void Scheduler::retryLater(Descriptor& d) {
+  retries_.try_emplace(&d, now_ + kRetryPause);
+}
 
 void Scheduler::retryDue() {
   std::vector<Descriptor*> due;
@@ -154,7 +163,8 @@
 }
 
 void Scheduler::fireTimers() {
-  while (!timers_.empty() && timers_.begin()->first.first <= now_) timers_.begin()->second->wake(true);
+  while (!timers_.empty() && timers_.begin()->first.first <= now_)
+    timers_.begin()->second->wake(true);
 }
 
 void Scheduler::runReady() {
@@ -211,8 +221,9 @@
   event.waiter_ = h;
   event.queued_ = {};
   if (until >= kForever) return;
-  event.timer_ =
-      event.scheduler_.timers_.emplace(std::pair{until, event.scheduler_.timerSeq_++}, &event).first;
+  event.timer_ = event.scheduler_.timers_
+                     .emplace(std::pair{until, event.scheduler_.timerSeq_++}, &event)
+                     .first;
   event.armed_ = true;
 }
 
--- a/src/runtime/scheduler.h
+++ b/src/runtime/scheduler.h
@@ -1,5 +1,5 @@
-// One thread's scheduler: coroutines over epoll, timers, and rounds. A round is all that one epoll pass
-// brought; every coroutine that it wakes runs before the round's end is called.
+// One thread's scheduler: coroutines over epoll, timers, and rounds. A round is all that one epoll
+// pass brought; every coroutine that it wakes runs before the round's end is called.
 #pragma once
 
 #include <coroutine>
@@ -31,25 +31,31 @@
   Scheduler(const Scheduler&) = delete;
   Scheduler& operator=(const Scheduler&) = delete;
 
-  // The time of this round, by the monotonic clock: all that had come by then is known to it, or nearly so.
+  // The time of this round, by the monotonic clock: all that had come by then is known to it, or
+  // nearly so.
   TimePoint now() const { return now_; }
-  // The same clock read at this instant: where a round may have been held up and what follows must not be late.
+  // The same clock read at this instant: where a round may have been held up and what follows must
+  // not be late.
   TimePoint instant() const;
   // Has this round gone on for so long, or been held up, that more may have come than it knows of?
   bool roundIsOld() const { return instant() - now_ >= kOldRound; }
   // Moments of the wall clock, as it stood when this round began.
   const WallClock& wall() const { return wall_; }
-  // Told at the beginning of a round, before anything that it woke runs, when the wall clock has been set by `least` or
-  // more since: by how much ahead, or below zero back.
-  void onStep(Duration least, std::function<void(Duration)> tell) { leastStep_ = least, stepped_ = std::move(tell); }
+  // Told at the beginning of a round, before anything that it woke runs, when the wall clock has
+  // been set by `least` or more since: by how much ahead, or below zero back.
+  void onStep(Duration least, std::function<void(Duration)> tell) {
+    leastStep_ = least, stepped_ = std::move(tell);
+  }
 
   // Starts a coroutine that nobody awaits, after the caller gives up the thread.
   void spawn(Task<> task);
 
-  // Runs rounds until stop(). `roundEnds` is called once a round, after all that the round woke has run.
+  // Runs rounds until stop(). `roundEnds` is called once a round, after all that the round woke has
+  // run.
   void run(const std::function<void()>& roundEnds);
   void stop() { stopped_ = true; }
-  // A round ends soon: the one that runs, or where its end has come already, the next, which begins at once.
+  // A round ends soon: the one that runs, or where its end has come already, the next, which begins
+  // at once.
   void again() { again_ = true; }
   // One round that waits no longer than until then.
   void pass(TimePoint until, const std::function<void()>& roundEnds);
@@ -84,7 +90,8 @@
   Timers timers_;
   std::uint64_t timerSeq_ = 0;
   std::unordered_set<void*> roots_;
-  std::map<Descriptor*, TimePoint> retries_;  // calls on them failed for want of memory; when they are made again
+  std::map<Descriptor*, TimePoint>
+      retries_;  // calls on them failed for want of memory; when they are made again
 };
 
 // What one coroutine waits for. Set while nobody waits, it is kept for the next who does.
@@ -135,8 +142,8 @@
   int fd() const { return fd_; }
   bool open() const { return fd_ >= 0; }
   void close();
-  // Has the other side ended its sending, or broken the connection? It shows here even while bytes that came before
-  // stand unread.
+  // Has the other side ended its sending, or broken the connection? It shows here even while bytes
+  // that came before stand unread.
   bool peerEnded() const { return peerEnded_; }
   // Since when something may stand unread; kNever: nothing does, as far as is known.
   TimePoint unreadSince() const { return unreadSince_; }
@@ -144,7 +151,8 @@
   Event in, out;
 
  protected:
-  // A call on it failed for want of memory, which brings no edge later: both events are set in a moment.
+  // A call on it failed for want of memory, which brings no edge later: both events are set in a
+  // moment.
   void retryLater() { scheduler_.retryLater(*this); }
   void readEmpty() { unreadSince_ = kNever; }  // all that had come was read
 
--- a/src/runtime/socket.cpp
+++ b/src/runtime/socket.cpp
@@ -22,7 +22,9 @@
   setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
 }
 
-bool lacksMemory(int error) { return error == ENOMEM || error == ENOBUFS; }
+bool lacksMemory(int error) {
+  return error == ENOMEM || error == ENOBUFS;
+}
 
 }  // namespace
 
@@ -60,7 +62,8 @@
 int portOf(int listener) {
   sockaddr_in a{};
   socklen_t size = sizeof a;
-  return getsockname(listener, reinterpret_cast<sockaddr*>(&a), &size) == 0 ? ntohs(a.sin_port) : -1;
+  return getsockname(listener, reinterpret_cast<sockaddr*>(&a), &size) == 0 ? ntohs(a.sin_port)
+                                                                            : -1;
 }
 
 Accepted acceptOn(int listener) {
@@ -84,7 +87,8 @@
     case ENOMEM:
       return {AcceptStatus::exhausted, -1, errno};
     default:
-      // Linux passes on the errors of the connection that was next in the queue, such as EPROTO or ENETUNREACH.
+      // Linux passes on the errors of the connection that was next in the queue, such as EPROTO or
+      // ENETUNREACH.
       return {AcceptStatus::failed, -1, errno};
   }
 }
@@ -93,7 +97,8 @@
   tcp_info info{};
   socklen_t size = sizeof info;
   if (getsockopt(fd, IPPROTO_TCP, TCP_INFO, &info, &size) < 0) return std::nullopt;
-  if (size < offsetof(tcp_info, tcpi_last_data_recv) + sizeof info.tcpi_last_data_recv) return std::nullopt;
+  if (size < offsetof(tcp_info, tcpi_last_data_recv) + sizeof info.tcpi_last_data_recv)
+    return std::nullopt;
   return Duration{std::int64_t{info.tcpi_last_data_recv} * 1000};
 }
 
@@ -102,15 +107,16 @@
   sawEmpty_ = false;
   while (open() && into.size() < most) {
     // Where much has come already, more is likely to be there.
-    std::size_t had = into.size(), step = std::min(had < kReadStep ? kReadStep : kLongStep, most - had);
+    std::size_t had = into.size(),
+                step = std::min(had < kReadStep ? kReadStep : kLongStep, most - had);
     into.resize(had + step);
     ssize_t n = recv(fd(), into.data() + had, step, 0);
     int why = errno;
     into.resize(had + static_cast<std::size_t>(std::max<ssize_t>(n, 0)));
     if (n > 0) {
       some = true;
-      // Danger: an end that came together with the bytes has no edge of its own; whoever waits for one hears of it
-      // only where reading goes on up to it.
+      // Danger: an end that came together with the bytes has no edge of its own; whoever waits for
+      // one hears of it only where reading goes on up to it.
       if (static_cast<std::size_t>(n) < step && !peerEnded()) return Got::some;
     } else if (n < 0 && why == EINTR) {
       continue;
@@ -170,7 +176,8 @@
   if (fd < 0) return -1;
   noDelay(fd);
   // Interrupted, it goes on as one that is in progress.
-  if (connect(fd, reinterpret_cast<const sockaddr*>(&to), sizeof to) < 0 && errno != EINPROGRESS && errno != EINTR) {
+  if (connect(fd, reinterpret_cast<const sockaddr*>(&to), sizeof to) < 0 && errno != EINPROGRESS &&
+      errno != EINTR) {
     // No port is left on this machine, or no memory.
     if (lacking) *lacking = errno == EADDRNOTAVAIL || errno == EAGAIN || lacksMemory(errno);
     close(fd);
@@ -185,7 +192,8 @@
     if (!ready || !s.open()) co_return false;
     int error = 0;
     socklen_t length = sizeof error;
-    if (getsockopt(s.fd(), SOL_SOCKET, SO_ERROR, &error, &length) < 0 || error != 0) co_return false;
+    if (getsockopt(s.fd(), SOL_SOCKET, SO_ERROR, &error, &length) < 0 || error != 0)
+      co_return false;
     // Danger: the first edge may come while the socket is not connected yet.
     sockaddr_in peer{};
     length = sizeof peer;
--- a/src/runtime/socket.h
+++ b/src/runtime/socket.h
@@ -11,8 +11,8 @@
 
 namespace reedchute::runtime {
 
-// "127.0.0.1:5432"; nothing where it is no IPv4 address with a port. Port 0, to listen on a port of the
-// system's choice, only where that is asked for.
+// "127.0.0.1:5432"; nothing where it is no IPv4 address with a port. Port 0, to listen on a port of
+// the system's choice, only where that is asked for.
 std::optional<sockaddr_in> parseAddress(std::string_view text, bool zeroPort = false);
 
 bool sameAddress(const sockaddr_in& a, const sockaddr_in& b);
@@ -26,7 +26,8 @@
 enum class AcceptStatus {
   accepted,
   noneWaits,  // the queue is empty, or the listener is closed
-  failed,     // as one connection in the queue did, or for a reason of this moment: the next call may succeed
+  failed,  // as one connection in the queue did, or for a reason of this moment: the next call may
+           // succeed
   exhausted,  // no descriptor or no memory is left
 };
 struct Accepted {
@@ -38,8 +39,8 @@
 // The next connection that waits to be accepted.
 Accepted acceptOn(int listener);
 
-// How long ago the last bytes came on a connection, whether they were read or not, as the kernel has noted it; nothing
-// where it doesn't tell.
+// How long ago the last bytes came on a connection, whether they were read or not, as the kernel
+// has noted it; nothing where it doesn't tell.
 std::optional<Duration> sinceLastBytes(int fd);
 
 class Socket : public Descriptor {
@@ -47,15 +48,15 @@
   using Descriptor::Descriptor;
 
   enum class Got { some, nothing, ended };
-  // Appends what has come to `into`, at most until it holds `most` bytes. `ended`: nothing more will come. Where the
-  // kernel lacks memory nothing comes for now, and `in` is set in a moment.
+  // Appends what has come to `into`, at most until it holds `most` bytes. `ended`: nothing more
+  // will come. Where the kernel lacks memory nothing comes for now, and `in` is set in a moment.
   Got read(std::string& into, std::size_t most);
   // Did the last read find that nothing was left? A short one alone doesn't tell.
   bool sawEmpty() const { return sawEmpty_; }
   // Did it end by a reset? Then what came may lack its end.
   bool wasReset() const { return wasReset_; }
-  // Writes what the kernel takes now and returns the rest; nothing once the connection is broken. Where the kernel
-  // lacks memory `out` is set in a moment.
+  // Writes what the kernel takes now and returns the rest; nothing once the connection is broken.
+  // Where the kernel lacks memory `out` is set in a moment.
   std::optional<std::string_view> write(std::string_view bytes);
   // Ends the sending side only.
   void endWriting();
@@ -64,7 +65,8 @@
   bool wasReset_ = false, sawEmpty_ = false;
 };
 
-// Writes all; false where the connection broke or the time came before the kernel had taken the last byte.
+// Writes all; false where the connection broke or the time came before the kernel had taken the
+// last byte.
 Task<bool> writeAll(Socket& s, std::string_view bytes, TimePoint until);
 
 // Starts a connection; the descriptor, or -1.
--- a/src/runtime/wall_clock.cpp
+++ b/src/runtime/wall_clock.cpp
@@ -15,7 +15,9 @@
 
 }  // namespace
 
-TimePoint monotonicNow() { return TimePoint{read(CLOCK_MONOTONIC)}; }
+TimePoint monotonicNow() {
+  return TimePoint{read(CLOCK_MONOTONIC)};
+}
 
 WallClock::WallClock() {
   offset_ = Duration{read(CLOCK_REALTIME) - read(CLOCK_MONOTONIC)};
@@ -23,8 +25,9 @@
   believed_ = offset_;
 }
 
-// Danger: a process may stand still between two readings, and the wall clock would seem to have been set.
-// Read in the middle, it shows between which two the offset lies; where it may have stayed as it was, it has.
+// Danger: a process may stand still between two readings, and the wall clock would seem to have
+// been set. Read in the middle, it shows between which two the offset lies; where it may have
+// stayed as it was, it has.
 TimePoint WallClock::look() {
   Duration before{read(CLOCK_MONOTONIC)}, wall{read(CLOCK_REALTIME)}, after{read(CLOCK_MONOTONIC)};
   offset_ = std::clamp(offset_, wall - after, wall - before);
--- a/src/simulator/adapter.cpp
+++ b/src/simulator/adapter.cpp
@@ -12,7 +12,8 @@
 constexpr int kSheets = 16;
 constexpr std::int64_t kLongestSleep = 71LL * 60 * 1'000'000;
 
-const Words<EndpointStatus> kStates = {{"U", EndpointStatus::up}, {"L", EndpointStatus::draining}, {"D", EndpointStatus::gone}};
+const Words<EndpointStatus> kStates = {
+    {"U", EndpointStatus::up}, {"L", EndpointStatus::draining}, {"D", EndpointStatus::gone}};
 
 AttemptOutcome endingOf(std::int64_t code) {
   switch (code) {
@@ -44,12 +45,14 @@
 // One instance: its module, and the maps from the wire's ids to indices.
 class Instance : public DecisionSink {
  public:
-  Instance(int number, const PlatformSettings& p, std::uint64_t seed, TimePoint now) : number_(number) {
+  Instance(int number, const PlatformSettings& p, std::uint64_t seed, TimePoint now)
+      : number_(number) {
     origin = TimePoint{p.integer("extra.origin_time")};
     engine_ = std::make_unique<DecisionEngine>(engineSettingsFrom(p, seed, names), now);
   }
 
-  void send(int statement, int store, TimePoint stopAt, TimePoint) override {  // here it leaves at once
+  void send(int statement, int store, TimePoint stopAt,
+            TimePoint) override {  // here it leaves at once
     ++ledger_[static_cast<std::size_t>(statement)].out;
     ++ledger_[static_cast<std::size_t>(statement)].sent;
     begin("SUBMIT_TO").add(stmts.id(statement)).add(stores.id(store)).add(stopAt.us).end();
@@ -68,7 +71,9 @@
   void probe(int store) override { begin("POLL").add(stores.id(store)).end(); }
   void release(int store) override { begin("RELEASE").add(stores.id(store)).end(); }
   void watchList() override { begin("OBSERVE").add(1).end(); }
-  void wake(Duration after) override { begin("SLEEP").add(1).add(std::min(after.us, kLongestSleep)).end(); }
+  void wake(Duration after) override {
+    begin("SLEEP").add(1).add(std::min(after.us, kLongestSleep)).end();
+  }
 
   void decide(TimePoint now, std::string& reply) {
     reply_ = &reply;
@@ -84,7 +89,8 @@
     bool closed = false, queued = false;
   };
   void open(int statement) {
-    if (ledger_.size() <= static_cast<std::size_t>(statement)) ledger_.resize(static_cast<std::size_t>(statement) + 1);
+    if (ledger_.size() <= static_cast<std::size_t>(statement))
+      ledger_.resize(static_cast<std::size_t>(statement) + 1);
     ledger_[static_cast<std::size_t>(statement)] = {};
   }
   void close(int statement) {
@@ -143,8 +149,10 @@
 Instance& Adapter::instance() {
   int number = static_cast<int>(line_.integer(1, "i", 0, INT32_MAX));
   auto it = instances_.find(number);
-  if (it == instances_.end()) throw Malformed("instance " + std::to_string(number) + " was never started");
-  if (std::find(touched_.begin(), touched_.end(), number) == touched_.end()) touched_.push_back(number);
+  if (it == instances_.end())
+    throw Malformed("instance " + std::to_string(number) + " was never started");
+  if (std::find(touched_.begin(), touched_.end(), number) == touched_.end())
+    touched_.push_back(number);
   return *it->second;
 }
 
@@ -187,12 +195,14 @@
     line_.expect(5);
     Instance& in = instance();
     int store = in.stores.find(line_.text(3, "store"));
-    if (store < 0) throw Malformed("a store that no list has named: '" + line_.text(3, "store") + "'");
+    if (store < 0)
+      throw Malformed("a store that no list has named: '" + line_.text(3, "store") + "'");
     AttemptOutcome ending = endingOf(line_.integer(2, "ending"));
     line_.integer(4, "delay_seen");
     Report report;
     for (auto [field, value] : line_.report(5, "pressure")) {
-      if (field == "x0") report.position = in.origin + Duration{static_cast<std::int64_t>(value * 1e6)};
+      if (field == "x0")
+        report.position = in.origin + Duration{static_cast<std::int64_t>(value * 1e6)};
       if (field == "x1") report.primary = value > 0.5;
     }
     in.engine().onProbeEnded(store, ending == AttemptOutcome::ok, report, now);
@@ -212,11 +222,13 @@
   } else if (name == "SPAWN") {
     if (line_.fields() < 3) line_.expect(3);
     int number = static_cast<int>(line_.integer(1, "i", 0, INT32_MAX));
-    if (instances_.count(number)) throw Malformed("instance " + std::to_string(number) + " runs already");
+    if (instances_.count(number))
+      throw Malformed("instance " + std::to_string(number) + " runs already");
     PlatformSettings params;
     for (std::size_t k = 3; k <= line_.fields(); ++k) params.add(line_.raw(k));
     try {
-      instances_[number] = std::make_unique<Instance>(number, params, line_.unsigned64(2, "nonce64"), now);
+      instances_[number] = std::make_unique<Instance>(number, params,
+                                                      line_.unsigned64(2, "nonce64"), now);
     } catch (const std::invalid_argument& e) {
       throw Malformed(e.what());
     }
@@ -231,16 +243,19 @@
     line_.expect(5);
     Instance& in = instance();
     int statement = in.stmts.find(line_.unsigned64(2, "req"));
-    if (statement < 0) throw Malformed("a statement that is not known: " + std::string(line_.raw(2)));
+    if (statement < 0)
+      throw Malformed("a statement that is not known: " + std::string(line_.raw(2)));
     line_.text(3, "store");
     line_.integer(4, "seq_no");
     line_.integer(5, "delay_seen");
-    in.engine().onClientClosed(statement);  // the answer has begun to flow to the client: nothing is left to decide
+    in.engine().onClientClosed(
+        statement);  // the answer has begun to flow to the client: nothing is left to decide
   } else if (name == "PEER") {
     line_.expect(3);
     line_.integer(2, "origin_peer");
     for (char c : line_.raw(3))
-      if (!std::isxdigit(static_cast<unsigned char>(c)) && c != '-') throw Malformed("bad value for data");
+      if (!std::isxdigit(static_cast<unsigned char>(c)) && c != '-')
+        throw Malformed("bad value for data");
     instance();
   } else {
     throw Malformed("unknown message '" + std::string(name.substr(0, 40)) + "'");
@@ -314,10 +329,12 @@
   Instance& in = instance();
   std::uint64_t id = line_.unsigned64(2, "req");
   int statement = in.stmts.find(id);
-  if (statement < 0) throw Malformed("an outcome of a statement that is not known: " + std::to_string(id));
+  if (statement < 0)
+    throw Malformed("an outcome of a statement that is not known: " + std::to_string(id));
   AttemptResult r;
   r.attempt = static_cast<int>(line_.integer(3, "seq_no", 0, INT32_MAX));
-  if (r.attempt >= in.account(statement).sent) throw Malformed("an outcome of an execution that was never sent");
+  if (r.attempt >= in.account(statement).sent)
+    throw Malformed("an outcome of an execution that was never sent");
   line_.text(4, "store");
   std::int64_t mark = line_.maybeInteger(5, "mark").value_or(0);
   r.elapsed = Duration{line_.integer(6, "delay_seen")};
@@ -327,7 +344,8 @@
   if (mark % 4 == 2) r.role = Role::replica;
   if (mark / 4 > 0) r.position = in.origin + Duration{mark / 4 * 1000};
   for (auto [field, value] : line_.report(9, "pressure"))
-    if (field == "x0") r.report.position = in.origin + Duration{static_cast<std::int64_t>(value * 1e6)};
+    if (field == "x0")
+      r.report.position = in.origin + Duration{static_cast<std::int64_t>(value * 1e6)};
   Instance::RequestCounters& account = in.account(statement);
   --account.out;
   in.engine().onAttemptEnded(statement, r, now);
--- a/src/simulator/adapter.h
+++ b/src/simulator/adapter.h
@@ -1,4 +1,5 @@
-// Hosts instances of the decision module on the simulator's wire: lines become calls, answers become lines.
+// Hosts instances of the decision module on the simulator's wire: lines become calls, answers
+// become lines.
 #pragma once
 
 #include <map>
--- a/src/simulator/frame.cpp
+++ b/src/simulator/frame.cpp
@@ -23,7 +23,8 @@
   return std::string(fields_[k]);
 }
 
-std::int64_t Line::integer(std::size_t k, const char* what, std::int64_t low, std::int64_t high) const {
+std::int64_t Line::integer(std::size_t k, const char* what, std::int64_t low,
+                           std::int64_t high) const {
   auto value = integerFrom<std::int64_t>(fields_[k], what);
   if (value < low || value > high) badValue(what, fields_[k]);
   return value;
@@ -48,9 +49,12 @@
   return integerFrom<std::uint64_t>(fields_[k], what, 16);
 }
 
-bool Line::boolean(std::size_t k, const char* what) const { return integer(k, what, 0, 1) == 1; }
+bool Line::boolean(std::size_t k, const char* what) const {
+  return integer(k, what, 0, 1) == 1;
+}
 
-std::vector<std::pair<std::string_view, double>> Line::report(std::size_t k, const char* what) const {
+std::vector<std::pair<std::string_view, double>> Line::report(std::size_t k,
+                                                              const char* what) const {
   std::vector<std::pair<std::string_view, double>> values;
   std::string_view text = fields_[k];
   if (absent(k) || text.empty()) return values;
--- a/src/simulator/frame.h
+++ b/src/simulator/frame.h
@@ -1,4 +1,5 @@
-// Reads the simulator's wire: lines of tab-separated fields. Knows fields and batches, not what they mean.
+// Reads the simulator's wire: lines of tab-separated fields. Knows fields and batches, not what
+// they mean.
 #pragma once
 
 #include <cstdint>
