--- a/src/upstream/connection_pools.cpp
+++ b/src/upstream/connection_pools.cpp
@@ -8,9 +8,10 @@
 namespace reedchute::upstream {
 namespace {
 
-constexpr double kSettle = 0.01;  // connect time-outs that a connection is idle before it is a sure one
-// Where stores are more than descriptors: of the connections, those that may be made for probes at once; and connect
-// time-outs that a statement waits for a place. A probe waits for one.
+constexpr double kSettle =
+    0.01;  // connect time-outs that a connection is idle before it is a sure one
+// Where stores are more than descriptors: of the connections, those that may be made for probes at
+// once; and connect time-outs that a statement waits for a place. A probe waits for one.
 constexpr std::size_t kProbesPart = 2;
 constexpr double kStatementWaits = 0.4, kLooks = 0.1;
 constexpr int kMostReturns = 3;  // connections that a job may find of no use
@@ -46,13 +47,17 @@
   jobs_.push_back(std::move(job));
   Pool& pool = poolOf(j->store, j->version);
   if (!pool.ready.empty()) {
-    // Danger: a store may close right behind its answer; a job that is written just then is lost. Of those with the
-    // fewest jobs, the one used last is taken that has been idle for a moment.
+    // Danger: a store may close right behind its answer; a job that is written just then is lost.
+    // Of those with the fewest jobs, the one used last is taken that has been idle for a moment.
     TimePoint settled = scheduler_.now() - limits_.connectTimeout * kSettle;
     UpstreamConnection* best = pool.ready.back();
-    auto sure = [&](const UpstreamConnection* c) { return c->jobs() > 0 || c->idleSince <= settled; };
+    auto sure = [&](const UpstreamConnection* c) {
+      return c->jobs() > 0 || c->idleSince <= settled;
+    };
     for (auto it = pool.ready.rbegin(); it != pool.ready.rend(); ++it)
-      if ((*it)->jobs() < best->jobs() || ((*it)->jobs() == best->jobs() && !sure(best) && sure(*it))) best = *it;
+      if ((*it)->jobs() < best->jobs() ||
+          ((*it)->jobs() == best->jobs() && !sure(best) && sure(*it)))
+        best = *it;
     if (best->jobs() + 1 >= atOnce(j->version)) std::erase(pool.ready, best);
     j->on = best;
     best->take(j);
@@ -73,7 +78,9 @@
 void ConnectionPools::withdraw(int store) {
   for (Pool& pool : pools_[static_cast<std::size_t>(store)]) {
     // Danger: a connection may come up as late as the grace ends.
-    for (std::list<UpstreamRequest*> left = std::exchange(pool.waiting, {}); UpstreamRequest * j : left) finish(j, AttemptOutcome::neverSent);
+    for (std::list<UpstreamRequest*> left = std::exchange(pool.waiting, {});
+         UpstreamRequest * j : left)
+      finish(j, AttemptOutcome::neverSent);
   }
   std::vector<UpstreamConnection*> all = connections_;
   for (UpstreamConnection* c : all)
@@ -135,33 +142,37 @@
   return bytes;
 }
 
-// Danger: statements that start together would each open a connection; one for as many as it carries is enough.
+// Danger: statements that start together would each open a connection; one for as many as it
+// carries is enough.
 bool ConnectionPools::wanted(const Pool& pool, ProtocolVersion version) const {
   std::size_t each = atOnce(version);
   return static_cast<std::size_t>(pool.coming) < (pool.waiting.size() + each - 1) / each;
 }
 
 ConnectionPools::WaitingLine ConnectionPools::lineOf(const Pool& pool) {
-  bool statements = std::any_of(pool.waiting.begin(), pool.waiting.end(), [](const UpstreamRequest* j) { return j->statement >= 0; });
+  bool statements = std::any_of(pool.waiting.begin(), pool.waiting.end(),
+                                [](const UpstreamRequest* j) { return j->statement >= 0; });
   return statements ? forStatements : forProbes;
 }
 
 void ConnectionPools::openWanted(int store, ProtocolVersion version) {
   Pool& pool = poolOf(store, version);
   if (!wanted(pool, version) || openOne(store, version)) return;
-  // Danger: a store for which this process has no descriptor left would count as one that can't be reached.
+  // Danger: a store for which this process has no descriptor left would count as one that can't be
+  // reached.
   WaitingLine line = lineOf(pool);
   if (std::exchange(pool.lined[line], true)) return;
   lines_[line].emplace_back(store, version);
   if (!std::exchange(watching_, true)) scheduler_.spawn(watchLines());
 }
 
-// Danger: the process has only so many descriptors, and stores may be more; the longest idle connection makes room.
-// Probes of all of them at once would leave none to statements.
+// Danger: the process has only so many descriptors, and stores may be more; the longest idle
+// connection makes room. Probes of all of them at once would leave none to statements.
 bool ConnectionPools::place(WaitingLine line) {
   auto probing = [](const UpstreamConnection* c) { return c->forProbe; };
-  if (line == forProbes && static_cast<std::size_t>(std::count_if(connections_.begin(), connections_.end(), probing)) >=
-                               std::max<std::size_t>(1, limits_.connections / kProbesPart))
+  if (line == forProbes &&
+      static_cast<std::size_t>(std::count_if(connections_.begin(), connections_.end(), probing)) >=
+          std::max<std::size_t>(1, limits_.connections / kProbesPart))
     return false;
   return connections_.size() < limits_.connections || closeLongestIdle();
 }
@@ -194,7 +205,8 @@
     }
 }
 
-// Danger: what waits for a place would wait until its client's time is up, while other stores could be had.
+// Danger: what waits for a place would wait until its client's time is up, while other stores could
+// be had.
 runtime::Task<> ConnectionPools::watchLines() {
   while (!lines_[forStatements].empty() || !lines_[forProbes].empty()) {
     co_await runtime::sleepUntil(scheduler_, scheduler_.now() + limits_.connectTimeout * kLooks);
@@ -203,10 +215,13 @@
     for (const auto& line : lines_)
       for (auto [store, version] : line) {
         // The first ones have their connections coming.
-        std::size_t coming = static_cast<std::size_t>(poolOf(store, version).coming) * atOnce(version), k = 0;
+        std::size_t coming = static_cast<std::size_t>(poolOf(store, version).coming) *
+                             atOnce(version),
+                    k = 0;
         for (UpstreamRequest* j : poolOf(store, version).waiting) {
           Duration waits = limits_.connectTimeout * (j->statement >= 0 ? kStatementWaits : 1.0);
-          if (k++ >= coming && !j->unplaced && (now - j->begun >= waits || !due(*j))) j->unplaced = true, over.push_back(j);
+          if (k++ >= coming && !j->unplaced && (now - j->begun >= waits || !due(*j)))
+            j->unplaced = true, over.push_back(j);
         }
       }
     for (UpstreamRequest* j : over) {
@@ -220,8 +235,9 @@
 }
 
 bool ConnectionPools::due(const UpstreamRequest& j) const {
-  // Danger: a process that used up its part of a core stands still for most of a tenth of a second in the middle of
-  // a round; a bounded read that is judged by the round's beginning would leave stale.
+  // Danger: a process that used up its part of a core stands still for most of a tenth of a second
+  // in the middle of a round; a bounded read that is judged by the round's beginning would leave
+  // stale.
   TimePoint now = scheduler_.instant();
   return !j.cancelled && j.until > now && j.sendBy > now && owner_.wanted(j);
 }
@@ -254,7 +270,9 @@
   if (c.jobs() == 0) placeFreed();
 }
 
-void ConnectionPools::unready(UpstreamConnection& c) { std::erase(poolOf(c).ready, &c); }
+void ConnectionPools::unready(UpstreamConnection& c) {
+  std::erase(poolOf(c).ready, &c);
+}
 
 void ConnectionPools::giveBack(UpstreamRequest* job) {
   job->on = nullptr;
@@ -290,15 +308,16 @@
   bool up = co_await comeUp(c);
   --poolOf(c).coming;
   if (up) {
-    // Danger: an exception that left this coroutine would leave its jobs without an end, and its connection
-    // among the others.
+    // Danger: an exception that left this coroutine would leave its jobs without an end, and its
+    // connection among the others.
     try {
       co_await c.serve();
     } catch (const std::exception& e) {
       log::line("fault", "what=\"%s\"", e.what());
     }
   } else {
-    // Those that it was made for. Danger: one that waited too long to be sent found the store away all the same.
+    // Those that it was made for. Danger: one that waited too long to be sent found the store away
+    // all the same.
     std::list<UpstreamRequest*>& waiting = poolOf(c).waiting;
     for (std::size_t n = atOnce(c.version); n > 0 && !waiting.empty();) {
       UpstreamRequest* j = waiting.front();
--- a/src/upstream/connection_pools.h
+++ b/src/upstream/connection_pools.h
@@ -1,5 +1,6 @@
-// The stores: pools of connections by store and version, and the jobs that travel on them. What is spoken on a
-// connection is its protocol's, which has a folder under src/doors and a row in the table of versions.
+// The stores: pools of connections by store and version, and the jobs that travel on them. What is
+// spoken on a connection is its protocol's, which has a folder under src/doors and a row in the
+// table of versions.
 #pragma once
 
 #include <array>
@@ -23,7 +24,8 @@
 // A connection to a store, whatever it speaks.
 class UpstreamConnection {
  public:
-  UpstreamConnection(upstream::ConnectionPools& owner, int of, ProtocolVersion in) : stores(owner), store(of), version(in) {}
+  UpstreamConnection(upstream::ConnectionPools& owner, int of, ProtocolVersion in)
+      : stores(owner), store(of), version(in) {}
   virtual ~UpstreamConnection() = default;
 
   // Does what comes before the first job; false where the connection can't be had.
@@ -35,8 +37,8 @@
   // A job for it, one that stands among the ready of its pool.
   virtual void take(UpstreamRequest* job) = 0;
   virtual void cancel(UpstreamRequest* job) = 0;  // one of its jobs is not wanted any more
-  virtual void close() = 0;           // at once
-  virtual void retire() {}            // takes no new job, and closes when it has none
+  virtual void close() = 0;                       // at once
+  virtual void retire() {}                        // takes no new job, and closes when it has none
   virtual std::size_t jobs() const = 0;
   virtual std::size_t held() const = 0;  // bytes, in its buffers
 
@@ -52,7 +54,8 @@
  public:
   virtual ~UpstreamProtocol() = default;
   // `fd`: a connection that was started, or -1 where it couldn't be.
-  virtual std::unique_ptr<UpstreamConnection> carrier(upstream::ConnectionPools& stores, int store, ProtocolVersion version, int fd) = 0;
+  virtual std::unique_ptr<UpstreamConnection> carrier(upstream::ConnectionPools& stores, int store,
+                                                      ProtocolVersion version, int fd) = 0;
   virtual std::size_t atOnce() const = 0;  // jobs that one connection carries
   virtual void forget(int /*store*/) {}    // its index may be another's from now on
 };
@@ -61,9 +64,9 @@
 
 namespace reedchute::upstream {
 
+using request::ProtocolVersion;
 using request::UpstreamConnection;
 using request::UpstreamRequest;
-using request::ProtocolVersion;
 
 class ConnectionPools {
  public:
@@ -85,7 +88,8 @@
   UpstreamRequest* submit(std::unique_ptr<UpstreamRequest> job);
   // Stops waiting: ends its connection if it was written to one that carries nothing else.
   void cancel(UpstreamRequest* job);
-  // The list says that a store drains or is gone: what still waits for a connection to it is not sent.
+  // The list says that a store drains or is gone: what still waits for a connection to it is not
+  // sent.
   void withdraw(int store);
   // Of what isn't written yet, these aren't written any more: they end as moot.
   void recall(const std::function<bool(const UpstreamRequest&)>& which);
@@ -102,7 +106,8 @@
   runtime::Scheduler& scheduler() { return scheduler_; }
   const Limits& limits() const { return limits_; }
   std::size_t held() const;  // bytes, in the buffers of all connections
-  // Is it still to be written? Danger: a statement may have ended while its execution waited for a connection.
+  // Is it still to be written? Danger: a statement may have ended while its execution waited for a
+  // connection.
   bool due(const UpstreamRequest& job) const;
   // May it be written at this very moment? To be asked right before the write.
   bool leaves(UpstreamRequest& job);
@@ -120,7 +125,7 @@
     std::optional<sockaddr_in> address;
     std::vector<UpstreamConnection*> ready;  // the one used last at the end
     std::list<UpstreamRequest*> waiting;
-    int coming = 0;  // connections being made
+    int coming = 0;               // connections being made
     std::array<bool, 2> lined{};  // it stands in these lines
   };
   // Those that wait for a place: with statements, with probes alone.
@@ -130,13 +135,15 @@
     return pools_[static_cast<std::size_t>(store)][static_cast<std::size_t>(version)];
   }
   Pool& poolOf(const UpstreamConnection& c) { return poolOf(c.store, c.version); }
-  std::size_t atOnce(ProtocolVersion s) const { return voices_[static_cast<std::size_t>(s)]->atOnce(); }
+  std::size_t atOnce(ProtocolVersion s) const {
+    return voices_[static_cast<std::size_t>(s)]->atOnce();
+  }
   void closeIdle(Pool& pool);
   void openWanted(int store, ProtocolVersion version);
   bool wanted(const Pool& pool, ProtocolVersion version) const;
   static WaitingLine lineOf(const Pool& pool);
-  bool place(WaitingLine line);                     // is there one for another connection?
-  bool openOne(int store, ProtocolVersion version);    // false where there is no place
+  bool place(WaitingLine line);                      // is there one for another connection?
+  bool openOne(int store, ProtocolVersion version);  // false where there is no place
   bool closeLongestIdle();
   void placeFreed();
   runtime::Task<> watchLines();
--- a/src/zones/quorum.h
+++ b/src/zones/quorum.h
@@ -1,5 +1,5 @@
-// What a front's zones take part in: its own counts, those of others as gossiped notes, and the decision.
-// Without I/O and clock; the front and the tests run the same.
+// What a front's zones take part in: its own counts, those of others as gossiped notes, and the
+// decision. Without I/O and clock; the front and the tests run the same.
 #pragma once
 
 #include <cstdint>
--- a/src/zones/sight.h
+++ b/src/zones/sight.h
@@ -1,5 +1,5 @@
-// What a front saw itself of each zone's stores lately, as small counts: what fronts tell each other, and all that a
-// verdict rests on.
+// What a front saw itself of each zone's stores lately, as small counts: what fronts tell each
+// other, and all that a verdict rests on.
 #pragma once
 
 #include <cstdint>
@@ -11,7 +11,8 @@
 
 namespace reedchute::zones {
 
-// How a front stands to a zone: it uses it, it wonders, it sends it less or nothing, or ever more again.
+// How a front stands to a zone: it uses it, it wonders, it sends it less or nothing, or ever more
+// again.
 enum class Stage { whole, doubted, left, returning };
 const char* nameOf(Stage s);
 
@@ -23,16 +24,16 @@
   int well = 0, ill = 0;          // stores: by the last that was seen of each
   int groupsIll = 0, groups = 0;  // groups with an ill store, and those seen at all
   Stage stage = Stage::whole;
-  Duration inStage{};                 // for so long already
-  double share = 1;               // of the usual traffic that it sends there
-  int tries = 0;                  // returns that went wrong since the zone last stood
+  Duration inStage{};  // for so long already
+  double share = 1;    // of the usual traffic that it sends there
+  int tries = 0;       // returns that went wrong since the zone last stood
 };
 
 struct Sight {
-  std::string zone;               // where the front stands itself
-  bool doubtful = false;          // its own word: it was paused, or can't keep up
-  double rate = 0;                // statements a second
-  double room = 1;                // part of what it might send that it doesn't
+  std::string zone;       // where the front stands itself
+  bool doubtful = false;  // its own word: it was paused, or can't keep up
+  double rate = 0;        // statements a second
+  double room = 1;        // part of what it might send that it doesn't
   std::map<std::string, ZoneSight> zones;
 };
 
--- a/src/zones/zones.cpp
+++ b/src/zones/zones.cpp
@@ -8,20 +8,23 @@
 namespace reedchute::zones {
 namespace {
 
-constexpr int kLeastSeen = 3;        // answers and failures from which a front can tell of a zone
-constexpr double kFullWeight = 12;   // of them, from which its word has its whole weight
-constexpr double kGone = 0.6;        // of the stores that failed when last tried
-constexpr int kVain = 3;             // tries in vain since a zone's last answer: it is gone; fewer: who can tell
-constexpr double kGrey = 0.4;        // of what was tried that failed or came late
-constexpr double kElsewhere = 0.5;   // of a zone's badness in the other zones: then it is no zone's fault
-constexpr double kMajority = 0.6;    // of the weight of those who can tell
-constexpr int kQuorum = 3;           // fronts that must agree, or all where fewer are live
-constexpr double kRoom = 0.9;        // of what the other zones have left that a left zone may bring them
-constexpr double kLeastShare = 0.05; // a smaller one is none
+constexpr int kLeastSeen = 3;       // answers and failures from which a front can tell of a zone
+constexpr double kFullWeight = 12;  // of them, from which its word has its whole weight
+constexpr double kGone = 0.6;       // of the stores that failed when last tried
+constexpr int kVain =
+    3;  // tries in vain since a zone's last answer: it is gone; fewer: who can tell
+constexpr double kGrey = 0.4;  // of what was tried that failed or came late
+constexpr double kElsewhere =
+    0.5;  // of a zone's badness in the other zones: then it is no zone's fault
+constexpr double kMajority = 0.6;  // of the weight of those who can tell
+constexpr int kQuorum = 3;         // fronts that must agree, or all where fewer are live
+constexpr double kRoom = 0.9;  // of what the other zones have left that a left zone may bring them
+constexpr double kLeastShare = 0.05;  // a smaller one is none
 constexpr double kFirstShare = 1.0 / 16;
-constexpr double kFollow = 0.6;      // of the fronts of one's own zone that have left: then one follows
-constexpr double kRelapse = 0.34;    // of the weight that speaks against a returning zone: it is left again
-constexpr Duration kTurn{500'000};       // the same front probes
+constexpr double kFollow = 0.6;  // of the fronts of one's own zone that have left: then one follows
+constexpr double kRelapse =
+    0.34;  // of the weight that speaks against a returning zone: it is left again
+constexpr Duration kTurn{500'000};  // the same front probes
 
 double badOf(const ZoneSight& z) {
   int tried = z.answers + z.failed;
@@ -37,23 +40,35 @@
 
 const char* nameOf(Cause c) {
   switch (c) {
-    case Cause::gone: return "gone";
-    case Cause::cutOff: return "cut_off";
-    case Cause::grey: return "grey";
-    case Cause::commanded: return "commanded";
-    case Cause::followed: return "followed";
-    case Cause::recovered: return "recovered";
-    case Cause::relapsed: return "relapsed";
-    default: return "none";
+    case Cause::gone:
+      return "gone";
+    case Cause::cutOff:
+      return "cut_off";
+    case Cause::grey:
+      return "grey";
+    case Cause::commanded:
+      return "commanded";
+    case Cause::followed:
+      return "followed";
+    case Cause::recovered:
+      return "recovered";
+    case Cause::relapsed:
+      return "relapsed";
+    default:
+      return "none";
   }
 }
 
 const char* nameOf(Order o) {
   switch (o) {
-    case Order::back: return "return";
-    case Order::leave: return "leave";
-    case Order::hold: return "hold";
-    default: return "none";
+    case Order::back:
+      return "return";
+    case Order::leave:
+      return "leave";
+    case Order::hold:
+      return "hold";
+    default:
+      return "none";
   }
 }
 
@@ -80,18 +95,21 @@
   int tried = z.answers + z.failed;
   if (tried < kLeastSeen) return Opinion::blind;
   double bad = badOf(z);
-  // Danger: an overload looks like an ill zone to whoever looks at that zone alone, and a front that is cut off or
-  // starved finds all zones ill. Where the others are as bad, it is no zone's fault.
+  // Danger: an overload looks like an ill zone to whoever looks at that zone alone, and a front
+  // that is cut off or starved finds all zones ill. Where the others are as bad, it is no zone's
+  // fault.
   int others = 0;
   double elsewhere = 0;
   for (const auto& [name, other] : s.zones)
-    if (name != zone && other.answers + other.failed >= kLeastSeen) elsewhere += badOf(other), ++others;
+    if (name != zone && other.answers + other.failed >= kLeastSeen)
+      elsewhere += badOf(other), ++others;
   if (others > 0 && elsewhere / others > bad * kElsewhere) return Opinion::blind;
   // One group's stores, wherever they stand, are that group's matter.
   bool oneGroup = z.groups > 1 && z.groupsIll <= 1;
   // Danger: answers from before a zone was lost would speak for it for as long as fronts look back.
   int stores = z.well + z.ill;
-  if (z.vain >= kVain && z.ill >= kVain && z.ill >= kGone * stores) return oneGroup ? Opinion::blind : Opinion::gone;
+  if (z.vain >= kVain && z.ill >= kVain && z.ill >= kGone * stores)
+    return oneGroup ? Opinion::blind : Opinion::gone;
   if (z.vain > 0) return Opinion::blind;
   if (bad >= kGrey) return oneGroup && z.late == 0 ? Opinion::blind : Opinion::grey;
   return Opinion::fine;
@@ -106,8 +124,9 @@
     // How the way from one zone to another is, those tell who stand at its beginning.
     if (s.zone != ownZone_ && !few) return;
     if (auto it = s.zones.find(zone); it != s.zones.end() && !mine) {
-      (it->second.stage == Stage::left ? votes.left
-       : it->second.stage == Stage::returning ? votes.returning : votes.used) += 1;
+      (it->second.stage == Stage::left        ? votes.left
+       : it->second.stage == Stage::returning ? votes.returning
+                                              : votes.used) += 1;
       votes.tries.push_back(it->second.tries);
     }
     if (s.doubtful) return;
@@ -131,7 +150,8 @@
 
 // ---- what the others bear ----
 
-// The part of a zone's traffic that may be moved away: what room the other zones have, by their stores.
+// The part of a zone's traffic that may be moved away: what room the other zones have, by their
+// stores.
 double Zones::bearable(const std::string& zone, const Views& v) const {
   double room = 0;
   int told = 0;
@@ -197,8 +217,9 @@
   std::vector<std::pair<std::string, Votes>> order;
   for (const auto& [zone, stores] : v.stores) order.emplace_back(zone, votesOn(zone, v));
   auto badness = [](const Votes& votes) { return votes.gone * 2 + votes.grey; };
-  std::stable_sort(order.begin(), order.end(),
-                   [&](const auto& a, const auto& b) { return badness(a.second) > badness(b.second); });
+  std::stable_sort(order.begin(), order.end(), [&](const auto& a, const auto& b) {
+    return badness(a.second) > badness(b.second);
+  });
   for (auto& [zone, votes] : order) decideOne(zone, std::move(votes), v, now);
 }
 
@@ -234,8 +255,10 @@
       if ((confirmed || followed) && !v.doubtful && order != Order::back && mayLeave(zone)) {
         if (!votes.tries.empty()) {
           // The median of several, never the best.
-          std::nth_element(votes.tries.begin(), votes.tries.begin() + static_cast<std::ptrdiff_t>(votes.tries.size() / 2),
-                           votes.tries.end());
+          std::nth_element(
+              votes.tries.begin(),
+              votes.tries.begin() + static_cast<std::ptrdiff_t>(votes.tries.size() / 2),
+              votes.tries.end());
           z.tries = std::max(z.tries, votes.tries[votes.tries.size() / 2]);
         }
         bool whole = gone || (followed && !bad);
@@ -248,15 +271,21 @@
         h.answersAt = kNever;
         bool elsewhereFine = false;
         for (const Told* t : v.others)
-          elsewhereFine |= t->age <= rules_.back && t->sight.zone != ownZone_ && !t->sight.doubtful &&
-                           opinionOf(t->sight, zone) == Opinion::fine;
-        Cause cause = !confirmed ? Cause::followed : !gone ? Cause::grey : elsewhereFine ? Cause::cutOff : Cause::gone;
+          elsewhereFine |= t->age <= rules_.back && t->sight.zone != ownZone_ &&
+                           !t->sight.doubtful && opinionOf(t->sight, zone) == Opinion::fine;
+        Cause cause = !confirmed      ? Cause::followed
+                      : !gone         ? Cause::grey
+                      : elsewhereFine ? Cause::cutOff
+                                      : Cause::gone;
         enter(zone, Stage::left, cause, share < kLeastShare ? 0 : share, now);
         return;
       }
-      if (z.stage == Stage::whole && (bad || votes.goneFronts + votes.greyFronts > votes.fineFronts))
-        enter(zone, Stage::doubted, votes.goneFronts >= votes.greyFronts ? Cause::gone : Cause::grey, 1, now);
-      else if (z.stage == Stage::doubted && !bad && votes.goneFronts + votes.greyFronts <= votes.fineFronts)
+      if (z.stage == Stage::whole &&
+          (bad || votes.goneFronts + votes.greyFronts > votes.fineFronts))
+        enter(zone, Stage::doubted,
+              votes.goneFronts >= votes.greyFronts ? Cause::gone : Cause::grey, 1, now);
+      else if (z.stage == Stage::doubted && !bad &&
+               votes.goneFronts + votes.greyFronts <= votes.fineFronts)
         enter(zone, Stage::whole, Cause::recovered, 1, now), h.wholeAt = now;
       if (z.tries > 0 && z.stage == Stage::whole && now - h.wholeAt >= rules_.steady) z.tries = 0;
       return;
@@ -266,7 +295,8 @@
       if (order == Order::leave) return;
       // What those see who look, or send the share that stays; a front alone goes by its own eyes.
       bool answers = votes.fineFronts >= 1 && votes.fine >= kMajority * weight;
-      if (v.alone) answers = votes.all() == 0 ? now - z.since >= hold(z.tries) : votes.fineFronts > 0;
+      if (v.alone)
+        answers = votes.all() == 0 ? now - z.since >= hold(z.tries) : votes.fineFronts > 0;
       if (!answers && weight > 0) h.answersAt = kNever;
       if (answers && h.answersAt == kNever) h.answersAt = now;
       bool stood = h.answersAt > kNever && now - h.answersAt >= hold(z.tries);
@@ -310,7 +340,9 @@
   auto it = zones_.find(zone);
   if (it == zones_.end()) return why = "no store of the list stands in this zone", false;
   ZoneState& z = it->second;
-  if (!before(c, z.command)) return why = "a later command stands: generation " + std::to_string(z.command.generation), false;
+  if (!before(c, z.command))
+    return why = "a later command stands: generation " + std::to_string(z.command.generation),
+           false;
   if (c.order == Order::leave && z.stage != Stage::left && !mayLeave(zone))
     return why = "the zones that would remain are too few", false;
   z.command = std::move(c);
--- a/src/zones/zones.h
+++ b/src/zones/zones.h
@@ -1,8 +1,10 @@
-// Which zones the fronts use, and how much: each front decides alone, by the same function of what many fronts have
-// seen. Without I/O and clock. docs/zones.md tells what else was weighed, and what differing views can cost.
+// Which zones the fronts use, and how much: each front decides alone, by the same function of what
+// many fronts have seen. Without I/O and clock. docs/zones.md tells what else was weighed, and what
+// differing views can cost.
 //
-// Nothing here is a route: the verdict is a share by zone, one more factor in a replica's weight. Counts of others
-// say what a zone is worth trying; never that a replica is fresh or that a statement didn't run.
+// Nothing here is a route: the verdict is a share by zone, one more factor in a replica's weight.
+// Counts of others say what a zone is worth trying; never that a replica is fresh or that a
+// statement didn't run.
 #pragma once
 
 #include <map>
@@ -17,20 +19,22 @@
 
 // What operators allow.
 struct Leaving {
-  int atOnce = 1;              // zones that may be left at once
-  Duration back{2'000'000};        // how far fronts look back, and how old a sight may be
-  Duration confirm{300'000};       // that a verdict must hold before it is acted on
-  Duration stood{2'000'000};       // that a zone must answer before it is taken back; doubles with each return gone wrong
-  Duration longest{120'000'000};   // and is no longer than that
-  Duration ramp{8'000'000};        // from the first share of a returning zone to the whole
-  Duration steady{60'000'000};     // that a zone must stand before its former falls are forgotten
-  int probers = 3;             // fronts that probe a left zone at a time
+  int atOnce = 1;             // zones that may be left at once
+  Duration back{2'000'000};   // how far fronts look back, and how old a sight may be
+  Duration confirm{300'000};  // that a verdict must hold before it is acted on
+  Duration stood{2'000'000};  // that a zone must answer before it is taken back; doubles with each
+                              // return gone wrong
+  Duration longest{120'000'000};  // and is no longer than that
+  Duration ramp{8'000'000};       // from the first share of a returning zone to the whole
+  Duration steady{60'000'000};    // that a zone must stand before its former falls are forgotten
+  int probers = 3;                // fronts that probe a left zone at a time
 };
 
 enum class Cause { none, gone, cutOff, grey, commanded, followed, recovered, relapsed };
 const char* nameOf(Cause c);
 
-// An operator's word on a zone. The higher generation counts; of two with the same one, the more careful.
+// An operator's word on a zone. The higher generation counts; of two with the same one, the more
+// careful.
 enum class Order { none, back, leave, hold };
 const char* nameOf(Order o);
 struct Command {
@@ -46,8 +50,8 @@
 struct ZoneState {
   Stage stage = Stage::whole;
   Cause cause = Cause::none;
-  double share = 1;     // of the usual traffic
-  bool probes = true;   // may this front probe its stores now, where it has found them away?
+  double share = 1;          // of the usual traffic
+  bool probes = true;        // may this front probe its stores now, where it has found them away?
   TimePoint since = kNever;  // in this stage
   int tries = 0;
   // The counts behind the last verdict: fronts that could tell, by what they told.
@@ -63,10 +67,10 @@
 
 // One round's facts.
 struct Views {
-  std::size_t live = 1;         // fronts
-  std::size_t liveHere = 1;     // of them, those in this front's zone
-  bool alone = true;            // no other front is heard
-  bool doubtful = false;        // this front doubts itself
+  std::size_t live = 1;      // fronts
+  std::size_t liveHere = 1;  // of them, those in this front's zone
+  bool alone = true;         // no other front is heard
+  bool doubtful = false;     // this front doubts itself
   const Sight* own = nullptr;
   std::vector<const Told*> others;
   std::map<std::string, int> stores;  // by zone, as the list has them
--- a/tests/both.cpp
+++ b/tests/both.cpp
@@ -1,6 +1,6 @@
-// The same fault scripts against both protocols, each on a front of its own with both doors open: what clients get,
-// what took effect and which stores were spoken to must be the same to the line. Prints the lines once, and where
-// the protocols differ.
+// The same fault scripts against both protocols, each on a front of its own with both doors open:
+// what clients get, what took effect and which stores were spoken to must be the same to the line.
+// Prints the lines once, and where the protocols differ.
 #include <algorithm>
 #include <vector>
 
@@ -42,7 +42,8 @@
   void begin(const Ask& a) override {
     std::string id = std::to_string(++ids);
     name = a.mark.empty() ? id : a.mark;
-    std::string comment = " /* id=" + id + ",c=" + a.workload + ",cluster=7,d=" + std::to_string(a.waitMs) +
+    std::string comment = " /* id=" + id + ",c=" + a.workload +
+                          ",cluster=7,d=" + std::to_string(a.waitMs) +
                           (a.mark.empty() ? "" : ",k=" + a.mark) + " */";
     c.send(pg::query(a.what == What::read
                          ? "SELECT payload FROM entries WHERE ref = '" + a.key + "'" + comment
@@ -146,7 +147,8 @@
   }
 }
 
-const Ask kRead{.key = "a"}, kWrite{.what = What::write, .workload = "write", .key = "b", .mark = "m1"};
+const Ask kRead{.key = "a"},
+    kWrite{.what = What::write, .workload = "write", .key = "b", .mark = "m1"};
 
 void quiet(Scene& s) {
   auto c = s.client();
@@ -174,7 +176,8 @@
   s.d.toy.promote(1);
   s.say("a marked batch whose node died in the middle: " + c->end());
   s.say("its effects: " + std::to_string(s.d.toy.effects("m9")));
-  s.ask(*c, "a write to the new primary", {.what = What::write, .workload = "write", .key = "e", .mark = "m10"});
+  s.ask(*c, "a write to the new primary",
+        {.what = What::write, .workload = "write", .key = "e", .mark = "m10"});
 }
 
 void diesMidBatchUnmarked(Scene& s) {
@@ -204,7 +207,8 @@
 
 void writesThatMayHaveRun(Scene& s) {
   auto c = s.client();
-  s.ask(*c, "marked, error", {.what = What::write, .workload = "write", .key = "error-ok", .mark = "m1"});
+  s.ask(*c, "marked, error",
+        {.what = What::write, .workload = "write", .key = "error-ok", .mark = "m1"});
   s.ask(*c, "unmarked, error", {.what = What::write, .workload = "once", .key = "error-ok"});
   s.ask(*c, "unmarked, never ran", {.what = What::write, .workload = "once", .key = "full-ok"});
   s.ask(*c, "unmarked batch, error", {.what = What::batch, .workload = "once", .key = "error-ok"});
@@ -228,7 +232,8 @@
 
 void silentStore(Scene& s) {
   auto c = s.client();
-  s.ask(*c, "a write without an answer", {.what = What::write, .workload = "once", .key = "silent", .waitMs = 600});
+  s.ask(*c, "a write without an answer",
+        {.what = What::write, .workload = "once", .key = "silent", .waitMs = 600});
   s.ask(*c, "a read meanwhile", kRead);
 }
 
@@ -253,7 +258,8 @@
   int right = 0;
   for (int k = 0; k < 30; ++k) right += c->ask(kRead) == "completed";
   s.say("reads completed: " + std::to_string(right) + " of 30");
-  s.say("sent to those that drain: " + std::to_string(s.d.toy.executions(1) + s.d.toy.executions(2) - before));
+  s.say("sent to those that drain: " +
+        std::to_string(s.d.toy.executions(1) + s.d.toy.executions(2) - before));
   s.say("sent to the other: " + std::to_string(s.d.toy.executions(0) - primary));
 }
 
@@ -265,10 +271,12 @@
   s.d.pass(500);
   int before = s.d.toy.executions(1);
   s.say("completed: " + std::to_string(s.completed(many)) + " of 6");
-  s.say("sent to the one that drains, after the grace: " + std::to_string(s.d.toy.executions(1) - before));
+  s.say("sent to the one that drains, after the grace: " +
+        std::to_string(s.d.toy.executions(1) - before));
 }
 
-// A store that comes back is cold: of what several clients ask together it may get its small share only.
+// A store that comes back is cold: of what several clients ask together it may get its small share
+// only.
 void coldStore(Scene& s) {
   std::vector<std::unique_ptr<Client>> many;
   for (int k = 0; k < 8; ++k) many.push_back(s.client());
@@ -289,7 +297,9 @@
   int before = s.d.toy.executions(2);
   s.say("with it, cold: " + std::to_string(burst(40)) + " of 320");
   int got = s.d.toy.executions(2) - before;
-  s.say(std::string("the cold store got ") + (got <= 320 * 27 / 100 ? "no more than its cold share" : "too much: " + std::to_string(got)));
+  s.say(std::string("the cold store got ") + (got <= 320 * 27 / 100
+                                                  ? "no more than its cold share"
+                                                  : "too much: " + std::to_string(got)));
 }
 
 void lagging(Scene& s) {
@@ -299,7 +309,8 @@
   int before = s.d.toy.executions(1) + s.d.toy.executions(2), right = 0;
   for (int k = 0; k < 30; ++k) right += c->ask({.workload = "near", .key = "a"}) == "completed";
   s.say("bounded reads completed: " + std::to_string(right) + " of 30");
-  s.say("sent to replicas a minute behind: " + std::to_string(s.d.toy.executions(1) + s.d.toy.executions(2) - before));
+  s.say("sent to replicas a minute behind: " +
+        std::to_string(s.d.toy.executions(1) + s.d.toy.executions(2) - before));
 }
 
 void clientLeaves(Scene& s) {
@@ -356,4 +367,6 @@
 
 }  // namespace
 
-int main(int argc, char** argv) { return test::runOnFront(kCases, argc, argv); }
+int main(int argc, char** argv) {
+  return test::runOnFront(kCases, argc, argv);
+}
--- a/tests/carrier.cpp
+++ b/tests/carrier.cpp
@@ -1,17 +1,16 @@
 // Jobs on a connection to a store, with both ends in one process: what has come into
 // the kernel and what is decided meet in the order that a test wants.
-#include "protocols/cassandra/upstream_connection.h"
-
 #include <csignal>
 #include <cstdio>
 #include <memory>
 #include <stdexcept>
 #include <string>
 
-#include "protocols/postgres/upstream_connection.h"
-#include "protocols/postgres/statement_decoder.h"
-#include "drive.h"
 #include "codec/pg/messages.h"
+#include "drive.h"
+#include "protocols/cassandra/upstream_connection.h"
+#include "protocols/postgres/statement_decoder.h"
+#include "protocols/postgres/upstream_connection.h"
 #include "trace.h"
 
 using namespace reedchute;
@@ -42,7 +41,8 @@
 // One store, and one job given to it: a statement, or where `probes` is so, a probe.
 class Pair : public request::AttemptOwner {
  public:
-  explicit Pair(std::unique_ptr<request::UpstreamProtocol> in = std::make_unique<protocols::postgres::UpstreamProtocol>(),
+  explicit Pair(std::unique_ptr<request::UpstreamProtocol> in =
+                    std::make_unique<protocols::postgres::UpstreamProtocol>(),
                 bool probes = false)
       : voice(std::move(in)),
         probe(probes),
@@ -92,7 +92,9 @@
   }
 
   bool wanted(const request::UpstreamRequest&) const override { return true; }
-  bool mayLeave(const request::UpstreamRequest& j, TimePoint now) override { return j.sendBy > now && j.until > now && !j.cancelled; }
+  bool mayLeave(const request::UpstreamRequest& j, TimePoint now) override {
+    return j.sendBy > now && j.until > now && !j.cancelled;
+  }
   void ended(request::UpstreamRequest& j) override {
     done = true;
     std::printf("%s, role %s\n", nameOf(j.outcome),
@@ -121,10 +123,12 @@
 // What a store's answer says counts as known once it was written, read or not.
 void cancelCrosses() {
   const std::string role = pg::parameter("server_role", "reader"),
-                    all = row() + pg::message('C', std::string("SELECT 1\0", 9)) + role + pg::ready();
-  for (const auto& [what, bytes] : {std::pair<const char*, std::string>{"nothing of the answer", ""},
-                                    {"its role", role},
-                                    {"all of it", all}}) {
+                    all = row() + pg::message('C', std::string("SELECT 1\0", 9)) + role +
+                          pg::ready();
+  for (const auto& [what, bytes] :
+       {std::pair<const char*, std::string>{"nothing of the answer", ""},
+        {"its role", role},
+        {"all of it", all}}) {
     Pair p;
     p.takes();
     p.peer->write(bytes);
@@ -140,8 +144,8 @@
   p.ends();
 }
 
-// An idle connection ends behind its last words as a job is given to it, and no event has been seen of
-// either.
+// An idle connection ends behind its last words as a job is given to it, and no event has been seen
+// of either.
 void endsUnseen() {
   for (const auto& [what, bytes] : {std::pair<const char*, std::string>{"nothing", ""},
                                     {"a parameter", pg::parameter("server_role", "reader")},
@@ -154,7 +158,10 @@
     p.s.pass(p.s.now(), [&] {
       p.peer->write(bytes);
       p.peer->close();
-      while (test::Drive::faced(static_cast<std::uint16_t>(runtime::portOf(p.listener.fd()))).ended == 0) continue;
+      while (
+          test::Drive::faced(static_cast<std::uint16_t>(runtime::portOf(p.listener.fd()))).ended ==
+          0)
+        continue;
       p.give();
     });
     p.pass();
@@ -166,7 +173,8 @@
   }
 }
 
-// Frames that nobody asked for, as many as there are: whatever else the front has to do goes on beside them.
+// Frames that nobody asked for, as many as there are: whatever else the front has to do goes on
+// beside them.
 void endlessFrames() {
   protocols::cassandra::Config config;
   protocols::cassandra::StorePrepared::Room room(1 << 20);
@@ -217,8 +225,9 @@
 
 struct FaultyVoice : request::UpstreamProtocol {
   explicit FaultyVoice(bool so) : early(so) {}
-  std::unique_ptr<request::UpstreamConnection> carrier(upstream::ConnectionPools& stores, int store, request::ProtocolVersion version,
-                                             int fd) override {
+  std::unique_ptr<request::UpstreamConnection> carrier(upstream::ConnectionPools& stores, int store,
+                                                       request::ProtocolVersion version,
+                                                       int fd) override {
     return std::make_unique<Faulty>(stores, store, version, fd, early);
   }
   std::size_t atOnce() const override { return 1; }
@@ -232,7 +241,8 @@
     std::printf("a fault %s: ", early ? "as it comes up" : "as it serves");
     p.ends();
     p.pass();
-    std::printf("connections left: %zu, ended: %s\n", p.stores.connections(), p.done ? "yes" : "no");
+    std::printf("connections left: %zu, ended: %s\n", p.stores.connections(),
+                p.done ? "yes" : "no");
   }
 }
 
@@ -247,8 +257,8 @@
   p.query.text += std::string(24 << 20, ' ');
 }
 
-// The kernel takes the first part of a statement and no more, as its store reads nothing: its last byte would leave
-// after the moment by which it has to.
+// The kernel takes the first part of a statement and no more, as its store reads nothing: its last
+// byte would leave after the moment by which it has to.
 void heldUp() {
   Pair p;
   readyForLong(p);
@@ -262,7 +272,8 @@
   std::printf("its store has all of it: %s\n", in.size() >= p.query.text.size() ? "yes" : "no");
 }
 
-// What a store is told of its client's time holds for the last byte too: written a while later, it would be untrue.
+// What a store is told of its client's time holds for the last byte too: written a while later, it
+// would be untrue.
 void toldLate() {
   Pair p;
   readyForLong(p);
@@ -270,11 +281,13 @@
   std::printf("its store reads nothing for 0.4 s: ");
   for (TimePoint until = p.s.now() + ms(400); p.s.now() < until;) p.pass();
   std::string in;
-  while (!p.done || p.peer->read(in, 128 << 20) == Socket::Got::some) p.peer->read(in, 128 << 20), p.pass();
+  while (!p.done || p.peer->read(in, 128 << 20) == Socket::Got::some)
+    p.peer->read(in, 128 << 20), p.pass();
   std::printf("its store has all of it: %s\n", in.size() >= p.query.text.size() ? "yes" : "no");
 }
 
-// A store that closes each connection as soon as it is up is not dialled for as long as the client waits.
+// A store that closes each connection as soon as it is up is not dialled for as long as the client
+// waits.
 void closesAtOnce() {
   Pair p;
   p.peer->write(pg::greeting());
@@ -287,16 +300,14 @@
     next.write(pg::greeting());
     ++times;
   }
-  std::printf("a store that greets and closes: dialled at most four times %s, given up %s\n", times <= 4 ? "yes" : "no",
-              p.done ? "yes" : "no");
+  std::printf("a store that greets and closes: dialled at most four times %s, given up %s\n",
+              times <= 4 ? "yes" : "no", p.done ? "yes" : "no");
 }
 
-const Case kCases[] = {{"cancelCrosses", cancelCrosses},
-                       {"toldLate", toldLate},
-                       {"closesAtOnce", closesAtOnce},
-                       {"endsUnseen", endsUnseen}, {"heldUp", heldUp},
-                       {"endlessFrames", endlessFrames},
-                       {"storeFaults", storeFaults}};
+const Case kCases[] = {
+    {"cancelCrosses", cancelCrosses}, {"toldLate", toldLate}, {"closesAtOnce", closesAtOnce},
+    {"endsUnseen", endsUnseen},       {"heldUp", heldUp},     {"endlessFrames", endlessFrames},
+    {"storeFaults", storeFaults}};
 
 }  // namespace
 
--- a/tests/clients.cpp
+++ b/tests/clients.cpp
@@ -1,12 +1,11 @@
-// An exception in the middle of a connection's work: its statements end all the same, and nothing of it is
-// left. The peers are real, what is spoken on them is this test's.
-#include "client/client_connections.h"
-
+// An exception in the middle of a connection's work: its statements end all the same, and nothing
+// of it is left. The peers are real, what is spoken on them is this test's.
 #include <csignal>
 #include <cstdio>
 #include <memory>
 #include <stdexcept>
 
+#include "client/client_connections.h"
 #include "trace.h"
 
 using namespace reedchute;
@@ -16,7 +15,9 @@
 
 namespace {
 
-sockaddr_in here(int port) { return *runtime::parseAddress("127.0.0.1:" + std::to_string(port), true); }
+sockaddr_in here(int port) {
+  return *runtime::parseAddress("127.0.0.1:" + std::to_string(port), true);
+}
 
 // Passes until something is so, or for so long that it never will be.
 bool comes(runtime::Scheduler& s, const std::function<bool()>& so) {
@@ -37,7 +38,9 @@
 };
 
 struct FaultyDoor : client::ClientProtocol {
-  std::unique_ptr<client::ClientCodec> talk(client::ClientChannel&) override { return std::make_unique<FaultyTalk>(); }
+  std::unique_ptr<client::ClientCodec> talk(client::ClientChannel&) override {
+    return std::make_unique<FaultyTalk>();
+  }
   std::size_t mostMessage() const override { return 100; }
 };
 
@@ -45,7 +48,8 @@
   runtime::Scheduler s;
   FaultyDoor door;
   request::RequestCounters account;
-  client::ClientConnections clients(s, door, account, {8, ms(1000), ms(1000), ms(1000), ms(1000), ms(1000), 8, 1 << 20});
+  client::ClientConnections clients(
+      s, door, account, {8, ms(1000), ms(1000), ms(1000), ms(1000), ms(1000), 8, 1 << 20});
   int port = clients.listen(here(0));
   clients.open();
   runtime::Socket socket(s, runtime::startConnect(here(port)));
--- a/tests/cql.cpp
+++ b/tests/cql.cpp
@@ -1,4 +1,5 @@
-// The native protocol's codec, without sockets: what it makes of whole, split, damaged and lying input.
+// The native protocol's codec, without sockets: what it makes of whole, split, damaged and lying
+// input.
 #include <cstdio>
 #include <cstring>
 #include <random>
@@ -16,7 +17,8 @@
 
 namespace {
 
-std::string queryBody(std::string_view text, int version, std::uint32_t flags = 0, std::string_view tail = {}) {
+std::string queryBody(std::string_view text, int version, std::uint32_t flags = 0,
+                      std::string_view tail = {}) {
   std::string body;
   addLongString(body, text);
   addShort(body, 1);
@@ -28,8 +30,9 @@
 }
 
 std::string spoken(const Frame& f) {
-  return std::string(f.answer ? "answer" : "request") + " v" + std::to_string(f.version) + " " + nameOf(f.opcode) +
-         " stream " + std::to_string(f.stream) + " body " + std::to_string(f.body.size());
+  return std::string(f.answer ? "answer" : "request") + " v" + std::to_string(f.version) + " " +
+         nameOf(f.opcode) + " stream " + std::to_string(f.stream) + " body " +
+         std::to_string(f.body.size());
 }
 
 std::vector<std::string_view> inPieces(std::string_view bytes, std::size_t step) {
@@ -112,9 +115,11 @@
       std::string said = framesOf(f, {all});
       std::size_t same = 0;
       for (std::size_t at = 1; at < bytes.size(); ++at)
-        same += framesOf(framingOf(segments, compress), {all.substr(0, at), all.substr(at)}) == said;
-      std::printf("%s %s: %s\n", segments ? "segments" : "bare", compress ? "lz4" : "plain",
-                  same == bytes.size() - 1 ? "every split gives the same" : "a split gives something else");
+        same += framesOf(framingOf(segments, compress), {all.substr(0, at), all.substr(at)}) ==
+                said;
+      std::printf(
+          "%s %s: %s\n", segments ? "segments" : "bare", compress ? "lz4" : "plain",
+          same == bytes.size() - 1 ? "every split gives the same" : "a split gives something else");
     }
 }
 
@@ -137,8 +142,9 @@
       else
         ++passed;
     }
-    std::printf("%s: turned bits found %s, passed %zu, left waiting %zu\n", compress ? "lz4" : "plain",
-                found == bytes.size() * 8 ? "all" : "not all", passed, waits);
+    std::printf("%s: turned bits found %s, passed %zu, left waiting %zu\n",
+                compress ? "lz4" : "plain", found == bytes.size() * 8 ? "all" : "not all", passed,
+                waits);
   }
 }
 
@@ -146,7 +152,8 @@
   auto one = [](const char* what, Framing f, const std::string& bytes) {
     std::printf("%s: %s", what, framesOf(std::move(f), {bytes}).c_str());
   };
-  std::string negative = made([](auto& b) { addHeader(b, false, 4, 0, 1, Opcode::query, 0xffffffff); });
+  std::string negative =
+      made([](auto& b) { addHeader(b, false, 4, 0, 1, Opcode::query, 0xffffffff); });
   one("a negative length", framingOf(false, false), negative + "x");
   std::string huge = made([](auto& b) { addHeader(b, false, 4, 0, 1, Opcode::query, 0x7fffffff); });
   one("a huge length", framingOf(false, false), huge);
@@ -154,17 +161,22 @@
   std::string packed = made([](auto& b) { addInt(b, 100), b += "\x10x"; });
   one("compressed though none was agreed", framingOf(false, false),
       whole(false, 4, kCompressed, 1, Opcode::query, packed));
-  one("a block shorter than stated", framingOf(false, true), whole(false, 4, kCompressed, 1, Opcode::query, packed));
+  one("a block shorter than stated", framingOf(false, true),
+      whole(false, 4, kCompressed, 1, Opcode::query, packed));
   std::string lie = made([](auto& b) { addInt(b, 1 << 20), b += "abcd"; });
-  one("a size that no block grows to", framingOf(false, true), whole(false, 4, kCompressed, 1, Opcode::query, lie));
+  one("a size that no block grows to", framingOf(false, true),
+      whole(false, 4, kCompressed, 1, Opcode::query, lie));
   std::string less = made([](auto& b) { addInt(b, -5); });
-  one("a negative size", framingOf(false, true), whole(false, 4, kCompressed, 1, Opcode::query, less));
+  one("a negative size", framingOf(false, true),
+      whole(false, 4, kCompressed, 1, Opcode::query, less));
   std::string none = made([](auto& b) { addInt(b, 0); });
-  one("an empty body, compressed", framingOf(false, true), whole(false, 4, kCompressed, 1, Opcode::options, none));
+  one("an empty body, compressed", framingOf(false, true),
+      whole(false, 4, kCompressed, 1, Opcode::options, none));
   // Segments whose checksums are right and whose sense is not.
   auto segment = [](std::string_view payload, bool self) {
     std::string s, head;
-    std::uint32_t bits = static_cast<std::uint32_t>(payload.size()) | static_cast<std::uint32_t>(self) << 17;
+    std::uint32_t bits = static_cast<std::uint32_t>(payload.size()) |
+                         static_cast<std::uint32_t>(self) << 17;
     for (int k = 0; k < 3; ++k) head.push_back(static_cast<char>(bits >> 8 * k & 0xff));
     std::uint32_t crc = crc24(head);
     for (int k = 0; k < 3; ++k) head.push_back(static_cast<char>(crc >> 8 * k & 0xff));
@@ -175,9 +187,12 @@
   };
   std::string f = whole(false, 5, 0, 1, Opcode::query, queryBody("SELECT 1", 5));
   one("two frames in one segment", framingOf(true, false), segment(f + f, true));
-  one("a part of a frame in a segment of its own", framingOf(true, false), segment(f.substr(0, 12), true));
-  one("a frame over two segments", framingOf(true, false), segment(f.substr(0, 4), false) + segment(f.substr(4), false));
-  one("a segment of its own in the middle", framingOf(true, false), segment(f.substr(0, 4), false) + segment(f, true));
+  one("a part of a frame in a segment of its own", framingOf(true, false),
+      segment(f.substr(0, 12), true));
+  one("a frame over two segments", framingOf(true, false),
+      segment(f.substr(0, 4), false) + segment(f.substr(4), false));
+  one("a segment of its own in the middle", framingOf(true, false),
+      segment(f.substr(0, 4), false) + segment(f, true));
   one("more behind the end of a split frame", framingOf(true, false),
       segment(f.substr(0, 4), false) + segment(f.substr(4) + f, false));
   one("an empty segment", framingOf(true, false), segment("", true));
@@ -215,7 +230,8 @@
            "DELETE FROM history WHERE k = 1",
            "DELETE l[2], m['a'] FROM history WHERE k = 1",
            "DELETE a FROM history WHERE k = 1 IF a = 3",
-           "BEGIN BATCH INSERT INTO a.one (x) VALUES (1); UPDATE two SET y = 2 WHERE z = 3; APPLY BATCH;",
+           "BEGIN BATCH INSERT INTO a.one (x) VALUES (1); UPDATE two SET y = 2 WHERE z = 3; APPLY "
+           "BATCH;",
            "BEGIN UNLOGGED BATCH UPDATE two SET y = y + 2 WHERE z = 3 APPLY BATCH",
            "BEGIN COUNTER BATCH UPDATE c SET n = n + 1 WHERE k = 1; APPLY BATCH",
            "BEGIN BATCH INSERT INTO one (x) VALUES (1) IF NOT EXISTS; APPLY BATCH",
@@ -248,8 +264,8 @@
     if (state != TextState::good)
       std::printf("%s\n", kStates[static_cast<int>(state)]);
     else
-      std::printf("%s, %s, '%s'.'%s'%s, markers %d\n", nameOf(r.kind), nameOf(r.nature), r.keyspace.c_str(),
-                  r.table.c_str(), r.systemTable ? " (system)" : "", r.markers);
+      std::printf("%s, %s, '%s'.'%s'%s, markers %d\n", nameOf(r.kind), nameOf(r.nature),
+                  r.keyspace.c_str(), r.table.c_str(), r.systemTable ? " (system)" : "", r.markers);
   }
 }
 
@@ -265,11 +281,13 @@
   if (a.parameters.values) said += " values " + std::to_string(a.parameters.values);
   if (a.parameters.pageSize) said += " page " + std::to_string(a.parameters.pageSize);
   if (a.parameters.pageState)
-    said += " state '" + std::string(*a.parameters.pageState) + "' at " + std::to_string(a.parameters.pageAt) + "+" +
-            std::to_string(a.parameters.pageSpan);
+    said += " state '" + std::string(*a.parameters.pageState) + "' at " +
+            std::to_string(a.parameters.pageAt) + "+" + std::to_string(a.parameters.pageSpan);
   if (!a.parameters.keyspace.empty()) said += " keyspace " + std::string(a.parameters.keyspace);
-  for (const Part& p : a.parts) said += std::string(p.prepared ? " [id " : " [") + std::string(p.text) + "]";
-  for (const auto& [name, value] : a.payload) said += " " + std::string(name) + "=" + std::string(value);
+  for (const Part& p : a.parts)
+    said += std::string(p.prepared ? " [id " : " [") + std::string(p.text) + "]";
+  for (const auto& [name, value] : a.payload)
+    said += " " + std::string(name) + "=" + std::string(value);
   return said;
 }
 
@@ -279,7 +297,8 @@
   return f;
 }
 
-std::vector<std::string> requestBodies(int version, std::vector<Opcode>& opcodes, std::vector<std::uint8_t>& flags) {
+std::vector<std::string> requestBodies(int version, std::vector<Opcode>& opcodes,
+                                       std::vector<std::uint8_t>& flags) {
   std::vector<std::string> bodies;
   auto add = [&](Opcode o, std::string body, std::uint8_t flag = 0) {
     opcodes.push_back(o), flags.push_back(flag), bodies.push_back(std::move(body));
@@ -328,18 +347,25 @@
     std::vector<std::string> bodies = requestBodies(version, opcodes, flags);
     bool found = true;
     for (std::size_t k = 0; k < bodies.size(); ++k) {
-      std::printf("%s: %s\n", nameOf(opcodes[k]), told(frameOf(opcodes[k], version, bodies[k], flags[k])).c_str());
-      found &= noneReads(bodies[k],
-                         [&](std::string_view b) { return told(frameOf(opcodes[k], version, b, flags[k])); });
+      std::printf("%s: %s\n", nameOf(opcodes[k]),
+                  told(frameOf(opcodes[k], version, bodies[k], flags[k])).c_str());
+      found &= noneReads(bodies[k], [&](std::string_view b) {
+        return told(frameOf(opcodes[k], version, b, flags[k]));
+      });
     }
     std::printf("cut or lengthened: %s found\n", found ? "all" : "not all");
   }
   std::string many = made([](auto& b) { addByte(b, 0), addShort(b, 5); });
-  std::printf("a batch of five where four are allowed: %s\n", told(frameOf(Opcode::batch, 4, many)).c_str());
-  std::printf("a batch of type 3: %s\n", told(frameOf(Opcode::batch, 4, std::string("\3\0\0\0\1\0", 6))).c_str());
-  std::printf("an unknown flag: %s\n", told(frameOf(Opcode::query, 4, queryBody("S", 4, 0x80))).c_str());
-  std::printf("a value of length -3: %s\n",
-              told(frameOf(Opcode::query, 4, queryBody("S", 4, 1, std::string("\0\1\xff\xff\xff\xfd", 6)))).c_str());
+  std::printf("a batch of five where four are allowed: %s\n",
+              told(frameOf(Opcode::batch, 4, many)).c_str());
+  std::printf("a batch of type 3: %s\n",
+              told(frameOf(Opcode::batch, 4, std::string("\3\0\0\0\1\0", 6))).c_str());
+  std::printf("an unknown flag: %s\n",
+              told(frameOf(Opcode::query, 4, queryBody("S", 4, 0x80))).c_str());
+  std::printf(
+      "a value of length -3: %s\n",
+      told(frameOf(Opcode::query, 4, queryBody("S", 4, 1, std::string("\0\1\xff\xff\xff\xfd", 6))))
+          .c_str());
   std::printf("nothing to ask: %s\n", told(frameOf(Opcode::ready, 4, "")).c_str());
 }
 
@@ -350,19 +376,23 @@
   if (f.opcode == Opcode::error) {
     char code[12];
     std::snprintf(code, sizeof code, "%04x", static_cast<unsigned>(r.code));
-    said = std::string("error ") + code + " '" + std::string(r.text) + "' " + std::string(r.writeType) +
-           std::string(r.unprepared);
+    said = std::string("error ") + code + " '" + std::string(r.text) + "' " +
+           std::string(r.writeType) + std::string(r.unprepared);
   } else {
-    said = "kind " + std::to_string(static_cast<int>(r.kind)) + " " + std::string(r.keyspace) + "." +
-           std::string(r.table) + " rows " + std::to_string(r.rows) + " of " + std::to_string(r.columns);
-    if (r.pageState) said += " state '" + std::string(*r.pageState) + "' at " + std::to_string(r.pageAt);
+    said = "kind " + std::to_string(static_cast<int>(r.kind)) + " " + std::string(r.keyspace) +
+           "." + std::string(r.table) + " rows " + std::to_string(r.rows) + " of " +
+           std::to_string(r.columns);
+    if (r.pageState)
+      said += " state '" + std::string(*r.pageState) + "' at " + std::to_string(r.pageAt);
     if (!r.id.empty()) said += " id " + std::string(r.id) + " markers " + std::to_string(r.markers);
   }
-  for (const auto& [name, value] : r.payload) said += " " + std::string(name) + "=" + std::string(value);
+  for (const auto& [name, value] : r.payload)
+    said += " " + std::string(name) + "=" + std::string(value);
   return said;
 }
 
-std::string metadata(std::int32_t flags, const std::string& state, const std::string& columns, std::int32_t n) {
+std::string metadata(std::int32_t flags, const std::string& state, const std::string& columns,
+                     std::int32_t n) {
   std::string m;
   addInt(m, flags), addInt(m, n);
   if (flags & 2) addBytes(m, state);
@@ -388,11 +418,13 @@
        }));
   std::string nested = made([](auto& b) {
     addString(b, "a");
-    for (int type : {0x21, 0x0d, 0x31, 2, 0x09, 0x30}) addShort(b, static_cast<std::uint16_t>(type));
+    for (int type : {0x21, 0x0d, 0x31, 2, 0x09, 0x30})
+      addShort(b, static_cast<std::uint16_t>(type));
     addString(b, "k"), addString(b, "u"), addShort(b, 1), addString(b, "f"), addShort(b, 0x20),
         addShort(b, 0x0b);
   });
-  tell(Opcode::result, made([&](auto& b) { addInt(b, 2), b += metadata(1, "", nested, 1), addInt(b, 0); }));
+  tell(Opcode::result,
+       made([&](auto& b) { addInt(b, 2), b += metadata(1, "", nested, 1), addInt(b, 0); }));
   tell(Opcode::result, setKeyspaceBody("ks"));
   std::string markers = metadata(1, "", col, 1);
   tell(Opcode::result, made([&](auto& b) {
@@ -400,7 +432,8 @@
          addInt(b, 1), addShort(b, 0), b += markers.substr(8) + metadata(4, "", "", 1);
        }));
   tell(Opcode::result, made([](auto& b) {
-         addInt(b, 5), addString(b, "CREATED"), addString(b, "TABLE"), addString(b, "ks"), addString(b, "t");
+         addInt(b, 5), addString(b, "CREATED"), addString(b, "TABLE"), addString(b, "ks"),
+             addString(b, "t");
        }));
   tellError(kOverloaded, "busy", [](auto&) {});
   tellError(kWriteTimeout, "late",
@@ -412,20 +445,27 @@
   std::printf("cut or lengthened: %s found\n", found ? "all" : "not all");
   std::string payload = made([](auto& b) { addBytesMap(b, {{"server_role", "writer"}}); });
   std::string traced = std::string(16, 't') + std::string("\0\1\0\1w", 5) + payload + one;
-  std::printf("traced, warned, with a payload: %s\n",
-              repliesTold(frameOf(Opcode::result, 4, traced, kTracing | kWarnings | kPayload)).c_str());
+  std::printf(
+      "traced, warned, with a payload: %s\n",
+      repliesTold(frameOf(Opcode::result, 4, traced, kTracing | kWarnings | kPayload)).c_str());
   std::string endless = made([](auto& b) {
-    addInt(b, 2), addInt(b, 1), addInt(b, 1), addString(b, "k"), addString(b, "t"), addString(b, "c");
+    addInt(b, 2), addInt(b, 1), addInt(b, 1), addString(b, "k"), addString(b, "t"),
+        addString(b, "c");
     for (int k = 0; k < 1000; ++k) addShort(b, 0x20);
   });
-  std::printf("a list of lists without end: %s\n", repliesTold(frameOf(Opcode::result, 4, endless)).c_str());
-  std::string empty = made([](auto& b) { addInt(b, 2), addInt(b, 4), addInt(b, 0), addInt(b, 0x7fffffff); });
-  std::printf("two thousand million rows of no column: %s\n", repliesTold(frameOf(Opcode::result, 4, empty)).c_str());
-  std::string ours = rowsBody("system", "local", {{"key"}, {"tokens", Type::setOfText}}, {{"local", textSet({"1"})}});
+  std::printf("a list of lists without end: %s\n",
+              repliesTold(frameOf(Opcode::result, 4, endless)).c_str());
+  std::string empty =
+      made([](auto& b) { addInt(b, 2), addInt(b, 4), addInt(b, 0), addInt(b, 0x7fffffff); });
+  std::printf("two thousand million rows of no column: %s\n",
+              repliesTold(frameOf(Opcode::result, 4, empty)).c_str());
+  std::string ours = rowsBody("system", "local", {{"key"}, {"tokens", Type::setOfText}},
+                              {{"local", textSet({"1"})}});
   std::printf("one of ours: %s\n", repliesTold(frameOf(Opcode::result, 4, ours)).c_str());
 }
 
-// Random changes to good input of every kind: nothing crashes, and no read goes beyond what came (the sanitizers).
+// Random changes to good input of every kind: nothing crashes, and no read goes beyond what came
+// (the sanitizers).
 void noise() {
   std::ranlux24_base chance(20261201);
   std::size_t read = 0, refused = 0;
@@ -454,13 +494,17 @@
       framesOf(f, inPieces(bytes, 1 + chance() % bytes.size()));
     }
   }
-  std::printf("%s\n", read > 1000 && refused > 1000 ? "some read, some refused, none beyond its end" : "too few of a kind");
+  std::printf("%s\n", read > 1000 && refused > 1000 ? "some read, some refused, none beyond its end"
+                                                    : "too few of a kind");
 }
 
-constexpr Case kCases[] = {{"cqlFrames", frames},   {"cqlSplits", splits},     {"cqlChecksums", checksums},
-                           {"cqlLiars", liars},     {"cqlTexts", texts},       {"cqlRequests", requests},
-                           {"cqlReplies", replies}, {"cqlNoise", noise}};
+constexpr Case kCases[] = {{"cqlFrames", frames},       {"cqlSplits", splits},
+                           {"cqlChecksums", checksums}, {"cqlLiars", liars},
+                           {"cqlTexts", texts},         {"cqlRequests", requests},
+                           {"cqlReplies", replies},     {"cqlNoise", noise}};
 
 }  // namespace
 
-int main(int argc, char** argv) { return runCase(kCases, argc, argv); }
+int main(int argc, char** argv) {
+  return runCase(kCases, argc, argv);
+}
--- a/tests/cql_client.h
+++ b/tests/cql_client.h
@@ -1,4 +1,5 @@
-// A client of the Cassandra protocol for tests: speaks to a front's door, and says in words what came.
+// A client of the Cassandra protocol for tests: speaks to a front's door, and says in words what
+// came.
 #pragma once
 
 #include <map>
@@ -85,8 +86,10 @@
       return told + (back.empty() ? "" : ", come back after " + std::string(back));
     }
     if (got.opcode != cql::Opcode::result) return cql::nameOf(got.opcode);
-    if (reply.kind == cql::ResultKind::prepared) return "prepared, markers " + std::to_string(reply.markers);
-    if (reply.kind == cql::ResultKind::setKeyspace) return "keyspace " + std::string(reply.keyspace);
+    if (reply.kind == cql::ResultKind::prepared)
+      return "prepared, markers " + std::to_string(reply.markers);
+    if (reply.kind == cql::ResultKind::setKeyspace)
+      return "keyspace " + std::string(reply.keyspace);
     if (reply.kind != cql::ResultKind::rows) return "done";
     std::string told = std::to_string(reply.rows) + " rows";
     if (reply.rows == 1 && reply.columns == 1) {
@@ -116,8 +119,10 @@
   std::string parameters(const Extra& x, const std::vector<std::string>& values) {
     std::string p;
     cql::addShort(p, x.consistency);
-    std::uint32_t flags = (values.empty() ? 0 : 1u) | (x.pageSize ? 4u : 0) | (x.page.empty() ? 0 : 8u);
-    version >= 5 ? cql::addInt(p, static_cast<std::int32_t>(flags)) : cql::addByte(p, static_cast<std::uint8_t>(flags));
+    std::uint32_t flags = (values.empty() ? 0 : 1u) | (x.pageSize ? 4u : 0) |
+                          (x.page.empty() ? 0 : 8u);
+    version >= 5 ? cql::addInt(p, static_cast<std::int32_t>(flags))
+                 : cql::addByte(p, static_cast<std::uint8_t>(flags));
     if (!values.empty()) cql::addShort(p, static_cast<std::uint16_t>(values.size()));
     for (const std::string& v : values) cql::addBytes(p, v);
     if (x.pageSize) cql::addInt(p, x.pageSize);
@@ -149,7 +154,8 @@
     resultId = reply.resultId;
     return std::string(reply.id);
   }
-  int execute(const std::string& id, const std::vector<std::string>& values, const Extra& x, int stream = 3) {
+  int execute(const std::string& id, const std::vector<std::string>& values, const Extra& x,
+              int stream = 3) {
     std::string body = x.payload ? payload(x) : std::string();
     cql::addShortBytes(body, id);
     if (version >= 5) cql::addShortBytes(body, resultId);
@@ -157,14 +163,17 @@
     return stream;
   }
   // A batch of texts, or, with ids, of prepared statements that have a value each.
-  int batch(const std::vector<std::string>& texts, const std::vector<std::pair<std::string, std::string>>& prepared,
-            std::uint8_t type, const Extra& x, int stream = 4) {
+  int batch(const std::vector<std::string>& texts,
+            const std::vector<std::pair<std::string, std::string>>& prepared, std::uint8_t type,
+            const Extra& x, int stream = 4) {
     std::string body = payload(x);
     cql::addByte(body, type);
     cql::addShort(body, static_cast<std::uint16_t>(texts.size() + prepared.size()));
     for (const auto& [id, value] : prepared)
-      cql::addByte(body, 1), cql::addShortBytes(body, id), cql::addShort(body, 1), cql::addBytes(body, value);
-    for (const std::string& t : texts) cql::addByte(body, 0), cql::addLongString(body, t), cql::addShort(body, 0);
+      cql::addByte(body, 1), cql::addShortBytes(body, id), cql::addShort(body, 1),
+          cql::addBytes(body, value);
+    for (const std::string& t : texts)
+      cql::addByte(body, 0), cql::addLongString(body, t), cql::addShort(body, 0);
     cql::addShort(body, x.consistency);
     version >= 5 ? cql::addInt(body, 0) : cql::addByte(body, 0);
     send(stream, cql::Opcode::batch, body, cql::kPayload);
--- a/tests/cql_front.cpp
+++ b/tests/cql_front.cpp
@@ -1,4 +1,5 @@
-// The Cassandra door of a whole front on loopback, a process of its own, against the toy of example/.
+// The Cassandra door of a whole front on loopback, a process of its own, against the toy of
+// example/.
 #include "cql_client.h"
 
 using namespace reedchute;
@@ -37,8 +38,9 @@
       std::printf("execute: %s\n", c.answer(c.execute(id, {"e"}, {})).c_str());
       std::printf("execute: %s\n", c.answer(c.execute(id, {"f"}, {})).c_str());
       std::string write = c.prepare("INSERT INTO weather.entries (ref) VALUES (?)");
-      std::printf("batch: %s\n",
-                  c.answer(c.batch({insertOf("g")}, {{write, "h"}}, 0, {.workload = "write", .mark = "m2"})).c_str());
+      std::printf("batch: %s\n", c.answer(c.batch({insertOf("g")}, {{write, "h"}}, 0,
+                                                  {.workload = "write", .mark = "m2"}))
+                                     .c_str());
       std::printf("a long answer: %s\n", c.ask(selectOf("big300000"), {}).substr(0, 12).c_str());
       std::printf("effects: %d and %d\n", d.toy.effects("m1"), d.toy.effects("m2"));
     }
@@ -76,21 +78,26 @@
   ClientProtocol d(1);
   CqlClient c(d);
   for (const char* text :
-       {"SELECT * FROM system.local WHERE key='local'", "SELECT * FROM system.peers", "SELECT * FROM system.peers_v2",
-        "SELECT key, rack FROM system.local", "SELECT nothing FROM system.local", "SELECT count(*) FROM system.local",
+       {"SELECT * FROM system.local WHERE key='local'", "SELECT * FROM system.peers",
+        "SELECT * FROM system.peers_v2", "SELECT key, rack FROM system.local",
+        "SELECT nothing FROM system.local", "SELECT count(*) FROM system.local",
         "SELECT * FROM system_schema.keyspaces", "SELECT * FROM system_schema.tables",
-        "SELECT * FROM system_schema.columns", "SELECT * FROM system.none", "INSERT INTO system.local (key) VALUES ('a')",
-        "USE weather", "SELECT payload FROM entries WHERE ref = 'bare'", "USE nowhere",
-        "SELECT payload FROM nowhere.entries WHERE ref = 'a'", "", "SELECT 'open FROM weather.entries"})
+        "SELECT * FROM system_schema.columns", "SELECT * FROM system.none",
+        "INSERT INTO system.local (key) VALUES ('a')", "USE weather",
+        "SELECT payload FROM entries WHERE ref = 'bare'", "USE nowhere",
+        "SELECT payload FROM nowhere.entries WHERE ref = 'a'", "",
+        "SELECT 'open FROM weather.entries"})
     std::printf("%s: %s\n", text, c.plain(text).c_str());
   CqlClient fresh(d);
-  std::printf("a bare name without USE: %s\n", fresh.plain("SELECT payload FROM entries WHERE ref = 'a'").c_str());
+  std::printf("a bare name without USE: %s\n",
+              fresh.plain("SELECT payload FROM entries WHERE ref = 'a'").c_str());
   fresh.send(1, cql::Opcode::reg, eventsOf("STATUS_CHANGE"));
   std::printf("REGISTER: %s\n", fresh.answer(1).c_str());
   CqlClient schema(d);
   schema.send(1, cql::Opcode::reg, eventsOf("SCHEMA_CHANGE"));
   schema.answer(1);
-  std::printf("a change of the schema: %s\n", c.plain("CREATE TABLE weather.entries (a int PRIMARY KEY)").c_str());
+  std::printf("a change of the schema: %s\n",
+              c.plain("CREATE TABLE weather.entries (a int PRIMARY KEY)").c_str());
   std::printf("who asked for it hears: %s\n", schema.answer(-1).c_str());
   d.signal(SIGTERM);
   std::printf("when the front leaves: %s\n", fresh.answer(-1).c_str());
@@ -99,14 +106,16 @@
 }
 
 void doorOutcomes() {
-  for (const char* key : {"error-ok", "full-ok", "miss-ok", "away-ok", "break-ok", "half-ok", "garbage-ok", "twice-ok",
-                          "long-ok", "longer-ok", "unasked-ok", "wrong", "full"}) {
+  for (const char* key :
+       {"error-ok", "full-ok", "miss-ok", "away-ok", "break-ok", "half-ok", "garbage-ok",
+        "twice-ok", "long-ok", "longer-ok", "unasked-ok", "wrong", "full"}) {
     ClientProtocol d(3);
     CqlClient c(d);
     c.ask(selectOf("ok"), {});
     int before = d.sent;
     std::string got = c.ask(selectOf(key), {});
-    std::printf("%s: %s; %s\n", key, got.c_str(), d.sent - before > 1 ? "several sent" : "one sent");
+    std::printf("%s: %s; %s\n", key, got.c_str(),
+                d.sent - before > 1 ? "several sent" : "one sent");
     std::printf("  then: %s\n", c.ask(selectOf("ok"), {}).c_str());
   }
   auto write = [](const char* what, const std::string& text, const Extra& x) {
@@ -125,7 +134,9 @@
   write("no answer in its time", insertOf("silent"), {.workload = "once", .waitMs = 500});
   write("a counter without a mark's workload",
         "UPDATE weather.entries SET n = n + 1 WHERE ref = 'error-ok'", {.workload = "once"});
-  write("a conditional write", "INSERT INTO weather.entries (ref) VALUES ('break-ok') IF NOT EXISTS", {.workload = "once"});
+  write("a conditional write",
+        "INSERT INTO weather.entries (ref) VALUES ('break-ok') IF NOT EXISTS",
+        {.workload = "once"});
 }
 
 void doorPrepared() {
@@ -133,9 +144,12 @@
   CqlClient c(d);
   std::string id = c.prepare("SELECT payload FROM weather.entries WHERE ref = ?");
   auto run = [&](const char* what, int times) {
-    int right = 0, before = d.toy.preparedTimes(0) + d.toy.preparedTimes(1) + d.toy.preparedTimes(2);
-    for (int k = 0; k < times; ++k) right += c.answer(c.execute(id, {"v"}, {})) == "row 'value of v'";
-    int prepared = d.toy.preparedTimes(0) + d.toy.preparedTimes(1) + d.toy.preparedTimes(2) - before;
+    int right = 0,
+        before = d.toy.preparedTimes(0) + d.toy.preparedTimes(1) + d.toy.preparedTimes(2);
+    for (int k = 0; k < times; ++k)
+      right += c.answer(c.execute(id, {"v"}, {})) == "row 'value of v'";
+    int prepared = d.toy.preparedTimes(0) + d.toy.preparedTimes(1) + d.toy.preparedTimes(2) -
+                   before;
     std::printf("%s: %d of %d; prepared anew: %s\n", what, right, times,
                 prepared <= 3 ? "at most once a store" : "too often");
   };
@@ -158,7 +172,8 @@
   std::printf("a write that was forgotten: %s\n", c.answer(c.execute(once, {"v"}, x)).c_str());
   std::printf("its effects: %d\n", d.toy.effects(c.lastId));
   for (int k = 0; k < 3; ++k) d.toy.forgetPrepared(k);
-  std::printf("a batch of it: %s\n", c.answer(c.batch({}, {{once, "v"}, {once, "w"}}, 1, x)).c_str());
+  std::printf("a batch of it: %s\n",
+              c.answer(c.batch({}, {{once, "v"}, {once, "w"}}, 1, x)).c_str());
   std::printf("its effects: %d\n", d.toy.effects(c.lastId));
 }
 
@@ -174,12 +189,15 @@
   std::printf("%s\n", c.ask(selectOf("pages3"), {.pageSize = 1}).c_str());
   std::string page(*c.reply.pageState), changed = page;
   changed[changed.size() / 2] = static_cast<char>(changed[changed.size() / 2] ^ 1);
-  std::printf("a state that was changed: %s\n", c.ask(selectOf("pages3"), {.pageSize = 1, .page = changed}).c_str());
-  std::printf("a state of nobody's: %s\n", c.ask(selectOf("pages3"), {.pageSize = 1, .page = "2"}).c_str());
+  std::printf("a state that was changed: %s\n",
+              c.ask(selectOf("pages3"), {.pageSize = 1, .page = changed}).c_str());
+  std::printf("a state of nobody's: %s\n",
+              c.ask(selectOf("pages3"), {.pageSize = 1, .page = "2"}).c_str());
   std::printf("the next page stalls: %s\n",
               c.ask(selectOf("silent"), {.waitMs = 400, .pageSize = 1, .page = page}).c_str());
   std::printf("and again: %s\n", c.ask(selectOf("pages3"), {.pageSize = 1, .page = page}).c_str());
-  // Further pages are never older than the first: replicas that came back from an old copy get none of them.
+  // Further pages are never older than the first: replicas that came back from an old copy get none
+  // of them.
   d.comeBackOld({1, 2});
   int right = 0, before = d.toy.executions(1) + d.toy.executions(2);
   for (int k = 0; k < 20; ++k)
@@ -189,8 +207,8 @@
 }
 
 std::string frameOf(int version, int flags, int stream, int opcode, std::string_view body) {
-  return cql::whole(version & 0x80, version & 0x7f, static_cast<std::uint8_t>(flags), static_cast<std::int16_t>(stream),
-                    static_cast<cql::Opcode>(opcode), body);
+  return cql::whole(version & 0x80, version & 0x7f, static_cast<std::uint8_t>(flags),
+                    static_cast<std::int16_t>(stream), static_cast<cql::Opcode>(opcode), body);
 }
 
 void doorBadInput() {
@@ -203,8 +221,9 @@
     d.until("closed", [&] { return c.read(), c.ended; });
     std::printf("; ended\n");
   };
-  std::string start = made(
-      [](auto& b) { cql::addShort(b, 1), cql::addString(b, "CQL_VERSION"), cql::addString(b, "3.0.0"); });
+  std::string start = made([](auto& b) {
+    cql::addShort(b, 1), cql::addString(b, "CQL_VERSION"), cql::addString(b, "3.0.0");
+  });
   fresh("version 3", frameOf(3, 0, 7, 1, start), 7);
   fresh("version 6", frameOf(6, 0, 7, 5, ""), 7);
   fresh("version 1", std::string("\1\0\0\1\0\0\0\0", 8), 0);
@@ -233,8 +252,8 @@
   };
   after("a body that can't be read", 4, frameOf(4, 0, 9, 7, "xx"), 9);
   after("a batch without end", 4, frameOf(4, 0, 9, 13, std::string("\0\xff\xff", 3)), 9);
-  after("an unknown flag of the query", 4,
-        frameOf(4, 0, 9, 7, std::string("\0\0\0\1x\0\1\x80", 8)), 9);
+  after("an unknown flag of the query", 4, frameOf(4, 0, 9, 7, std::string("\0\0\0\1x\0\1\x80", 8)),
+        9);
   after("a second STARTUP", 4, frameOf(4, 0, 9, 1, start), 9);
   after("a password that nobody asked for", 4, frameOf(4, 0, 9, 15, std::string("\0\0\0\0", 4)), 9);
   after("a negative stream", 4, frameOf(4, 0, -5, 7, ""), -5);
@@ -278,7 +297,8 @@
     deaf.push_back(std::make_unique<CqlClient>(d));
     for (int n = 0; n < 200; ++n) deaf.back()->query(selectOf("big60000"), {}, n);
   }
-  // Their statements may fill the memory for statements: whoever comes then is told at once to come again.
+  // Their statements may fill the memory for statements: whoever comes then is told at once to come
+  // again.
   CqlClient after(d);
   int told = 0, right = 0;
   for (int k = 0; k < 20; ++k) {
@@ -287,7 +307,8 @@
   }
   std::printf("beside clients that read nothing: %d of 20 answered or told to come again\n", told);
   deaf.clear();
-  d.until("what they asked for is over", [&] { return after.ask(selectOf("a"), {}) == "row 'value of a'"; });
+  d.until("what they asked for is over",
+          [&] { return after.ask(selectOf("a"), {}) == "row 'value of a'"; });
   for (int k = 0; k < 20; ++k) right += after.ask(selectOf("a"), {}) == "row 'value of a'";
   std::printf("once they have left: %d of 20\n", right);
   std::printf("memory at most 32 MB: %s\n", d.heldAtMost(32) ? "yes" : "no");
@@ -302,10 +323,12 @@
   std::printf("owed beside half a message of ten connect time-outs: %s\n", c.answer(1).c_str());
   std::string got = c.answer(0);  // the end may come with it or behind it
   bool closed = d.until("closed", [&] { return c.read(), c.ended; });
-  std::printf("the half message then: %s, closed %s\n", got.substr(0, got.find(',')).c_str(), closed ? "yes" : "no");
+  std::printf("the half message then: %s, closed %s\n", got.substr(0, got.find(',')).c_str(),
+              closed ? "yes" : "no");
 }
 
-// A store that drains finishes what it has, gets nothing new on old streams, and loses its connections.
+// A store that drains finishes what it has, gets nothing new on old streams, and loses its
+// connections.
 void doorDrains() {
   // Probes go in this protocol too: an idle connection of the other would stay until its time.
   std::string door = kDoor;
@@ -340,4 +363,6 @@
 
 }  // namespace
 
-int main(int argc, char** argv) { return test::runOnFront(kCases, argc, argv); }
+int main(int argc, char** argv) {
+  return test::runOnFront(kCases, argc, argv);
+}
--- a/tests/cql_units.cpp
+++ b/tests/cql_units.cpp
@@ -1,17 +1,18 @@
-// The Cassandra door's decisions, without sockets or clock: each case prints what was told and what was decided.
+// The Cassandra door's decisions, without sockets or clock: each case prints what was told and what
+// was decided.
 #include <cstdio>
 #include <memory>
 
 #include "codec/cql/request.h"
 #include "codec/cql/wire.h"
-#include "protocols/cassandra/table_mapping.h"
 #include "protocols/cassandra/error_outcomes.h"
 #include "protocols/cassandra/paging_state.h"
 #include "protocols/cassandra/prepared_statements.h"
 #include "protocols/cassandra/settings.h"
+#include "protocols/cassandra/statement_decoder.h"
 #include "protocols/cassandra/streams.h"
 #include "protocols/cassandra/system_tables.h"
-#include "protocols/cassandra/statement_decoder.h"
+#include "protocols/cassandra/table_mapping.h"
 #include "trace.h"
 
 using namespace reedchute;
@@ -34,14 +35,19 @@
   t.workloads = {any, near, mine, write, once};
   return t;
 }
-const Names kNames{.workloads = {"any", "near", "mine", "write", "once"}, .tenants = {"coop"}, .zones = {}, .standsFor = {}, .marked = {}};
+const Names kNames{.workloads = {"any", "near", "mine", "write", "once"},
+                   .tenants = {"coop"},
+                   .zones = {},
+                   .standsFor = {},
+                   .marked = {}};
 
 std::string rowName(const EngineSettings& t, int row) {
   static constexpr const char* kLevels[] = {"any", "bounded", "session", "fresh", "write"};
   static constexpr const char* kEffects[] = {"idempotent", "deduplicated", "non-idempotent"};
   if (row < 0) return "none";
   const Workload& w = t.workloads[static_cast<std::size_t>(row)];
-  return std::string(kLevels[static_cast<int>(w.level)]) + ", " + kEffects[static_cast<int>(w.effect)];
+  return std::string(kLevels[static_cast<int>(w.level)]) + ", " +
+         kEffects[static_cast<int>(w.effect)];
 }
 
 void chart() {
@@ -51,13 +57,20 @@
     g.storesDropMarks = marks;
     g.mappings = {{"weather", "history", {Kind::read}, {1}, "near", 7, 0, Duration{100'000}},
                   {"weather", "history", {Kind::read}, {}, "any", 7, 0, {}},
-                  {"weather", "", {Kind::write, Kind::batch, Kind::counter, Kind::conditional}, {}, "write", 8, 0, {}}};
+                  {"weather",
+                   "",
+                   {Kind::write, Kind::batch, Kind::counter, Kind::conditional},
+                   {},
+                   "write",
+                   8,
+                   0,
+                   {}}};
     Names names = kNames;
     TableMapping c(g, t, names);
     IdIndex<std::int64_t> groups;
     groups.add(7), groups.add(8);
-    std::printf("-- stores %s repeats by their marks; %zu rows for 5 workloads\n", marks ? "drop" : "don't drop",
-                t.workloads.size());
+    std::printf("-- stores %s repeats by their marks; %zu rows for 5 workloads\n",
+                marks ? "drop" : "don't drop", t.workloads.size());
     auto tell = [&](const char* what, const StatementDescription& told) {
       MappedStatement p;
       if (auto why = c.place(told, groups, p))
@@ -66,8 +79,16 @@
         std::printf("%s: %s; group %lld%s\n", what, rowName(t, p.workload).c_str(),
                     static_cast<long long>(groups.id(p.group)), p.timeout ? ", its own time" : "");
     };
-    StatementDescription read{.kind = Kind::read, .nature = {}, .keyspace = "weather", .table = "history", .consistency = 1,
-              .nextPage = false, .pagePosition = {}, .workload = {}, .mark = {}, .group = {}};
+    StatementDescription read{.kind = Kind::read,
+                              .nature = {},
+                              .keyspace = "weather",
+                              .table = "history",
+                              .consistency = 1,
+                              .nextPage = false,
+                              .pagePosition = {},
+                              .workload = {},
+                              .mark = {},
+                              .group = {}};
     tell("a read at ONE", read);
     read.consistency = 4;
     tell("at QUORUM", read);
@@ -85,13 +106,22 @@
     tell("a group that isn't there", read);
     read.workload = {}, read.group = {}, read.keyspace = "other";
     tell("another keyspace", read);
-    StatementDescription write{.kind = Kind::write, .nature = {}, .keyspace = "weather", .table = "x", .consistency = 1, .nextPage = false,
-               .pagePosition = {}, .workload = {}, .mark = "k", .group = {}};
+    StatementDescription write{.kind = Kind::write,
+                               .nature = {},
+                               .keyspace = "weather",
+                               .table = "x",
+                               .consistency = 1,
+                               .nextPage = false,
+                               .pagePosition = {},
+                               .workload = {},
+                               .mark = "k",
+                               .group = {}};
     tell("a marked write", write);
     write.mark = {};
     tell("without its mark", write);
     write.mark = "k";
-    for (Nature n : {Nature::conditional, Nature::counter, Nature::function, Nature::appends, Nature::byPlace}) {
+    for (Nature n : {Nature::conditional, Nature::counter, Nature::function, Nature::appends,
+                     Nature::byPlace}) {
       write.nature = n;
       tell(nameOf(n), write);
     }
@@ -100,8 +130,16 @@
     write.workload = "once", write.nature = Nature::counter;
     tell("a counter in one that never repeats", write);
     MappedStatement p;
-    StatementDescription prepare{.kind = Kind::write, .nature = {}, .keyspace = "weather", .table = "x", .consistency = 0, .nextPage = false,
-                 .pagePosition = {}, .workload = {}, .mark = {}, .group = {}};
+    StatementDescription prepare{.kind = Kind::write,
+                                 .nature = {},
+                                 .keyspace = "weather",
+                                 .table = "x",
+                                 .consistency = 0,
+                                 .nextPage = false,
+                                 .pagePosition = {},
+                                 .workload = {},
+                                 .mark = {},
+                                 .group = {}};
     auto why = c.placePrepare(prepare, groups, p);
     std::printf("preparing: %s\n", why ? why->c_str() : rowName(t, p.workload).c_str());
   }
@@ -109,9 +147,11 @@
 
 void endings() {
   static constexpr const char* kNames2[] = {"ok", "miss", "full", "error", "spoilt", "invalid"};
-  for (std::int32_t code : {0x0000, 0x000a, 0x0100, 0x1000, 0x1001, 0x1002, 0x1003, 0x1100, 0x1200, 0x1300, 0x1400, 0x1500,
-                            0x1600, 0x1700, 0x2000, 0x2100, 0x2200, 0x2300, 0x2400, 0x2500, 0x7777})
-    std::printf("%04x %s\n", static_cast<unsigned>(code), kNames2[static_cast<int>(endingOf(code, {}))]);
+  for (std::int32_t code :
+       {0x0000, 0x000a, 0x0100, 0x1000, 0x1001, 0x1002, 0x1003, 0x1100, 0x1200, 0x1300, 0x1400,
+        0x1500, 0x1600, 0x1700, 0x2000, 0x2100, 0x2200, 0x2300, 0x2400, 0x2500, 0x7777})
+    std::printf("%04x %s\n", static_cast<unsigned>(code),
+                kNames2[static_cast<int>(endingOf(code, {}))]);
   std::printf("1000 role %s\n", kNames2[static_cast<int>(endingOf(0x1000, "role"))]);
   std::printf("1000 behind %s\n", kNames2[static_cast<int>(endingOf(0x1000, "behind"))]);
   std::printf("1001 behind %s\n", kNames2[static_cast<int>(endingOf(0x1001, "behind"))]);
@@ -130,22 +170,25 @@
   std::printf("four kept: %zu\n", texts.size());
   texts.find(ids[0]);
   ids.push_back(texts.keep(textOf("e"))->id);
-  std::printf("a fifth: %zu; a %d b %d c %d d %d e %d\n", texts.size(), texts.find(ids[0]) != nullptr,
-              texts.find(ids[1]) != nullptr, texts.find(ids[2]) != nullptr, texts.find(ids[3]) != nullptr,
+  std::printf("a fifth: %zu; a %d b %d c %d d %d e %d\n", texts.size(),
+              texts.find(ids[0]) != nullptr, texts.find(ids[1]) != nullptr,
+              texts.find(ids[2]) != nullptr, texts.find(ids[3]) != nullptr,
               texts.find(ids[4]) != nullptr);
   PreparedRef held = texts.find(ids[0]);
   std::size_t before = PreparedTexts::costOf(*held);
   held->told[0] = std::string(5000, 'x');
   texts.grew(held, before);
-  std::printf("one that grew beyond all: %zu left, it %s\n", texts.size(), texts.find(ids[0]) ? "stays" : "went");
+  std::printf("one that grew beyond all: %zu left, it %s\n", texts.size(),
+              texts.find(ids[0]) ? "stays" : "went");
   texts.keep(textOf("f"));
-  std::printf("another comes: it %s, whoever uses it still has it: %zu bytes\n", texts.find(ids[0]) ? "stays" : "went",
-              held->told[0].size());
+  std::printf("another comes: it %s, whoever uses it still has it: %zu bytes\n",
+              texts.find(ids[0]) ? "stays" : "went", held->told[0].size());
   texts.schemaChanged();
   std::printf("bytes after a change of the schema: %zu for %zu\n", texts.bytes(), texts.size());
   StorePrepared::Room room(700);
   StorePrepared known(room);
-  known.learn("a", {"1", ""}), known.learn("b", {"2", ""}), known.find("a"), known.learn("c", {"3", ""});
+  known.learn("a", {"1", ""}), known.learn("b", {"2", ""}), known.find("a"),
+      known.learn("c", {"3", ""});
   std::printf("a store's: a %d b %d c %d\n", known.find("a") != nullptr, known.find("b") != nullptr,
               known.find("c") != nullptr);
   known.learn("a", {"9", ""});
@@ -154,10 +197,11 @@
   std::vector<std::unique_ptr<StorePrepared>> stores;
   for (int s = 0; s < 1024; ++s) {
     stores.push_back(std::make_unique<StorePrepared>(four));
-    for (int t = 0; t < 200; ++t) stores.back()->learn(preparedId(std::to_string(t)), {std::string(16, 'i'), ""});
+    for (int t = 0; t < 200; ++t)
+      stores.back()->learn(preparedId(std::to_string(t)), {std::string(16, 'i'), ""});
   }
-  std::printf("1024 stores with 200 each, in 4 MB: %zu known; of the first %zu, of the last %zu\n", four.size(),
-              stores.front()->size(), stores.back()->size());
+  std::printf("1024 stores with 200 each, in 4 MB: %zu known; of the first %zu, of the last %zu\n",
+              four.size(), stores.front()->size(), stores.back()->size());
   stores.pop_back();
   std::printf("the last is forgotten: %zu known\n", four.size());
 }
@@ -193,8 +237,8 @@
   std::printf("prepared: %d; parked %zu\n", s.preparing("text"), s.parked().size());
   s.prepares(b, "other");
   s.end(b, true);
-  std::printf("ended while its text was prepared: preparing %d, full %d, orphans %zu, jobs %zu\n", s.preparing("other"),
-              s.full(), s.orphans(), s.jobs());
+  std::printf("ended while its text was prepared: preparing %d, full %d, orphans %zu, jobs %zu\n",
+              s.preparing("other"), s.full(), s.orphans(), s.jobs());
   s.end(c, false);
   std::printf("one answered: full %d, next on %d\n", s.full(), s.begin(&jobs[3]));
   s.freed(b);
@@ -205,15 +249,17 @@
   Page p{storeMark("s-1"), WallTime{1'700'000'000'000'000}, "state"};
   std::string bytes = wrapped(p);
   auto back = unwrapped(bytes);
-  std::printf("%zu bytes; back: %d, the same store %d, position %d, '%s'\n", bytes.size(), back.has_value(),
-              back->store == p.store, back->position == p.position, back->state.c_str());
+  std::printf("%zu bytes; back: %d, the same store %d, position %d, '%s'\n", bytes.size(),
+              back.has_value(), back->store == p.store, back->position == p.position,
+              back->state.c_str());
   std::size_t found = 0, all = 0;
   for (std::size_t k = 0; k < bytes.size(); ++k, ++all) {
     std::string spoilt = bytes;
     spoilt[k] = static_cast<char>(spoilt[k] ^ 4);
     found += !unwrapped(spoilt);
   }
-  for (std::size_t k = 0; k < bytes.size(); ++k, ++all) found += !unwrapped(std::string_view(bytes).substr(0, k));
+  for (std::size_t k = 0; k < bytes.size(); ++k, ++all)
+    found += !unwrapped(std::string_view(bytes).substr(0, k));
   std::printf("changed or cut: %s found\n", found == all ? "all" : "not all");
   auto without = unwrapped(wrapped({1, {}, ""}));
   std::printf("without a position: %d, %d\n", without.has_value(), without->position.has_value());
@@ -225,7 +271,8 @@
   Config g;
   g.timeout = Duration{2'000'000};
   g.batchMost = 3;
-  g.mappings = {{"weather", "", {Kind::read}, {}, "any", 7, 0, {}}, {"weather", "", {}, {}, "write", 7, 0, Duration{300'000}}};
+  g.mappings = {{"weather", "", {Kind::read}, {}, "any", 7, 0, {}},
+                {"weather", "", {}, {}, "write", 7, 0, Duration{300'000}}};
   Names names = kNames;
   TableMapping c(g, t, names);
   IdIndex<std::int64_t> groups;
@@ -239,13 +286,14 @@
   TimePoint now{1'000'000'000'000};
   runtime::WallClock wall(Duration{});
   using reedchute::cql::Opcode;
-  auto ask = [&](const char* what, Opcode o, const std::string& body, const reedchute::cql::BytesMap& payload = {},
-                 const std::string& keyspace = "") {
+  auto ask = [&](const char* what, Opcode o, const std::string& body,
+                 const reedchute::cql::BytesMap& payload = {}, const std::string& keyspace = "") {
     std::string whole;
     if (!payload.empty()) reedchute::cql::addBytesMap(whole, payload);
     whole += body;
     reedchute::cql::Frame f;
-    f.version = 4, f.opcode = o, f.body = whole, f.flags = payload.empty() ? 0 : reedchute::cql::kPayload;
+    f.version = 4, f.opcode = o, f.body = whole,
+    f.flags = payload.empty() ? 0 : reedchute::cql::kPayload;
     Outcome out = takeIn.read(f, keyspace, now, wall);
     std::printf("%s: ", what);
     if (!out.statement) {
@@ -260,10 +308,12 @@
     std::string sent = worded(s, 123, ids);
     for (char& ch : sent)
       if (ch < ' ' || ch > '~') ch = '.';
-    return std::printf("%s; wait %lld ms%s%s, needs %zu\n  %s\n", rowName(t, a.workload).c_str(),
-                       static_cast<long long>(out.statement->timeout.us / 1000),
-                       a.sinceWrite ? (", wrote " + std::to_string(a.sinceWrite->us / 1000) + " ms ago").c_str() : "",
-                       a.tenant >= 0 ? ", a tenant" : "", s.needs.size(), sent.c_str());
+    return std::printf(
+        "%s; wait %lld ms%s%s, needs %zu\n  %s\n", rowName(t, a.workload).c_str(),
+        static_cast<long long>(out.statement->timeout.us / 1000),
+        a.sinceWrite ? (", wrote " + std::to_string(a.sinceWrite->us / 1000) + " ms ago").c_str()
+                     : "",
+        a.tenant >= 0 ? ", a tenant" : "", s.needs.size(), sent.c_str());
   };
   auto query = [](std::string_view text) {
     std::string body;
@@ -273,46 +323,56 @@
   ask("mapped", Opcode::query, query("SELECT a FROM weather.t"));
   ask("a write, mapped", Opcode::query, query("INSERT INTO weather.t (a) VALUES (1)"));
   ask("a payload", Opcode::query, query("SELECT a FROM weather.t"),
-      {{"id", "x"}, {"c", "near"}, {"d", "4500"}, {"cluster", "7"}, {"after", "999999500"}, {"tenant", "coop"}});
+      {{"id", "x"},
+       {"c", "near"},
+       {"d", "4500"},
+       {"cluster", "7"},
+       {"after", "999999500"},
+       {"tenant", "coop"}});
   ask("bare names", Opcode::query, query("SELECT a FROM t WHERE b = 'FROM t'"), {}, "weather");
   ask("a batch in the text", Opcode::query,
-      query("BEGIN BATCH INSERT INTO t (a) VALUES (1); UPDATE u SET a = 1 WHERE k = 2; APPLY BATCH"), {}, "weather");
+      query(
+          "BEGIN BATCH INSERT INTO t (a) VALUES (1); UPDATE u SET a = 1 WHERE k = 2; APPLY BATCH"),
+      {}, "weather");
   ask("an id that is open", Opcode::query, query("SELECT a FROM weather.t"), {{"id", "taken"}});
   ask("a wait that is none", Opcode::query, query("SELECT a FROM weather.t"), {{"d", "soon"}});
   ask("a negative wait", Opcode::query, query("SELECT a FROM weather.t"), {{"d", "-1"}});
   ask("a tenant that is none", Opcode::query, query("SELECT a FROM weather.t"), {{"tenant", "x"}});
   ask("system tables in a batch", Opcode::query,
-      query("BEGIN BATCH INSERT INTO weather.t (a) VALUES (1); INSERT INTO system.x (a) VALUES (1); APPLY BATCH"));
+      query("BEGIN BATCH INSERT INTO weather.t (a) VALUES (1); INSERT INTO system.x (a) VALUES "
+            "(1); APPLY BATCH"));
   std::string execute;
   reedchute::cql::addShortBytes(execute, known.id);
-  ask("prepared, a counter or list", Opcode::execute, execute + std::string("\0\1\0", 3), {{"k", "m"}});
+  ask("prepared, a counter or list", Opcode::execute, execute + std::string("\0\1\0", 3),
+      {{"k", "m"}});
   std::string batch("\0\0\2\0", 4);
   reedchute::cql::addLongString(batch, "INSERT INTO t (a) VALUES (1)");
   batch += std::string("\0\0\1", 3);
   reedchute::cql::addShortBytes(batch, known.id);
   batch += std::string("\0\0\0\1\0", 5);
   ask("a batch of both kinds", Opcode::batch, batch, {{"k", "m"}, {"d", "1"}}, "weather");
-  ask("a batch with a read", Opcode::batch,
-      [] {
-        std::string b("\0\0\1\0", 4);
-        reedchute::cql::addLongString(b, "SELECT a FROM weather.t");
-        return b + std::string("\0\0\0\1\0", 5);
-      }());
+  ask("a batch with a read", Opcode::batch, [] {
+    std::string b("\0\0\1\0", 4);
+    reedchute::cql::addLongString(b, "SELECT a FROM weather.t");
+    return b + std::string("\0\0\0\1\0", 5);
+  }());
   ask("USE", Opcode::query, query("USE weather"));
 }
 
 // Settings as the reader hands them on, and what is wrong with them.
 void settings() {
   auto tell = [](const char* what, const std::string& attributes, const std::string& blocks = "") {
-    std::string text = "{\"attributes\":[],\"blocks\":[{\"type\":\"cassandra\",\"labels\":null,\"line\":3,\"body\":{\"attributes\":[" +
-                       attributes + "],\"blocks\":[" + blocks + "]}}]}";
+    std::string text =
+        "{\"attributes\":[],\"blocks\":[{\"type\":\"cassandra\",\"labels\":null,\"line\":3,"
+        "\"body\":{\"attributes\":[" +
+        attributes + "],\"blocks\":[" + blocks + "]}}]}";
     try {
       config::Block file = config::fromJson("f.hcl", text);
       config::Section all("f.hcl", file);
       Config g = parseConfig(all.blocks("cassandra").front());
       all.done();
-      std::printf("%s: taken, %zu streams, %zu mappings, %zu peers, version 5 %d\n", what, g.streams, g.mappings.size(),
-                  g.peers.size(), g.v5);
+      std::printf("%s: taken, %zu streams, %zu mappings, %zu peers, version 5 %d\n", what,
+                  g.streams, g.mappings.size(), g.peers.size(), g.v5);
     } catch (const std::exception& e) {
       std::printf("%s: %s\n", what, e.what());
     }
@@ -322,7 +382,9 @@
     return listen + ",{\"name\":\"" + name + "\",\"line\":5,\"value\":" + value + "}";
   };
   auto block = [](const char* type, const std::string& attributes) {
-    return "{\"type\":\"" + std::string(type) + "\",\"labels\":[],\"line\":8,\"body\":{\"attributes\":[" + attributes + "],\"blocks\":[]}}";
+    return "{\"type\":\"" + std::string(type) +
+           "\",\"labels\":[],\"line\":8,\"body\":{\"attributes\":[" + attributes +
+           "],\"blocks\":[]}}";
   };
   tell("only where it listens", listen);
   tell("nothing", "");
@@ -335,20 +397,29 @@
   tell("version 3", with("versions", "[3,4]"));
   tell("without version 4", with("versions", "[5]"));
   tell("a user without a password", with("user", "\"u\""));
-  std::string map = "{\"name\":\"workload\",\"line\":9,\"value\":\"any\"},{\"name\":\"group\",\"line\":9,\"value\":1}";
+  std::string map =
+      "{\"name\":\"workload\",\"line\":9,\"value\":\"any\"},{\"name\":\"group\",\"line\":9,"
+      "\"value\":1}";
   tell("a mapping", listen, block("map", map));
   tell("one without a group", listen, block("map", map.substr(0, map.find(",{"))));
-  tell("kinds", listen, block("map", map + ",{\"name\":\"kinds\",\"line\":10,\"value\":[\"read\",\"dream\"]}"));
-  tell("consistencies", listen,
-       block("map", map + ",{\"name\":\"consistencies\",\"line\":10,\"value\":[\"ONE\",\"SOME\"]}"));
-  tell("a peer", listen, block("peer", "{\"name\":\"address\",\"line\":9,\"value\":\"127.0.0.2:9042\"}"));
+  tell("kinds", listen,
+       block("map", map + ",{\"name\":\"kinds\",\"line\":10,\"value\":[\"read\",\"dream\"]}"));
+  tell(
+      "consistencies", listen,
+      block("map", map + ",{\"name\":\"consistencies\",\"line\":10,\"value\":[\"ONE\",\"SOME\"]}"));
+  tell("a peer", listen,
+       block("peer", "{\"name\":\"address\",\"line\":9,\"value\":\"127.0.0.2:9042\"}"));
   tell("an unknown block", listen, block("friend", ""));
-  tell("compression", listen, block("store", "{\"name\":\"compression\",\"line\":9,\"value\":\"snappy\"}"));
+  tell("compression", listen,
+       block("store", "{\"name\":\"compression\",\"line\":9,\"value\":\"snappy\"}"));
 }
 
-constexpr Case kCases[] = {{"cqlChart", chart}, {"cqlEndings", endings}, {"cqlPrepared", texts}, {"cqlPace", pace},
-                           {"cqlStreams", streams}, {"cqlPages", pages}, {"cqlTakeIn", takeIn}, {"cqlSettings", settings}};
+constexpr Case kCases[] = {{"cqlChart", chart},   {"cqlEndings", endings},  {"cqlPrepared", texts},
+                           {"cqlPace", pace},     {"cqlStreams", streams},  {"cqlPages", pages},
+                           {"cqlTakeIn", takeIn}, {"cqlSettings", settings}};
 
 }  // namespace
 
-int main(int argc, char** argv) { return runCase(kCases, argc, argv); }
+int main(int argc, char** argv) {
+  return runCase(kCases, argc, argv);
+}
--- a/tests/crossings.cpp
+++ b/tests/crossings.cpp
@@ -1,6 +1,7 @@
-// Two or three rare events at once, in the order that hurts, on real connections: found by going through the
-// rules path by path (docs/incidents). The front is stopped, by the test or by itself before one of its
-// system calls (tests/soak/faulty_machine.cpp); what is to cross is sent; it goes on.
+// Two or three rare events at once, in the order that hurts, on real connections: found by going
+// through the rules path by path (docs/incidents). The front is stopped, by the test or by itself
+// before one of its system calls (tests/soak/faulty_machine.cpp); what is to cross is sent; it goes
+// on.
 #include <cerrno>
 #include <csignal>
 #include <cstdio>
@@ -65,14 +66,16 @@
     return over;
   });
   std::printf(
-      "24 clients that ask again at once: over a hundred asked %s, unanswered %d, without an answer at the "
+      "24 clients that ask again at once: over a hundred asked %s, unanswered %d, without an "
+      "answer at the "
       "end %d\n",
       yes(asked > 100), asked - answered - lost, lost);
   std::printf("read after the end of a connection: %ld bytes\n", machine.readAndDropped());
   d.exits();
 }
 
-// A request crosses the end of a connection that rests: it is not read, so that its client asks it elsewhere.
+// A request crosses the end of a connection that rests: it is not read, so that its client asks it
+// elsewhere.
 void termRests() {
   FaultyMachine machine;
   Drive d(1);
@@ -85,8 +88,8 @@
   std::printf("what it asked as it was ended: %ld bytes of it read\n", machine.readAndDropped());
 }
 
-// The connection that a statement waits for comes up, then its client leaves; the front sees both together,
-// later than an attempt may begin for it.
+// The connection that a statement waits for comes up, then its client leaves; the front sees both
+// together, later than an attempt may begin for it.
 void leavesAsItComesUp() {
   Drive d(1);
   Client c(d), leaves(d);
@@ -120,8 +123,8 @@
   return at;
 }
 
-// The front is held up in the middle of a round, and a client leaves before its next attempt is written: as
-// the front reads that the first one broke, or before it looks at its clock.
+// The front is held up in the middle of a round, and a client leaves before its next attempt is
+// written: as the front reads that the first one broke, or before it looks at its clock.
 void leavesHeldUp(Call where, const char* what) {
   FaultyMachine machine;
   Drive d(2);
@@ -138,11 +141,16 @@
   d.pass(130);
   d.goOn();
   c.ask(Client::read("c"));
-  std::printf("gone while the front was held up %s: %d sent of it after that\n", what, its.times - 1);
+  std::printf("gone while the front was held up %s: %d sent of it after that\n", what,
+              its.times - 1);
 }
 
-void leavesInRound() { leavesHeldUp(Call::receive, "in a round"); }
-void leavesAfterWait() { leavesHeldUp(Call::wait, "behind its wait"); }
+void leavesInRound() {
+  leavesHeldUp(Call::receive, "in a round");
+}
+void leavesAfterWait() {
+  leavesHeldUp(Call::wait, "behind its wait");
+}
 
 // A client's end stands behind more events than one wait brings.
 void leavesBehindMany() {
@@ -182,13 +190,14 @@
   for (auto& c : all) answered += c->get().find("ready") != std::string::npos;
   std::printf("of 27 that asked as one more came: %d answered\n", answered);
   std::string got = last.get(2);
-  std::printf("that one: %s\n", got.find("53300") != std::string::npos || got.find("row") != std::string::npos
-                                    ? "one answer"
-                                    : got.c_str());
+  std::printf("that one: %s\n",
+              got.find("53300") != std::string::npos || got.find("row") != std::string::npos
+                  ? "one answer"
+                  : got.c_str());
 }
 
-// Several clients wait in the kernel while nobody can be accepted: the time of each runs from when it asked,
-// also where what it sent is read in pieces.
+// Several clients wait in the kernel while nobody can be accepted: the time of each runs from when
+// it asked, also where what it sent is read in pieces.
 void waitsToBeAccepted() {
   for (bool inPieces : {false, true}) {
     FaultyMachine machine;
@@ -210,8 +219,8 @@
   }
 }
 
-// SIGTERM is seen late, as the front was held up: what comes later than 0.7 s after it may find no answer
-// before SIGKILL.
+// SIGTERM is seen late, as the front was held up: what comes later than 0.7 s after it may find no
+// answer before SIGKILL.
 void termSeenLate() {
   Drive d(1);
   Client c(d);
@@ -246,4 +255,6 @@
 }  // namespace
 
 // crossings PROGRAM LIBRARY CASE
-int main(int argc, char** argv) { return test::runOnFaultyFront(kCases, argc, argv); }
+int main(int argc, char** argv) {
+  return test::runOnFaultyFront(kCases, argc, argv);
+}
--- a/tests/drive.h
+++ b/tests/drive.h
@@ -45,10 +45,15 @@
 
 class Drive {
  public:
-  explicit Drive(int stores, int sockets = 256, const char* mode = "automatic", const char* firstList = "",
-                 bool logStands = false, int memoryMb = 64, const char* keepalive = "15000000",
-                 std::string doors = "", int aliases = 0)
-      : toy(s, aliases ? "0.0.0.0" : "127.0.0.1"), mode_(mode), memoryMb_(memoryMb), keepalive_(keepalive), logStands_(logStands), doors_(std::move(doors)) {
+  explicit Drive(int stores, int sockets = 256, const char* mode = "automatic",
+                 const char* firstList = "", bool logStands = false, int memoryMb = 64,
+                 const char* keepalive = "15000000", std::string doors = "", int aliases = 0)
+      : toy(s, aliases ? "0.0.0.0" : "127.0.0.1"),
+        mode_(mode),
+        memoryMb_(memoryMb),
+        keepalive_(keepalive),
+        logStands_(logStands),
+        doors_(std::move(doors)) {
     for (int k = 0; k < stores; ++k) {
       toy.addStore(k == 0, 7);
       if (!doors_.empty()) toy.speakCql(k);
@@ -60,7 +65,8 @@
     toy.spoilList(firstList);
     toy.seen = [this](int store, const std::string& text) {
       ++sent;
-      if (show) std::printf("  store %d sees: %s\n", store, text.substr(0, text.find(",d=")).c_str());
+      if (show)
+        std::printf("  store %d sees: %s\n", store, text.substr(0, text.find(",d=")).c_str());
     };
     start(sockets);
   }
@@ -99,8 +105,8 @@
       throw std::runtime_error("no socketpair");
     while (logStands_ && send(fds[1], "full", 4, MSG_DONTWAIT) > 0) {
     }
-    // Danger: until the child is the front it has copies of the toy's sockets; one that is closed here meanwhile would go
-    // on reporting to what is gone. The pipe ends as the front begins.
+    // Danger: until the child is the front it has copies of the toy's sockets; one that is closed
+    // here meanwhile would go on reporting to what is gone. The pipe ends as the front begins.
     int begins[2];
     if (pipe2(begins, O_CLOEXEC) < 0) throw std::runtime_error("no pipe");
     child_ = fork();
@@ -124,16 +130,19 @@
     port = static_cast<std::uint16_t>(std::atoi(log.c_str() + log.find("listening port=") + 15));
     if (!doors_.empty()) {
       until("the other door listens", [&] { return logged("protocol=cassandra port="); });
-      cqlPort = static_cast<std::uint16_t>(std::atoi(log.c_str() + log.find("protocol=cassandra port=") + 24));
+      cqlPort = static_cast<std::uint16_t>(
+          std::atoi(log.c_str() + log.find("protocol=cassandra port=") + 24));
     }
     if (awaitsList) until("the list is read", [&] { return logged(" list version="); });
   }
   void configure(int listPort, const char* name = "t", std::size_t cutAt = std::string::npos) {
-    std::string text = "{\"name\":\"" + std::string(name) + "\",\"listen\":\"127.0.0.1:" +
-                       std::to_string(logStands_ ? port : 0) + "\",\"discovery\":\"127.0.0.1:" +
-                       std::to_string(listPort) + "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"sockets\":" +
-                       std::to_string(sockets_) + ",\"memory_mb\":" + std::to_string(memoryMb_) + "},\"known\":" + (known.empty() ? toy.roster() : known) + ",\"settings\":" + settings_ +
-                       "}";
+    std::string text = "{\"name\":\"" + std::string(name) +
+                       "\",\"listen\":\"127.0.0.1:" + std::to_string(logStands_ ? port : 0) +
+                       "\",\"discovery\":\"127.0.0.1:" + std::to_string(listPort) +
+                       "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"sockets\":" +
+                       std::to_string(sockets_) + ",\"memory_mb\":" + std::to_string(memoryMb_) +
+                       "},\"known\":" + (known.empty() ? toy.roster() : known) +
+                       ",\"settings\":" + settings_ + "}";
     std::ofstream(path_) << text.substr(0, cutAt);
   }
   bool logged(const char* text) {
@@ -153,7 +162,8 @@
     return true;
   }
   void pass(int ms) {
-    for (TimePoint end = s.now() + Duration{ms * 1000}; s.now() < end;) s.pass(s.now() + Duration{2000}, [] {});
+    for (TimePoint end = s.now() + Duration{ms * 1000}; s.now() < end;)
+      s.pass(s.now() + Duration{2000}, [] {});
   }
   void signal(int number) { kill(child_, number); }
   // Does the front stand still?
@@ -164,8 +174,9 @@
     std::size_t name = line.rfind(") ");
     return name != std::string::npos && line[name + 2] == 'T';
   }
-  // The front stands still in its wait for events, and what is sent to it meanwhile waits for it all together. In the
-  // middle of a round it would take up some of that before it has seen the rest.
+  // The front stands still in its wait for events, and what is sent to it meanwhile waits for it
+  // all together. In the middle of a round it would take up some of that before it has seen the
+  // rest.
   void stop() {
     std::string of = "/proc/" + std::to_string(child_);
     for (bool waits = false; !waits;) {
@@ -174,13 +185,15 @@
       std::ifstream call(of + "/syscall");
       long number = -1;
       call >> number;
-      waits = !still || !call || number == SYS_epoll_pwait2 || number == SYS_epoll_pwait || number == SYS_epoll_wait;
+      waits = !still || !call || number == SYS_epoll_pwait2 || number == SYS_epoll_pwait ||
+              number == SYS_epoll_wait;
       if (!waits) goOn(), pass(1);
     }
   }
   void goOn() { signal(SIGCONT); }
-  // The front's sockets that face `port`, of a store or of the list, or stand behind its own: those that are open, those
-  // whose peer has closed them, and those with bytes unread. What the kernel shows is there for the front to see.
+  // The front's sockets that face `port`, of a store or of the list, or stand behind its own: those
+  // that are open, those whose peer has closed them, and those with bytes unread. What the kernel
+  // shows is there for the front to see.
   struct Faced {
     int open = 0, ended = 0, unread = 0;
   };
@@ -190,7 +203,9 @@
     std::string line;
     while (std::getline(table, line)) {
       unsigned here = 0, there = 0, state = 0, out = 0, in = 0;
-      if (std::sscanf(line.c_str(), " %*d: %*8x:%x %*8x:%x %x %x:%x", &here, &there, &state, &out, &in) != 5) continue;
+      if (std::sscanf(line.c_str(), " %*d: %*8x:%x %*8x:%x %x %x:%x", &here, &there, &state, &out,
+                      &in) != 5)
+        continue;
       if ((own ? here : there) != port || state == 10) continue;
       all.open += state == 1, all.ended += state == 8, all.unread += in > 0;
     }
@@ -198,7 +213,8 @@
   }
   // A connection to a port of the front, once it is up.
   static int connectTo(const sockaddr_in& at) { return runtime::startConnect(at); }
-  std::unique_ptr<runtime::Socket> dial(std::uint16_t to, int connect(const sockaddr_in&) = connectTo) {
+  std::unique_ptr<runtime::Socket> dial(std::uint16_t to,
+                                        int connect(const sockaddr_in&) = connectTo) {
     sockaddr_in at = *runtime::parseAddress("127.0.0.1:" + std::to_string(to));
     auto socket = std::make_unique<runtime::Socket>(s, connect(at));
     until("connected", [&] {
@@ -228,7 +244,8 @@
                        " group=7 state=up primary=0 started_ms=1";
     until("told", [&] { return logged(told.c_str()); });
   }
-  // All connections to a store are closed, and the next ones don't come up until `toy.hold(store, false)`.
+  // All connections to a store are closed, and the next ones don't come up until `toy.hold(store,
+  // false)`.
   void holdBack(int store) {
     toy.hold(store, true), toy.closeIdle(store);
     until("none is open", [&] { return toy.connections(store) == 0; });
@@ -238,7 +255,8 @@
     kill(child_, SIGKILL);
     waitpid(child_, nullptr, 0);
     child_ = -1;
-    log_.reset();  // before the fork: a copy of it in the child would go on reporting to what is gone
+    log_.reset();  // before the fork: a copy of it in the child would go on reporting to what is
+                   // gone
     log.clear();
     unlink(path_.c_str()), unlink((path_ + ".hcl").c_str());
     start(sockets_);
@@ -251,12 +269,13 @@
   // Ends it as a restart does.
   void ends() {
     signal(SIGTERM);
-    // Danger: one that exits is traced by the leak checker, which waits for its stop; SIGCONT would take that away.
+    // Danger: one that exits is traced by the leak checker, which waits for its stop; SIGCONT would
+    // take that away.
     if (stands()) goOn();
     if (int status = hasEnded(); status != 0) std::printf("the front ended with %d\n", status);
   }
-  // Its exit status. Whatever a test is about, all that was taken is answered by then, or its client has
-  // gone.
+  // Its exit status. Whatever a test is about, all that was taken is answered by then, or its
+  // client has gone.
   int hasEnded() {
     int status = -1;
     // The log is read meanwhile: what a full one can't take is lost.
@@ -264,13 +283,14 @@
     if (until("the front exits", ended)) child_ = -1;
     logged("");
     std::size_t at = log.find(" answers_missing ");
-    if (at != std::string::npos) std::printf("%s\n", log.substr(at + 1, log.find('\n', at) - at - 1).c_str());
+    if (at != std::string::npos)
+      std::printf("%s\n", log.substr(at + 1, log.find('\n', at) - at - 1).c_str());
     if (log.find("phase=ended") == std::string::npos) std::printf("the front told no end\n");
     return status;
   }
 
-  // Has the front held no more memory than so much? The sanitizer keeps what is freed: a build with it only finds growth
-  // without end, and the plain one checks the bound itself.
+  // Has the front held no more memory than so much? The sanitizer keeps what is freed: a build with
+  // it only finds growth without end, and the plain one checks the bound itself.
   bool heldAtMost(int mb) const {
 #ifdef __SANITIZE_ADDRESS__
     mb *= 16;
@@ -296,10 +316,13 @@
   std::uint16_t port = 0, cqlPort = 0;
   std::string log;
   bool show = false;
-  std::string known;        // the list that the front is started with, where it isn't the list as it stands
+  std::string
+      known;  // the list that the front is started with, where it isn't the list as it stands
   bool awaitsList = true;  // the front counts as started once it has the list
   int sent = 0;
-  std::uint16_t listPort() const { return listPort_; }
+  std::uint16_t listPort() const {
+    return listPort_;
+  }
 
  private:
   std::uint16_t listPort_ = 0;
--- a/tests/faults.cpp
+++ b/tests/faults.cpp
@@ -1,5 +1,5 @@
-// A front whose system calls fail now and then, as Linux documents that they do: what its clients were
-// promised holds all the same. tests/soak/faulty_machine.cpp makes them fail.
+// A front whose system calls fail now and then, as Linux documents that they do: what its clients
+// were promised holds all the same. tests/soak/faulty_machine.cpp makes them fail.
 #include <cerrno>
 #include <csignal>
 #include <cstdio>
@@ -21,12 +21,13 @@
 
 namespace {
 
-// The network errors of a connection that waits are told by accept, and are no word on the next one.
+// The network errors of a connection that waits are told by accept, and are no word on the next
+// one.
 void acceptAlone() {
   FaultyMachine machine;
   Drive d(1);
-  for (int error : {ECONNABORTED, EINTR, EPROTO, EPERM, ENETDOWN, ENETUNREACH, EHOSTUNREACH, ETIMEDOUT,
-                    ENFILE, ENOBUFS}) {
+  for (int error : {ECONNABORTED, EINTR, EPROTO, EPERM, ENETDOWN, ENETUNREACH, EHOSTUNREACH,
+                    ETIMEDOUT, ENFILE, ENOBUFS}) {
     machine.fails(Call::accept, error);
     Client alone(d, false);
     alone.send(pg::startup("web", "orders") + pg::query(Client::read("a")));
@@ -116,7 +117,8 @@
     d.toy.closeIdle(0);
     d.until("none is open", [&] { return d.toy.connections(0) == 0; });
     machine.fails(Call::connect, error);
-    std::printf("connect fails with %d: %s\n", error, c.ask(Client::write("b", 3000, "once")).c_str());
+    std::printf("connect fails with %d: %s\n", error,
+                c.ask(Client::write("b", 3000, "once")).c_str());
   }
 }
 
@@ -127,10 +129,12 @@
   Client c(d);
   machine.fails(Call::read, EINTR, 2);
   d.signal(SIGHUP);
-  std::printf("SIGHUP is read: %s\n", yes(d.until("it is told", [&] { return d.logged("reload "); })));
+  std::printf("SIGHUP is read: %s\n",
+              yes(d.until("it is told", [&] { return d.logged("reload "); })));
   machine.fails(Call::read, EINTR, 2);
   d.signal(SIGTERM);
-  std::printf("SIGTERM is read: %s\n", yes(d.until("it is told", [&] { return d.logged("phase=leaving"); })));
+  std::printf("SIGTERM is read: %s\n",
+              yes(d.until("it is told", [&] { return d.logged("phase=leaving"); })));
   c.socket->close();
 }
 
@@ -173,7 +177,8 @@
   d.configure(port);
   machine.fails(Call::open, EMFILE);
   d.signal(SIGHUP);
-  std::printf("no descriptor for it: moved %s\n", yes(d.until("moved", [&] { return moved.watched(); })));
+  std::printf("no descriptor for it: moved %s\n",
+              yes(d.until("moved", [&] { return moved.watched(); })));
   toy::Toy again(d.s);
   again.addStore(true, 7);
   int next = again.serveList();
@@ -181,7 +186,8 @@
   d.signal(SIGHUP);
   d.until("it is refused", [&] { return d.logged("reload_bad"); });
   d.configure(next);
-  std::printf("half of it at first: moved %s\n", yes(d.until("moved", [&] { return again.watched(); })));
+  std::printf("half of it at first: moved %s\n",
+              yes(d.until("moved", [&] { return again.watched(); })));
 }
 
 const Case kCases[] = {{"acceptAlone", acceptAlone},
@@ -198,4 +204,6 @@
 }  // namespace
 
 // faults PROGRAM LIBRARY CASE
-int main(int argc, char** argv) { return test::runOnFaultyFront(kCases, argc, argv); }
+int main(int argc, char** argv) {
+  return test::runOnFaultyFront(kCases, argc, argv);
+}
--- a/tests/faulty.h
+++ b/tests/faulty.h
@@ -1,5 +1,5 @@
-// A machine whose system calls fail under a test's hand: tests/soak/faulty_machine.cpp, loaded into the
-// fronts.
+// A machine whose system calls fail under a test's hand: tests/soak/faulty_machine.cpp, loaded into
+// the fronts.
 #pragma once
 
 #include <sys/mman.h>
@@ -24,7 +24,8 @@
     int file = mkstemp(path_);
     if (file < 0 || ftruncate(file, sizeof(soak::FrontControl)) < 0)
       throw std::runtime_error("no temporary file");
-    void* map = mmap(nullptr, sizeof(soak::FrontControl), PROT_READ | PROT_WRITE, MAP_SHARED, file, 0);
+    void* map = mmap(nullptr, sizeof(soak::FrontControl), PROT_READ | PROT_WRITE, MAP_SHARED, file,
+                     0);
     close(file);
     if (map == MAP_FAILED) throw std::runtime_error("the file can't be mapped");
     control_ = new (map) soak::FrontControl{};
@@ -32,7 +33,8 @@
     setenv("LD_PRELOAD", faultLibrary, 1);
     // ASan asks to be the first that is loaded; nothing of its own is replaced here.
     const char* had = std::getenv("ASAN_OPTIONS");
-    setenv("ASAN_OPTIONS", ((had ? std::string(had) + ":" : "") + "verify_asan_link_order=0").c_str(), 1);
+    setenv("ASAN_OPTIONS",
+           ((had ? std::string(had) + ":" : "") + "verify_asan_link_order=0").c_str(), 1);
   }
   ~FaultyMachine() {
     unsetenv("LD_PRELOAD"), unsetenv("SOAK_FAULTS");
--- a/tests/freshness.cpp
+++ b/tests/freshness.cpp
@@ -1,17 +1,17 @@
-// Does the module ever send a read to a store whose data is too old? Small seeded worlds of stores, a list,
-// links and a front that is at times slow play random orders of events against it; an oracle that knows the
-// true state of each store judges every read as its last byte leaves. It shares nothing with the module but
-// its interface.
+// Does the module ever send a read to a store whose data is too old? Small seeded worlds of stores,
+// a list, links and a front that is at times slow play random orders of events against it; an
+// oracle that knows the true state of each store judges every read as its last byte leaves. It
+// shares nothing with the module but its interface.
 //
-//   freshness [FIRST [COUNT]]       plays so many seeds; prints the first that breaks the rule, and how
-//   freshness --all FIRST COUNT     prints all that do
-//   freshness --finds FIRST COUNT   the other way round, for a module with a planted fault: good once it is
-//   found freshness --show SEED           prints all that happens
+//   freshness [FIRST [COUNT]]       plays so many seeds; prints the first that breaks the rule, and
+//   how freshness --all FIRST COUNT     prints all that do freshness --finds FIRST COUNT   the
+//   other way round, for a module with a planted fault: good once it is found freshness --show SEED
+//   prints all that happens
 //
-// The rule, from the protocol: a bounded read's data is no older than its bound as the read leaves, a session
-// read's has the session's last commit, a fresh read's all that was committed before it arrived. A store that
-// has been primary is excused until an answer has told since that it is none; on sockets that counts 100 ms
-// after it was written, read or not, else from the next batch on.
+// The rule, from the protocol: a bounded read's data is no older than its bound as the read leaves,
+// a session read's has the session's last commit, a fresh read's all that was committed before it
+// arrived. A store that has been primary is excused until an answer has told since that it is none;
+// on sockets that counts 100 ms after it was written, read or not, else from the next batch on.
 #include <algorithm>
 #include <cstdio>
 #include <cstdlib>
@@ -30,7 +30,9 @@
 
 namespace {
 
-constexpr Duration ms(double n) { return Duration{static_cast<std::int64_t>(n * 1000)}; }
+constexpr Duration ms(double n) {
+  return Duration{static_cast<std::int64_t>(n * 1000)};
+}
 constexpr TimePoint kBegin{1'000'000'000};
 constexpr Duration kDay = ms(2500);
 constexpr Duration kTick = ms(5), kConnect = ms(100), kReports = ms(80);
@@ -73,7 +75,7 @@
     bool gone = false;                     // from the list
     TimePoint position;
     double rate = 1;            // at which its log comes in
-    Duration behind{};              // at the best
+    Duration behind{};          // at the best
     TimePoint moved;            // its position is of that moment
     TimePoint said = kNever;    // the highest position that it has told
     TimePoint lost = kNever;    // the role
@@ -131,9 +133,14 @@
 
   EngineSettings terms(std::uint64_t seed) {
     EngineSettings t;
-    t.seed = seed, t.tick = kTick, t.fronts = chance(70) ? 2 : chance(70) ? 10 : 100, t.maxAttempts = 6;
+    t.seed = seed, t.tick = kTick,
+    t.fronts = chance(70)   ? 2
+               : chance(70) ? 10
+                            : 100,
+    t.maxAttempts = 6;
     t.workloads.resize(kKinds);
-    for (Workload& w : t.workloads) w.slo = ms(400), w.effect = Effect::idempotent, w.lateShare = 0.6;
+    for (Workload& w : t.workloads)
+      w.slo = ms(400), w.effect = Effect::idempotent, w.lateShare = 0.6;
     t.workloads[kNear].level = t.workloads[kFar].level = Level::bounded;
     t.workloads[kNear].bound = ms(200), t.workloads[kFar].bound = ms(450);
     t.workloads[kSession].level = Level::session, t.workloads[kFresh].level = Level::fresh;
@@ -142,7 +149,8 @@
     t.secondCopies = chance(60), t.mayCancel = chance(80), t.mayProbe = chance(85);
     t.roleFollows = chance(50), t.tokensCarried = chance(50);
     t.connectTimeout = kConnect, t.askEvery = ms(10'000), t.drainGrace = ms(500);
-    t.coldRamp = ms(chance(50) ? 200 : 3000), t.coldWindow = ms(1000), t.coldFrom = 0.5, t.coldMultiple = 2.5;
+    t.coldRamp = ms(chance(50) ? 200 : 3000), t.coldWindow = ms(1000), t.coldFrom = 0.5,
+    t.coldMultiple = 2.5;
     sockets_ = chance(70), untrue_ = chance(20) ? 30 : 2, roleBeside_ = chance(25);
     trail_ = between(0, 400), mostly_ = chance(50) ? static_cast<int>(below(9)) : -1,
     late_ = chance(30) ? 30 : 8;
@@ -296,7 +304,8 @@
       for (auto& run : std::exchange(back.held, {})) after(between(0.2, 200), run);
     });
   }
-  // It is gone from the list for long; its row in the module is another's from then on, or its own again.
+  // It is gone from the list for long; its row in the module is another's from then on, or its own
+  // again.
   void leave(int s) {
     Store& store = stores_[s];
     if (!store.up || store.primary || store.claims || store.gone || now_ < busy_) return;
@@ -307,14 +316,16 @@
   void forget(int s) {
     Store& store = stores_[s];
     bool busy = now_ < busy_;
-    for (const UpstreamRequest& j : jobs_) busy |= j.store == s && (!j.done || (j.statement >= 0 && statements_[j.statement].open));
+    for (const UpstreamRequest& j : jobs_)
+      busy |= j.store == s && (!j.done || (j.statement >= 0 && statements_[j.statement].open));
     for (const Fact& f : inbox_) busy |= jobs_[f.job].store == s;
     if (busy) return after(ms(20), [this, s] { forget(s); });
     say("store %d is forgotten", s);
     ++tally_.forgotten;
     engine_.removeEndpoint(s, now_);
     if (chance(50)) {
-      store.was = store.shown = false, store.said = store.lost = store.started = kNever, ++store.life;
+      store.was = store.shown = false, store.said = store.lost = store.started = kNever,
+      ++store.life;
       store.position = now_ - between(5, 3000), store.told = kForever;
       makeSnapshot(s);
     }
@@ -339,7 +350,8 @@
     const Store& store = stores_[s];
     if (store.gone) return;
     EndpointInfo e;
-    e.store = s, e.group = store.group, e.zone = 0, e.primary = follows_ ? shows(store) : store.shown;
+    e.store = s, e.group = store.group, e.zone = 0,
+    e.primary = follows_ ? shows(store) : store.shown;
     if (store.started > kNever) e.started = store.started;
     e.listed = !store.up && chance(50) ? EndpointStatus::gone : listed;
     say("listed: %d, primary %d, listed %d, started %.3f", s, e.primary, static_cast<int>(e.listed),
@@ -426,7 +438,8 @@
     if (!sockets_) tells(j.store, f.tells, Duration{1});  // from the next batch on
     if (j.statement < 0) {
       if (f.report.position)
-        say("read: probe of %d, at %.3f as %s", j.store, (*f.report.position - kBegin).seconds() * 1000,
+        say("read: probe of %d, at %.3f as %s", j.store,
+            (*f.report.position - kBegin).seconds() * 1000,
             *f.report.primary ? "primary" : "replica");
       return engine_.onProbeEnded(j.store, f.outcome == AttemptOutcome::ok, f.report, now_, f.role);
     }
@@ -474,7 +487,8 @@
   void comesUp(int j) {
     if (now_ < busy_) return at(busy_, [this, j] { comesUp(j); });
     Store& s = stores_[jobs_[j].store];
-    if (!s.linked || !s.up) return arrives(j, AttemptOutcome::connectFailed, s.up ? kConnect : Duration{});
+    if (!s.linked || !s.up)
+      return arrives(j, AttemptOutcome::connectFailed, s.up ? kConnect : Duration{});
     jobs_[j].life = s.life;
     leaves(j);
   }
@@ -518,14 +532,17 @@
       if (!sockets_ || !chance(5)) f.position = TimePoint{(now_.us + 999) / 1000 * 1000};
       s.said = now_;
     } else if (statements_[job.statement].kind == kWrite) {
-      f.outcome = s.claims ? AttemptOutcome::error : AttemptOutcome::notServedHere;  // one that is cut off gets no commit through
+      f.outcome =
+          s.claims ? AttemptOutcome::error
+                   : AttemptOutcome::notServedHere;  // one that is cut off gets no commit through
     } else {
       f.position = TimePoint{s.position.us / 1000 * 1000};
       s.said = std::max(s.said, *f.position);
       if (chance(3)) f.outcome = AttemptOutcome::error, f.position.reset();
       if (chance(30)) f.position.reset();
     }
-    if (job.statement >= 0 && chance(20)) f.report = s.report, s.said = std::max(s.said, *s.report.position);
+    if (job.statement >= 0 && chance(20))
+      f.report = s.report, s.said = std::max(s.said, *s.report.position);
     if (f.outcome == AttemptOutcome::notServedHere && chance(20))
       f.role = Role::unknown;  // a write turned away says it all the same
     auto go = [this, j, f] { arrives(j, f, Duration{}); };
@@ -553,7 +570,8 @@
   void cancel(int statement, int attempt) override {
     UpstreamRequest& request = jobs_[statements_[statement].jobs[attempt]];
     request.cancelled = true;
-    if (request.left) arrives(statements_[statement].jobs[attempt], AttemptOutcome::cancelled, Duration{});
+    if (request.left)
+      arrives(statements_[statement].jobs[attempt], AttemptOutcome::cancelled, Duration{});
   }
   void reject(int statement, Duration) override { statements_[statement].open = false; }
   void abort(int statement) override { statements_[statement].open = false; }
@@ -579,7 +597,9 @@
     if (st.kind == kAny || st.kind == kWrite) return;
     ++(s.primary ? tally_.atPrimary : tally_.atReplica)[st.kind];
     if (s.primary) return;
-    TimePoint needs = st.kind == kNear ? now_ - ms(200) : st.kind == kFar ? now_ - ms(450) : st.needs;
+    TimePoint needs = st.kind == kNear  ? now_ - ms(200)
+                      : st.kind == kFar ? now_ - ms(450)
+                                        : st.needs;
     if (s.position >= needs) return;
     if (s.was && now_ < s.told) {
       ++tally_.excused;
@@ -589,7 +609,8 @@
     std::snprintf(text, sizeof text,
                   "at %.3f ms #%d.%d, kind %d, leaves for %d, whose data is %.3f ms too old%s",
                   (now_ - kBegin).seconds() * 1000, job.statement, job.attempt, st.kind, job.store,
-                  (needs - s.position).seconds() * 1000, s.was ? "; it has told that it is no primary" : "");
+                  (needs - s.position).seconds() * 1000,
+                  s.was ? "; it has told that it is no primary" : "");
     broken_ = text;
     say("%s", text);
   }
@@ -597,10 +618,11 @@
   std::mt19937_64 chance_;
   Tally& tally_;
   const bool show_;
-  int untrue_ = 0;              // per cent of replicas' reports
-  int mostly_ = -1, late_ = 0;  // a trouble that comes again and again; per cent of answers that are late
-  Duration trail_{};                // so late are roles in a list that follows them
-  bool roleBeside_ = false;     // probes' answers say their store's role beside the report
+  int untrue_ = 0;  // per cent of replicas' reports
+  int mostly_ = -1,
+      late_ = 0;      // a trouble that comes again and again; per cent of answers that are late
+  Duration trail_{};  // so late are roles in a list that follows them
+  bool roleBeside_ = false;  // probes' answers say their store's role beside the report
   bool sockets_ = true, follows_ = true, carried_ = true, cancels_ = true;
   DecisionEngine engine_;
   TimePoint now_ = kBegin, busy_ = kBegin;
@@ -644,7 +666,8 @@
   }
   const char* names[] = {"any", "near", "far", "session", "fresh"};
   std::printf(
-      "%ld seeds, %ld with a stale read; told %ld, too late to leave %ld, excused %ld, forgotten %ld\n",
+      "%ld seeds, %ld with a stale read; told %ld, too late to leave %ld, excused %ld, forgotten "
+      "%ld\n",
       tally.seeds, broken, tally.told, tally.late, tally.excused, tally.forgotten);
   bool played = tally.excused > 0 && tally.late > 0 && tally.forgotten > 0;
   for (int k = kNear; k <= kFresh; ++k) {
--- a/tests/front.cpp
+++ b/tests/front.cpp
@@ -1,5 +1,5 @@
-// The whole front on loopback, a process of its own, against the toy of example/. Prints what clients got and
-// what the stores saw; no line depends on how fast the machine is.
+// The whole front on loopback, a process of its own, against the toy of example/. Prints what
+// clients got and what the stores saw; no line depends on how fast the machine is.
 #include <fcntl.h>
 #include <sys/socket.h>
 #include <sys/wait.h>
@@ -53,8 +53,8 @@
 
 // Each on a front of its own, so that none bears another's blocks and limits.
 void outcomes() {
-  for (const char* key : {"error-ok", "full-ok", "miss-ok", "break-ok", "silent-ok", "half-ok", "garbage-ok",
-                          "twice-ok", "long-ok", "away-ok"}) {
+  for (const char* key : {"error-ok", "full-ok", "miss-ok", "break-ok", "silent-ok", "half-ok",
+                          "garbage-ok", "twice-ok", "long-ok", "away-ok"}) {
     Drive d(3);
     Client c(d);
     for (int k = 0; k < 40; ++k)
@@ -136,10 +136,10 @@
   std::printf("sent to it then: %d\n", d.toy.executions(1) - had);
   d.toy.setState(1, "up");
   d.until("told", [&] { return d.logged("version=6"); });
-  for (const char* raw :
-       {"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nnone", "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n",
-        "HTTP/1.1 200 OK\r\nContent-Length: "
-        "47\r\n\r\n{\"version\":9,\"full\":true,\"servers\":[{\"id\":\"x\"}]}"}) {
+  for (const char* raw : {"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nnone",
+                          "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n",
+                          "HTTP/1.1 200 OK\r\nContent-Length: "
+                          "47\r\n\r\n{\"version\":9,\"full\":true,\"servers\":[{\"id\":\"x\"}]}"}) {
     d.log.clear();
     d.toy.spoilList(raw);
     d.toy.setState(1, "up");
@@ -169,7 +169,8 @@
   Drive d(2);
   d.toy.indentList(true);
   d.toy.setState(1, "draining");
-  std::printf("a list with a line for each part: %s\n", d.until("told", [&] { return d.logged("version=2"); }) ? "read" : "?");
+  std::printf("a list with a line for each part: %s\n",
+              d.until("told", [&] { return d.logged("version=2"); }) ? "read" : "?");
   d.toy.indentList(false);
   auto silenced = [&](const char* state, const char* line) {
     d.pass(50);
@@ -249,8 +250,8 @@
     std::string in;
     closed += c->socket->read(in, 10) == Socket::Got::ended;
   }
-  std::printf("60 idle connections: %s were closed, the last one serves: %s\n", closed > 0 ? "some" : "none",
-              many.back()->ask(Client::read("a")).c_str());
+  std::printf("60 idle connections: %s were closed, the last one serves: %s\n",
+              closed > 0 ? "some" : "none", many.back()->ask(Client::read("a")).c_str());
   std::printf("the first: %s\n", many.front()->get().c_str());
   many.clear();
   d.pass(50);
@@ -310,7 +311,8 @@
     std::size_t from = line.find(std::string(" ") + name + "=");
     return from == std::string::npos ? -1 : std::atoi(line.c_str() + from + std::strlen(name) + 2);
   };
-  for (const char* name : {"taken", "open", "completed", "rejected", "aborted", "answered", "client_gone"})
+  for (const char* name :
+       {"taken", "open", "completed", "rejected", "aborted", "answered", "client_gone"})
     std::printf("%s %d\n", name, value(name));
   std::printf("executions: %s\n", value("executions") == d.sent ? "as stores saw" : line.c_str());
   std::printf("probes: %s\n", value("probes") > 0 ? "some" : "none");
@@ -318,13 +320,15 @@
   std::printf("connects: %s\n", kept ? "kept ones serve many" : line.c_str());
 }
 
-// Each on a front of its own: what a spoilt answer says is not believed, the execution may have run.
+// Each on a front of its own: what a spoilt answer says is not believed, the execution may have
+// run.
 void spoilt() {
   for (const char* key : {"noise", "longer", "liar", "garbage", "long", "twice"}) {
     Drive d(2);
     Client c(d);
     c.asks((std::string(key) + ", a read").c_str(), Client::read(std::string(key) + "-ok"));
-    c.asks((std::string(key) + ", must not run twice").c_str(), Client::write(std::string(key) + "-ok", 3000, "once"));
+    c.asks((std::string(key) + ", must not run twice").c_str(),
+           Client::write(std::string(key) + "-ok", 3000, "once"));
   }
   Drive d(1);
   Client c(d);
@@ -340,7 +344,8 @@
   Client other(d);
   other.asks("an id that is open already", same);
   std::printf("the one that had it first: %s\n", c.get().c_str());
-  c.asks("no k where it is needed", "INSERT INTO entries VALUES ('a') /* id=9,c=write,cluster=7,d=900 */");
+  c.asks("no k where it is needed",
+         "INSERT INTO entries VALUES ('a') /* id=9,c=write,cluster=7,d=900 */");
   c.asks("a position beyond all clocks",
          "SELECT 1 /* id=9,c=any,cluster=7,d=900,after=9000000000000000000 */");
 }
@@ -367,7 +372,8 @@
   std::printf("the list came from the new address\n");
   d.log.clear();
   moved.setState(2, "draining");
-  std::printf("a change there: %s\n", d.until("told", [&] { return d.logged("state=draining"); }) ? "told" : "?");
+  std::printf("a change there: %s\n",
+              d.until("told", [&] { return d.logged("state=draining"); }) ? "told" : "?");
   d.log.clear();
   for (int k = 0; k < 3; ++k) d.signal(SIGHUP), d.pass(5);
   d.until("the list again", [&] { return d.logged("entries=3"); });
@@ -426,8 +432,10 @@
     replica = next;
   }
   d.log.clear();
-  bool left = d.until("all have left", [&] { return d.logged("sessions=0 store_connections=0 stores=2 gone=0"); });
-  std::printf("150 stores and clients came and went; only what is listed is held: %s\n", left ? "yes" : "no");
+  bool left = d.until("all have left",
+                      [&] { return d.logged("sessions=0 store_connections=0 stores=2 gone=0"); });
+  std::printf("150 stores and clients came and went; only what is listed is held: %s\n",
+              left ? "yes" : "no");
   d.toy.setState(1, "up");
   d.pass(200);
   Client(d).asks("one of them is listed again", Client::read("a"));
@@ -441,16 +449,20 @@
     many.push_back(std::make_unique<Client>(d));
     many.back()->send(std::string("Q\0\2\x49\xf0", 5) + std::string(140'000, 'a'));
   }
-  Client(d).asks("150 clients have sent most of a long statement; one that asks", Client::read("a"));
+  Client(d).asks("150 clients have sent most of a long statement; one that asks",
+                 Client::read("a"));
   int refused = 0, closed = 0;
   for (auto& c : many) {
     std::string got = c->get();
     refused += got.find("53200") != std::string::npos, closed += c->ended;
   }
-  std::printf("some were told that there is no memory: %s; ended: %d\n", refused > 0 ? "yes" : "no", closed);
+  std::printf("some were told that there is no memory: %s; ended: %d\n", refused > 0 ? "yes" : "no",
+              closed);
   std::size_t most = 0;
-  for (std::size_t at = 0; (at = d.log.find("client_too_much bytes=", at)) != std::string::npos; ++at)
-    most = std::max<std::size_t>(most, static_cast<std::size_t>(std::atoi(d.log.c_str() + at + 22)));
+  for (std::size_t at = 0; (at = d.log.find("client_too_much bytes=", at)) != std::string::npos;
+       ++at)
+    most = std::max<std::size_t>(most,
+                                 static_cast<std::size_t>(std::atoi(d.log.c_str() + at + 22)));
   std::printf("they held more than a quarter of 32 MB and one message: %s\n",
               most > (8u << 20) + (256u << 10) ? "yes" : "no");
   many.clear();
@@ -461,22 +473,27 @@
   int served = 0, rejected = 0;
   for (auto& c : many) {
     std::string got = c->get();
-    served += got.find("row") != std::string::npos, rejected += got.find("53300") != std::string::npos;
+    served += got.find("row") != std::string::npos,
+        rejected += got.find("53300") != std::string::npos;
   }
-  std::printf("80 long statements at once: some completed: %s, some rejected: %s, without an answer: %d\n",
-              served > 0 ? "yes" : "no", rejected > 0 ? "yes" : "no", 80 - served - rejected);
+  std::printf(
+      "80 long statements at once: some completed: %s, some rejected: %s, without an answer: %d\n",
+      served > 0 ? "yes" : "no", rejected > 0 ? "yes" : "no", 80 - served - rejected);
   Client(d).asks("afterwards", Client::read("b"));
   Client(d).asks("a row of 300 KB", Client::read("big300000"));
 }
 
 const Case kCases[] = {
-    {"completed", completed}, {"outcomes", outcomes}, {"writes", writes},       {"connections", connections},
-    {"drains", drains},       {"asked", asked},       {"logStands", logStands}, {"badInput", badInput},
-    {"crowd", crowd},         {"leaves", leaves}, {"tallied", tallied},
-    {"spoilt", spoilt},       {"reload", reload},     {"silence", silence},
-    {"passing", passing},     {"memory", memory},     {"toldAnyway", toldAnyway}};
+    {"completed", completed},     {"outcomes", outcomes},    {"writes", writes},
+    {"connections", connections}, {"drains", drains},        {"asked", asked},
+    {"logStands", logStands},     {"badInput", badInput},    {"crowd", crowd},
+    {"leaves", leaves},           {"tallied", tallied},      {"spoilt", spoilt},
+    {"reload", reload},           {"silence", silence},      {"passing", passing},
+    {"memory", memory},           {"toldAnyway", toldAnyway}};
 
 }  // namespace
 
 // front PROGRAM CASE
-int main(int argc, char** argv) { return test::runOnFront(kCases, argc, argv); }
+int main(int argc, char** argv) {
+  return test::runOnFront(kCases, argc, argv);
+}
--- a/tests/fuzz/cql.cpp
+++ b/tests/fuzz/cql.cpp
@@ -1,5 +1,6 @@
-// libFuzzer's target for the native protocol's codec. Not part of CI; see docs/cql.md for how long it ran and what
-// it found. The first byte of the input chooses framing, compression and version, the rest is what a peer sends.
+// libFuzzer's target for the native protocol's codec. Not part of CI; see docs/cql.md for how long
+// it ran and what it found. The first byte of the input chooses framing, compression and version,
+// the rest is what a peer sends.
 #include <cstdint>
 #include <cstdlib>
 #include <string>
@@ -62,14 +63,17 @@
     std::uint8_t flags = static_cast<std::uint8_t>(f.flags & ~kCompressed);
     out.put(again, f.answer, f.version, flags, f.stream, f.opcode, body);
     Frame same;
-    if (back.next(again, used, same) != Framed::whole || same.body != body || same.stream != f.stream) std::abort();
+    if (back.next(again, used, same) != Framed::whole || same.body != body ||
+        same.stream != f.stream)
+      std::abort();
   }
   // And the bytes as a body of their own, so that no checksum stands in the way.
   Frame f;
   f.version = how & 4 ? 5 : 4;
   f.flags = static_cast<std::uint8_t>(how >> 4);
   f.body = bytes;
-  for (Opcode o : {Opcode::query, Opcode::prepare, Opcode::execute, Opcode::batch, Opcode::result, Opcode::error}) {
+  for (Opcode o : {Opcode::query, Opcode::prepare, Opcode::execute, Opcode::batch, Opcode::result,
+                   Opcode::error}) {
     f.opcode = o;
     readAll(f);
   }
--- a/tests/guard.cpp
+++ b/tests/guard.cpp
@@ -1,5 +1,5 @@
-// The guard for what leaves for a store, and the checks that hold what has left against the rules: each finds
-// what it is there for.
+// The guard for what leaves for a store, and the checks that hold what has left against the rules:
+// each finds what it is there for.
 #include <cstdio>
 #include <memory>
 #include <string>
@@ -22,9 +22,10 @@
 constexpr int kRead = 0, kMarked = 1, kOnce = 2, kZoneMarked = 3;
 
 EngineSettings terms() {
-  EngineSettings t = Bench::terms({Bench::work(Level::any), Bench::work(Level::write, Effect::deduplicated),
-                          Bench::work(Level::write, Effect::nonIdempotent),
-                          Bench::work(Level::write, Effect::deduplicated, Scope::zone)});
+  EngineSettings t = Bench::terms({Bench::work(Level::any),
+                                   Bench::work(Level::write, Effect::deduplicated),
+                                   Bench::work(Level::write, Effect::nonIdempotent),
+                                   Bench::work(Level::write, Effect::deduplicated, Scope::zone)});
   t.drainGrace = ms(250);
   return t;
 }
@@ -38,15 +39,16 @@
   return d;
 }
 
-void tell(const char* what, invariants::Refusal refusal) { std::printf("%s: %s\n", what, invariants::nameOf(refusal)); }
+void tell(const char* what, invariants::Refusal refusal) {
+  std::printf("%s: %s\n", what, invariants::nameOf(refusal));
+}
 
 void guardLeaves() {
   EngineSettings t = terms();
   AttemptGuard g(t);
   for (int store : {0, 1}) g.listed(store, 0, store, EndpointStatus::up, kNow - ms(9000));
-  auto leaves = [&](Departure d, const std::vector<EarlierAttempt>& earlier = {}, TimePoint now = kNow) {
-    return g.mayLeave(d, earlier, now);
-  };
+  auto leaves = [&](Departure d, const std::vector<EarlierAttempt>& earlier = {},
+                    TimePoint now = kNow) { return g.mayLeave(d, earlier, now); };
   auto changed = [](auto change) {
     Departure d = departure(kRead);
     change(d);
@@ -59,14 +61,15 @@
   tell("at its client's time", leaves(departure(kRead), {}, kNow + ms(500)));
   tell("at the moment to leave by", leaves(changed([](Departure& d) { d.sendBy = kNow; })));
 
-  std::vector<EarlierAttempt> ran = {{0, kNow - ms(100), true}}, never = {{0, kNow - ms(100), false}},
-                              unsent = {{0}};
+  std::vector<EarlierAttempt> ran = {{0, kNow - ms(100), true}},
+                              never = {{0, kNow - ms(100), false}}, unsent = {{0}};
   tell("a read again", leaves(departure(kRead), ran));
   tell("once, never ran", leaves(departure(kOnce), never));
   tell("once, never left", leaves(departure(kOnce), unsent));
   tell("once, may have run", leaves(departure(kOnce), ran));
   tell("marked, within its window", leaves(departure(kMarked), ran));
-  tell("marked, at the end of its window", leaves(departure(kMarked), {{0, kNow - ms(1000), true}}));
+  tell("marked, at the end of its window",
+       leaves(departure(kMarked), {{0, kNow - ms(1000), true}}));
   tell("marked, the first of two before its window",
        leaves(departure(kMarked), {{0, kNow - ms(1200), true}, {0, kNow - ms(100), true}}));
   tell("marked by zone, in it", leaves(departure(kZoneMarked, 0), ran));
@@ -88,7 +91,8 @@
   tell("the same where that doesn't bind", lenient.mayLeave(departure(kRead), {}, kNow + ms(400)));
 }
 
-// A statement of which one execution ends in a way that the rules don't allow; the check names the rule.
+// A statement of which one execution ends in a way that the rules don't allow; the check names the
+// rule.
 class Ended : public DecisionSink {
  public:
   explicit Ended(int workload)
@@ -111,7 +115,9 @@
     engine_.decide(scheduler_.now(), *this);
   }
   // Lets it end after `change`; the rule that is found broken.
-  void ends(const char* what, const std::function<void(request::UpstreamRequest&, pipeline::Statement&, Ended&)>& change) {
+  void ends(
+      const char* what,
+      const std::function<void(request::UpstreamRequest&, pipeline::Statement&, Ended&)>& change) {
     std::uint64_t before[static_cast<int>(invariants::Rule::count)];
     for (int k = 0; k < static_cast<int>(invariants::Rule::count); ++k)
       before[k] = invariants::violations(static_cast<invariants::Rule>(k));
@@ -169,8 +175,8 @@
 };
 
 void guardChecks() {
-  using request::UpstreamRequest;
   using pipeline::Statement;
+  using request::UpstreamRequest;
   Ended(kOnce).ends("in order", [](UpstreamRequest&, Statement&, Ended&) {});
   Ended(kOnce).ends("left 0.2 s after its client", [](UpstreamRequest& j, Statement& st, Ended& e) {
     st.open = false, st.clientLeftAt = e.now() - ms(200), j.leftAt = e.now();
@@ -178,16 +184,20 @@
   Ended(kOnce).ends("left 0.05 s after its client", [](UpstreamRequest&, Statement& st, Ended& e) {
     st.open = false, st.clientLeftAt = e.now() - ms(50);
   });
-  Ended(kOnce).ends("whole 0.2 s after its time",
-                    [](UpstreamRequest& j, Statement& st, Ended&) { j.wholeAt = st.giveUpAt + ms(200), j.toldMs = 0; });
-  Ended(kOnce).ends("told 0.2 s too much", [](UpstreamRequest& j, Statement&, Ended&) { j.toldMs = 600; });
-  Ended(kOnce).ends("to a store that drains since 0.3 s", [](UpstreamRequest&, Statement&, Ended& e) {
-    e.stores().listed(0, 0, 0, EndpointStatus::draining, e.now() - ms(300));
+  Ended(kOnce).ends("whole 0.2 s after its time", [](UpstreamRequest& j, Statement& st, Ended&) {
+    j.wholeAt = st.giveUpAt + ms(200), j.toldMs = 0;
   });
+  Ended(kOnce).ends("told 0.2 s too much",
+                    [](UpstreamRequest& j, Statement&, Ended&) { j.toldMs = 600; });
+  Ended(kOnce).ends("to a store that drains since 0.3 s",
+                    [](UpstreamRequest&, Statement&, Ended& e) {
+                      e.stores().listed(0, 0, 0, EndpointStatus::draining, e.now() - ms(300));
+                    });
   for (double gap : {900.0, 1100.0}) {
     Ended e(kMarked);
-    e.ends("a marked one",
-           [&](UpstreamRequest& j, Statement&, Ended& its) { j.leftAt = j.wholeAt = its.now() - ms(gap); });
+    e.ends("a marked one", [&](UpstreamRequest& j, Statement&, Ended& its) {
+      j.leftAt = j.wholeAt = its.now() - ms(gap);
+    });
     std::printf("%.0f ms later ", gap);
     e.endsAgain("its repeat");
   }
@@ -199,4 +209,6 @@
 
 }  // namespace
 
-int main(int argc, char** argv) { return test::runCase(kCases, argc, argv); }
+int main(int argc, char** argv) {
+  return test::runCase(kCases, argc, argv);
+}
--- a/tests/ledger.cpp
+++ b/tests/ledger.cpp
@@ -1,4 +1,5 @@
-// The ledger: its decisions told by hand, its log damaged, and its crashes at every step of input and output.
+// The ledger: its decisions told by hand, its log damaged, and its crashes at every step of input
+// and output.
 #include <cstdio>
 #include <fstream>
 #include <memory>
@@ -19,12 +20,19 @@
 namespace {
 
 constexpr std::int64_t kDayS = 86'400;
-TimePoint at(double s) { return TimePoint{static_cast<std::int64_t>(s * 1e6)}; }
-Duration secs(double s) { return Duration{static_cast<std::int64_t>(s * 1e6)}; }
+TimePoint at(double s) {
+  return TimePoint{static_cast<std::int64_t>(s * 1e6)};
+}
+Duration secs(double s) {
+  return Duration{static_cast<std::int64_t>(s * 1e6)};
+}
 
 void periods() {
   for (auto [name, s] : std::initializer_list<std::pair<const char*, std::int64_t>>{
-           {"2026-12-01 16:00", 1'796'140'800}, {"2026-12-31 23:59:59", 1'798'761'599}, {"2028-02-29", 1'835'395'200}, {"1969-12-31 23:00", -3600}}) {
+           {"2026-12-01 16:00", 1'796'140'800},
+           {"2026-12-31 23:59:59", 1'798'761'599},
+           {"2028-02-29", 1'835'395'200},
+           {"1969-12-31 23:00", -3600}}) {
     TimePoint t = at(static_cast<double>(s));
     std::printf("%s: ", name);
     for (Every e : {Every::hour, Every::day, Every::month}) {
@@ -39,7 +47,8 @@
   auto tell = [&](const char* what, double wall, double steady) {
     Periods::Moment m = p.now({at(wall), secs(steady)});
     std::printf("%s: %+.0f s, day %lld%s\n", what, (m.at - at(day)).seconds(),
-                static_cast<long long>(m.period.beginsS / kDayS), m.jumped ? ", the clock jumped" : "");
+                static_cast<long long>(m.period.beginsS / kDayS),
+                m.jumped ? ", the clock jumped" : "");
   };
   tell("it begins", day + 100, 1000);
   tell("a little later", day + 110, 1010);
@@ -56,11 +65,14 @@
     auto d = p.due(at(s));
     return d ? static_cast<long long>(d->beginsS / kDayS) : -1LL;
   };
-  std::printf("due within the grace %lld, after it %lld\n", due(day + kDayS + 59), due(day + kDayS + 60));
-  std::printf("closing %d, open %d\n", p.phaseOf({100 * kDayS}, at(day + kDayS + 1)) == PeriodPhase::closing,
+  std::printf("due within the grace %lld, after it %lld\n", due(day + kDayS + 59),
+              due(day + kDayS + 60));
+  std::printf("closing %d, open %d\n",
+              p.phaseOf({100 * kDayS}, at(day + kDayS + 1)) == PeriodPhase::closing,
               p.phaseOf({101 * kDayS}, at(day + kDayS + 1)) == PeriodPhase::open);
   p.sealed({100 * kDayS});
-  std::printf("sealed %d, next due %lld\n", p.phaseOf({100 * kDayS}, at(day)) == PeriodPhase::sealed, due(day + kDayS + 60));
+  std::printf("sealed %d, next due %lld\n",
+              p.phaseOf({100 * kDayS}, at(day)) == PeriodPhase::sealed, due(day + kDayS + 60));
   Periods again(Every::day, secs(2), secs(60));
   again.sealed({100 * kDayS});
   again.resume(at(day + kDayS + 65), {});
@@ -84,7 +96,8 @@
   tell("8 completed", Outcome::completed, 8, 4);
   tell("9", Outcome::completed, 9, 4.1);
   tell("10, one more than fit", Outcome::completed, 10, 4.2);
-  std::printf("held %zu, forgotten %llu\n", m.size(), static_cast<unsigned long long>(m.forgotten()));
+  std::printf("held %zu, forgotten %llu\n", m.size(),
+              static_cast<unsigned long long>(m.forgotten()));
   tell("7, which was forgotten", Outcome::completed, 7, 4.3);
   tell("10 still", Outcome::completed, 10, 4.3);
   tell("all have passed, 10", Outcome::completed, 10, 9);
@@ -92,7 +105,8 @@
 }
 
 const char* nameOf(Exports::Do d) {
-  static constexpr const char* kNames[] = {"nothing", "plan", "send", "confirm", "rewind", "conflict", "fenced"};
+  static constexpr const char* kNames[] = {"nothing", "plan",     "send",  "confirm",
+                                           "rewind",  "conflict", "fenced"};
   return kNames[static_cast<int>(d)];
 }
 
@@ -100,8 +114,10 @@
   Exports e;
   auto tell = [&](const char* what, std::uint64_t durable, Watermark w, std::uint64_t epoch = 5) {
     Exports::Step s = e.next(durable, 10, w, epoch);
-    std::printf("%s: %s batch %llu, %llu to %llu %s\n", what, nameOf(s.what), static_cast<unsigned long long>(s.next.number),
-                static_cast<unsigned long long>(s.next.first), static_cast<unsigned long long>(s.next.last), s.why);
+    std::printf("%s: %s batch %llu, %llu to %llu %s\n", what, nameOf(s.what),
+                static_cast<unsigned long long>(s.next.number),
+                static_cast<unsigned long long>(s.next.first),
+                static_cast<unsigned long long>(s.next.last), s.why);
     return s;
   };
   tell("nothing there", 0, {5, 0, 0, ""});
@@ -120,9 +136,11 @@
   tell("a newer exporter", 25, {6, 1, 10, "d1"});
   Exports after;
   after.resume(one, BatchPlan{1, 1, 10, "d1"});
-  std::printf("restarted with an old plan: %s\n", nameOf(after.next(25, 10, {5, 1, 10, "d1"}, 5).what));
+  std::printf("restarted with an old plan: %s\n",
+              nameOf(after.next(25, 10, {5, 1, 10, "d1"}, 5).what));
   after.resume(one, BatchPlan{2, 11, 20, "d2"});
-  std::printf("restarted with one that may have been sent: %s\n", nameOf(after.next(25, 10, {5, 1, 10, "d1"}, 5).what));
+  std::printf("restarted with one that may have been sent: %s\n",
+              nameOf(after.next(25, 10, {5, 1, 10, "d1"}, 5).what));
   static constexpr const char* kTakings[] = {"taken", "repeated", "gap", "fenced", "differs"};
   auto takesOne = [&](const char* what, Watermark w, std::uint64_t epoch, BatchPlan b) {
     std::printf("collector, %s: %s\n", what, kTakings[static_cast<int>(takes(w, epoch, b))]);
@@ -172,16 +190,18 @@
     std::vector<Finding> found = log.verify([&](const wire::Record&) { ++read; });
     std::printf("%s: %llu records read", what, static_cast<unsigned long long>(read));
     for (std::size_t k = 0; k < found.size() && k < 3; ++k)
-      std::printf("; %s in %s, record %llu", ledger::nameOf(found[k].what), found[k].segment.c_str(),
-                  static_cast<unsigned long long>(found[k].seq));
+      std::printf("; %s in %s, record %llu", ledger::nameOf(found[k].what),
+                  found[k].segment.c_str(), static_cast<unsigned long long>(found[k].seq));
     if (found.size() > 3) std::printf("; and so on");
     Log opened(f, {key, 400});
     opened.open([](const wire::Record&) {});
     std::printf("; it %s\n", opened.isOpen() ? "opens" : "stays closed");
   };
   tell("as it was", [](SimFiles&) {});
-  tell("a flipped bit in the middle", [](SimFiles& f) { f.bytesOf("ledger-00000002.log")[200] ^= 1; });
-  tell("a flipped bit in the first segment's head", [](SimFiles& f) { f.bytesOf("ledger-00000001.log")[30] ^= 1; });
+  tell("a flipped bit in the middle",
+       [](SimFiles& f) { f.bytesOf("ledger-00000002.log")[200] ^= 1; });
+  tell("a flipped bit in the first segment's head",
+       [](SimFiles& f) { f.bytesOf("ledger-00000001.log")[30] ^= 1; });
   tell("a flipped bit in the newest segment, before what was synced",
        [](SimFiles& f) { f.bytesOf(newestOf(f))[70] ^= 1; });
   tell("a missing segment", [](SimFiles& f) { f.remove("ledger-00000003.log"); });
@@ -204,7 +224,8 @@
     std::size_t second = b.find("RLG1", 4), third = b.find("RLG1", second + 4);
     b.erase(second, third - second);
   });
-  tell("another key", [](SimFiles&) {}, "other");
+  tell(
+      "another key", [](SimFiles&) {}, "other");
 }
 
 constexpr std::size_t kRing = 4096;
@@ -217,12 +238,14 @@
   auto memory = std::make_unique<Memory>();
   {
     Ring r(memory->bytes, 1);
-    std::printf("new: readable %d, put to %llu\n", r.wasReadable(), static_cast<unsigned long long>(r.putTo()));
+    std::printf("new: readable %d, put to %llu\n", r.wasReadable(),
+                static_cast<unsigned long long>(r.putTo()));
     int n = 0;
     while (r.put(std::string(100, static_cast<char>('a' + n % 26)))) ++n;
     std::printf("%d of 100 bytes fit in %zu\n", n, kRing);
     r.letGo(5);
-    std::printf("five let go; the next is %llu, '%c'\n", static_cast<unsigned long long>(r.next()->place), r.next()->bytes[0]);
+    std::printf("five let go; the next is %llu, '%c'\n",
+                static_cast<unsigned long long>(r.next()->place), r.next()->bytes[0]);
     n = 0;
     while (r.put("x")) ++n;
     std::printf("%d more of one byte\n", n);
@@ -234,12 +257,13 @@
   std::printf("after the process: readable %d, %d entries, the last %llu\n", again.wasReadable(), n,
               static_cast<unsigned long long>(place));
   Ring tooOld(memory->bytes, 1000);
-  std::printf("one that is older than the log: readable %d, goes on at %llu\n", tooOld.wasReadable(),
-              static_cast<unsigned long long>(tooOld.putTo() + 1));
+  std::printf("one that is older than the log: readable %d, goes on at %llu\n",
+              tooOld.wasReadable(), static_cast<unsigned long long>(tooOld.putTo() + 1));
   Ring fresh(memory->bytes, 1000);
   fresh.put("abc"), fresh.put("def");
   memory->bytes[128 + 16] ^= std::byte{1};
-  std::printf("an entry that isn't whole: %s\n", Ring(memory->bytes, 1).next() ? "believed" : "not believed");
+  std::printf("an entry that isn't whole: %s\n",
+              Ring(memory->bytes, 1).next() ? "believed" : "not believed");
 }
 
 Keeper::Shape shape() {
@@ -251,12 +275,13 @@
   return s;
 }
 
-// The world of a crash test: a client that counts its answers and asks again, with the same mark, what it got none
-// for; a front that puts entries into a ring that outlives it; a keeper; an exporter; a collector that counts.
+// The world of a crash test: a client that counts its answers and asks again, with the same mark,
+// what it got none for; a front that puts entries into a ring that outlives it; a keeper; an
+// exporter; a collector that counts.
 struct World {
   SimFiles files;
   std::unique_ptr<Memory> memory = std::make_unique<Memory>();
-  double clock = 50.0 * kDayS - 3;  // three seconds before a day ends
+  double clock = 50.0 * kDayS - 3;              // three seconds before a day ends
   std::map<std::string, std::int64_t> counted;  // by the client
   std::set<int> put, answers;  // statements whose entry was put; that the client had an answer to
   int next = 0, synced = 0;
@@ -334,14 +359,16 @@
   }
   std::string digestOf(std::uint64_t first, std::uint64_t last) {
     std::vector<std::string> payloadsOf;
-    for (const wire::Record& r : recordsOf(first, last)) payloadsOf.push_back(r.SerializeAsString());
+    for (const wire::Record& r : recordsOf(first, last))
+      payloadsOf.push_back(r.SerializeAsString());
     return Log::digestOf(payloadsOf);
   }
 
   // The whole script; goes on where it stood.
   void play() {
     while (next < 12) {
-      // What has no mark and may have run isn't asked again: it is billed, as it ran, and its client knows nothing.
+      // What has no mark and may have run isn't asked again: it is billed, as it ran, and its
+      // client knows nothing.
       if (put.contains(next) && !marked(next)) {
         ++counted["t" + std::to_string(next % 3)];
         ++next;
@@ -357,7 +384,8 @@
     clock = std::max(clock, 50.0 * kDayS + 10);
     keeper->drain(*ring, 0, at(clock));  // the first day is sealed
     wire::Correction c;
-    c.set_id("c1"), c.set_tenant("t0"), c.set_statements(-1), c.set_bytes_in(-10), c.set_bytes_out(-100);
+    c.set_id("c1"), c.set_tenant("t0"), c.set_statements(-1), c.set_bytes_in(-10),
+        c.set_bytes_out(-100);
     c.set_reason("a test"), c.set_by("office");
     c.set_signature(Keeper::signatureOf(c, {49 * kDayS}, "office"));
     keeper->correct(c, {49 * kDayS}, at(clock));
@@ -381,10 +409,15 @@
       std::int64_t client = counted[tenant], ledger = billed(keeper->totals(), tenant);
       std::int64_t collector = billed(fromCollector, tenant);
       bool good = machine ? ledger <= client && ledger >= client - lostMost : ledger == client;
-      if (!good) wrong += std::string(tenant) + " counted " + std::to_string(client) + " billed " + std::to_string(ledger) + "; ";
-      if (collector != ledger) wrong += std::string(tenant) + " exported " + std::to_string(collector) + " of " + std::to_string(ledger) + "; ";
+      if (!good)
+        wrong += std::string(tenant) + " counted " + std::to_string(client) + " billed " +
+                 std::to_string(ledger) + "; ";
+      if (collector != ledger)
+        wrong += std::string(tenant) + " exported " + std::to_string(collector) + " of " +
+                 std::to_string(ledger) + "; ";
     }
-    if (keeper->totals().of({49 * kDayS}, "t0").corrections != 1) wrong += "the correction isn't there once; ";
+    if (keeper->totals().of({49 * kDayS}, "t0").corrections != 1)
+      wrong += "the correction isn't there once; ";
     Log log(files, shape().log);
     if (!log.verify([](const wire::Record&) {}).empty()) wrong += "the log can't be verified; ";
     return wrong;
@@ -420,7 +453,8 @@
   // Everything is exported at the end.
   w.keeper->sync();
   w.exportSome(), w.exportSome();
-  for (int k = 0; k < 3 && w.keeper->exports().confirmedTo() + 3 < w.keeper->durable(); ++k) w.exportSome();
+  for (int k = 0; k < 3 && w.keeper->exports().confirmedTo() + 3 < w.keeper->durable(); ++k)
+    w.exportSome();
   return w.check(machine, lost);
 }
 
@@ -434,28 +468,35 @@
       if (!said.empty()) std::printf("killed at step %d: %s\n", steps, said.c_str()), ++wrong;
     }
   }
-  std::printf("the process killed at each of its steps: %s\n", wrong == 0 ? "totals equal what was counted" : "wrong");
+  std::printf("the process killed at each of its steps: %s\n",
+              wrong == 0 ? "totals equal what was counted" : "wrong");
   std::printf("more than fifty steps: %s\n", steps > 50 ? "yes" : "no");
   wrong = 0;
   for (int seed = 1; seed <= seeds; ++seed)
     for (int step = 1; step < steps; ++step) {
       bool ended = false;
       std::string said = crashAt(step, static_cast<unsigned>(seed * 1000 + step), true, &ended);
-      if (!said.empty() && ++wrong <= 5) std::printf("machine, step %d seed %d: %s\n", step, seed, said.c_str());
+      if (!said.empty() && ++wrong <= 5)
+        std::printf("machine, step %d seed %d: %s\n", step, seed, said.c_str());
     }
   std::printf("the machine at each of its steps: %s\n",
               wrong == 0 ? "never billed twice, nothing lost that was synced" : "wrong");
 }
 
-void crashes() { crash(1); }
-void crashesMany() { crash(40); }
+void crashes() {
+  crash(1);
+}
+void crashesMany() {
+  crash(40);
+}
 
 void corrections() {
   SimFiles f;
   Keeper k(f, shape());
   k.open(at(50.0 * kDayS));
   wire::Correction c;
-  c.set_id("c1"), c.set_tenant("t0"), c.set_statements(-2), c.set_reason("counted twice"), c.set_by("office"), c.set_corrects("f1:7");
+  c.set_id("c1"), c.set_tenant("t0"), c.set_statements(-2), c.set_reason("counted twice"),
+      c.set_by("office"), c.set_corrects("f1:7");
   Period p{50 * kDayS};
   auto tell = [&](const char* what) {
     static constexpr const char* kNames[] = {"taken", "repeated", "refused"};
@@ -498,14 +539,19 @@
     }
   }
   k.drain(r, lost, at(50.0 * kDayS));
-  std::printf("the disk was full %llu times; put and billed: %s; lost for want of room and noted: %s\n",
-              static_cast<unsigned long long>(failed),
-              static_cast<std::uint64_t>(k.totals().of({50 * kDayS}, "t").statements) == put ? "equal" : "not equal",
-              lost > 0 ? "some" : "none");
+  std::printf(
+      "the disk was full %llu times; put and billed: %s; lost for want of room and noted: %s\n",
+      static_cast<unsigned long long>(failed),
+      static_cast<std::uint64_t>(k.totals().of({50 * kDayS}, "t").statements) == put ? "equal"
+                                                                                     : "not equal",
+      lost > 0 ? "some" : "none");
   std::uint64_t noted = 0;
   Log log(f, shape().log);
-  auto found = log.verify([&](const wire::Record& rec) { noted += rec.has_notice() && rec.notice().kind() == 1 ? rec.notice().count() : 0; });
-  std::printf("noted as lost: %s; the log %s\n", noted == lost ? "all" : "not all", found.empty() ? "is sound" : "is not sound");
+  auto found = log.verify([&](const wire::Record& rec) {
+    noted += rec.has_notice() && rec.notice().kind() == 1 ? rec.notice().count() : 0;
+  });
+  std::printf("noted as lost: %s; the log %s\n", noted == lost ? "all" : "not all",
+              found.empty() ? "is sound" : "is not sound");
 }
 
 // Three fronts that share nothing; their ledgers told in any order, repeated, in part first.
@@ -515,28 +561,33 @@
     wire::Record r;
   };
   std::vector<Told> all;
-  auto use = [&](const char* birth, std::uint64_t seq, double s, const char* tenant, std::uint64_t mark, bool billed = true) {
+  auto use = [&](const char* birth, std::uint64_t seq, double s, const char* tenant,
+                 std::uint64_t mark, bool billed = true) {
     wire::Record r;
     r.set_seq(seq), r.set_at_us(at(s).us), r.set_period_s(0);
     wire::Use* u = r.mutable_use();
-    u->set_tenant(tenant), u->set_mark(mark), u->set_window_ms(3000), u->set_billed(billed), u->set_outcome(1);
+    u->set_tenant(tenant), u->set_mark(mark), u->set_window_ms(3000), u->set_billed(billed),
+        u->set_outcome(1);
     u->set_bytes_in(10), u->set_bytes_out(100);
     all.push_back({birth, std::string("front-") + birth, r});
   };
   for (std::uint64_t k = 1; k <= 5; ++k) use("a", k, static_cast<double>(k), "coop", 0);
   use("a", 6, 10, "coop", 77);
-  use("b", 1, 11, "coop", 77);   // the client's repeat came to another front, in its window
-  use("c", 1, 12.9, "coop", 77); // and to a third
-  use("b", 2, 13.5, "coop", 77); // after the window: another statement
+  use("b", 1, 11, "coop", 77);    // the client's repeat came to another front, in its window
+  use("c", 1, 12.9, "coop", 77);  // and to a third
+  use("b", 2, 13.5, "coop", 77);  // after the window: another statement
   use("c", 2, 14, "office", 5), use("c", 3, 15, "office", 5, false);
   auto tell = [&](const Reconciliation& rec) {
     std::string said;
     for (bool corrected : {false, true}) {
       Totals t = rec.totals(corrected);
-      said += "coop " + std::to_string(t.of({0}, "coop").statements) + ", office " + std::to_string(t.of({0}, "office").statements) + "; ";
+      said += "coop " + std::to_string(t.of({0}, "coop").statements) + ", office " +
+              std::to_string(t.of({0}, "office").statements) + "; ";
     }
     for (const auto& m : rec.missing()) said += m.correction.id() + "; ";
-    for (const auto& t : rec.troubles()) said += std::string(ledger::nameOf(t.what)) + " " + t.birth + " " + std::to_string(t.first) + "-" + std::to_string(t.last) + "; ";
+    for (const auto& t : rec.troubles())
+      said += std::string(ledger::nameOf(t.what)) + " " + t.birth + " " + std::to_string(t.first) +
+              "-" + std::to_string(t.last) + "; ";
     return said;
   };
   auto whole = [&](const std::vector<Told>& told) {
@@ -555,7 +606,8 @@
     same += tell(whole(told)) == first;
   }
   std::printf("any order, any repetition: %s\n", same == rounds ? "the same" : "not the same");
-  // What is missing is written, and nothing is missing after that, however often; also where a subset came first.
+  // What is missing is written, and nothing is missing after that, however often; also where a
+  // subset came first.
   same = 0;
   for (int k = 0; k < rounds; ++k) {
     std::vector<Told> told = all;
@@ -579,7 +631,8 @@
     same += rec.missing().empty() && rec.totals(false).of({0}, "coop").statements == 7 &&
             rec.totals(false).of({0}, "office").statements == 1;
   }
-  std::printf("a subset first, written twice: %s\n", same == rounds ? "the same totals, none twice" : "not the same");
+  std::printf("a subset first, written twice: %s\n",
+              same == rounds ? "the same totals, none twice" : "not the same");
   std::vector<Told> bad = all;
   bad.erase(bad.begin() + 2);
   bad.push_back(bad.front());
@@ -587,15 +640,18 @@
   bad.push_back(all[4]);
   bad.back().r.mutable_use()->set_tenant("other");
   bad.push_back(all[5]);
-  bad.back().birth = "d", bad.back().instance = "front-d", bad.back().r.set_seq(2), bad.back().r.set_at_us(at(5).us);
+  bad.back().birth = "d", bad.back().instance = "front-d", bad.back().r.set_seq(2),
+  bad.back().r.set_at_us(at(5).us);
   bad.push_back(bad.back());
   bad.back().r.set_seq(1), bad.back().r.set_at_us(at(50).us);
   std::printf("%s\n", tell(whole(bad)).c_str());
 }
 
-constexpr Case kCases[] = {{"ledgerPeriods", periods}, {"ledgerMarks", marks},     {"ledgerExports", exports},
-                           {"ledgerDamage", damage},   {"ledgerRing", ring},       {"ledgerCrashes", crashes},
-                           {"ledgerCorrect", corrections}, {"ledgerDisk", disk}, {"ledgerReconciles", reconciles}, {"ledgerCrashesMany", crashesMany}};
+constexpr Case kCases[] = {
+    {"ledgerPeriods", periods},        {"ledgerMarks", marks}, {"ledgerExports", exports},
+    {"ledgerDamage", damage},          {"ledgerRing", ring},   {"ledgerCrashes", crashes},
+    {"ledgerCorrect", corrections},    {"ledgerDisk", disk},   {"ledgerReconciles", reconciles},
+    {"ledgerCrashesMany", crashesMany}};
 
 }  // namespace
 
@@ -614,8 +670,10 @@
   Ring ring(memory->bytes, 1);
   for (int k = 0; k < 4; ++k) {
     Answered a;
-    a.tenant = k % 2 ? "coop" : "planning, office", a.workload = "any", a.outcome = Outcome::completed;
-    a.bytesIn = 10, a.bytesOut = 100, a.executions = 1, a.at = now, a.period = periodAt(Every::day, now);
+    a.tenant = k % 2 ? "coop" : "planning, office", a.workload = "any",
+    a.outcome = Outcome::completed;
+    a.bytesIn = 10, a.bytesOut = 100, a.executions = 1, a.at = now,
+    a.period = periodAt(Every::day, now);
     ring.put(toBytes(a));
   }
   keeper.drain(ring, 0, now);
--- a/tests/ledger_front.cpp
+++ b/tests/ledger_front.cpp
@@ -1,4 +1,5 @@
-// A whole front with its ledger on, killed in the middle: what its clients counted is what is billed.
+// A whole front with its ledger on, killed in the middle: what its clients counted is what is
+// billed.
 #include <filesystem>
 
 #include "cql_client.h"
@@ -21,8 +22,8 @@
   }
   ~Place() { std::filesystem::remove_all(path); }
   std::string door(const char* more = "") const {
-    return std::string(test::kDoor) + "ledger {\n  folder = \"" + path + "/ledger\"\n  key_file = \"" + path +
-           "/key\"\n  period = \"hour\"\n" + more + "}\n";
+    return std::string(test::kDoor) + "ledger {\n  folder = \"" + path +
+           "/ledger\"\n  key_file = \"" + path + "/key\"\n  period = \"hour\"\n" + more + "}\n";
   }
   // What the ledger says of a tenant, over all periods.
   ledger::Used used(const std::string& tenant) const {
@@ -50,19 +51,20 @@
   using Client::Client;
   // True where it completed.
   bool ask(const std::string& tenant, const std::string& key, const std::string& mark = "") {
-    std::string tail = " /* id=" + std::to_string(++ids) + ",c=" + (mark.empty() ? "any" : "write") + ",cluster=7,d=2000,tenant=" +
-                       tenant + (mark.empty() ? "" : ",k=" + mark) + " */";
-    return test::outcomeOf(Client::ask(mark.empty()
-                                           ? "SELECT payload FROM entries WHERE ref = '" + key + "'" + tail
-                                           : "INSERT INTO entries VALUES ('" + key + "')" + tail)) ==
+    std::string tail =
+        " /* id=" + std::to_string(++ids) + ",c=" + (mark.empty() ? "any" : "write") +
+        ",cluster=7,d=2000,tenant=" + tenant + (mark.empty() ? "" : ",k=" + mark) + " */";
+    return test::outcomeOf(Client::ask(
+               mark.empty() ? "SELECT payload FROM entries WHERE ref = '" + key + "'" + tail
+                            : "INSERT INTO entries VALUES ('" + key + "')" + tail)) ==
            std::string("completed");
   }
 };
 
 void tell(const char* who, const ledger::Used& u, int counted) {
-  std::printf("%s: counted %d, billed %lld, repeats %lld, rejected %lld, aborted %lld\n", who, counted,
-              static_cast<long long>(u.statements), static_cast<long long>(u.repeats), static_cast<long long>(u.rejected),
-              static_cast<long long>(u.aborted));
+  std::printf("%s: counted %d, billed %lld, repeats %lld, rejected %lld, aborted %lld\n", who,
+              counted, static_cast<long long>(u.statements), static_cast<long long>(u.repeats),
+              static_cast<long long>(u.rejected), static_cast<long long>(u.aborted));
 }
 
 void bills() {
@@ -111,7 +113,8 @@
   tell("coop", place.used("coop"), counted);
 }
 
-// A ledger that can't be believed: served on and counted as lost, or refused, as the operators chose.
+// A ledger that can't be believed: served on and counted as lost, or refused, as the operators
+// chose.
 void closed() {
   for (const char* choice : {"", "  when_behind = \"refuse\"\n"}) {
     Place place;
@@ -124,24 +127,35 @@
       d.exits();
     }
     {
-      std::fstream log(place.path + "/ledger/ledger-00000001.log", std::ios::in | std::ios::out | std::ios::binary);
-      // Danger: a fixed byte in the place of one that is drawn anew in each run is no damage now and then.
+      std::fstream log(place.path + "/ledger/ledger-00000001.log",
+                       std::ios::in | std::ios::out | std::ios::binary);
+      // Danger: a fixed byte in the place of one that is drawn anew in each run is no damage now
+      // and then.
       log.seekg(150);
       char was = static_cast<char>(log.get());
       log.seekp(150);
       log.put(static_cast<char>(~was));
     }
     Drive d(3, 256, "automatic", "", false, 64, "15000000", place.door(choice));
-    d.until("the ledger is closed", [&] { return d.logged("ledger state=closed what=\"damaged bytes in ledger-00000001.log"); });
+    d.until("the ledger is closed", [&] {
+      return d.logged("ledger state=closed what=\"damaged bytes in ledger-00000001.log");
+    });
     Postgres c(d);
     bool completed = c.ask("coop", "a");
-    std::printf("%s: a read is %s\n", *choice ? "refuse" : "serve", completed ? "completed" : "not completed");
-    if (!*choice) std::printf("told as lost: %s\n", d.until("lost", [&] { return d.logged("ledger_lost entries=1"); }) ? "yes" : "no");
+    std::printf("%s: a read is %s\n", *choice ? "refuse" : "serve",
+                completed ? "completed" : "not completed");
+    if (!*choice)
+      std::printf(
+          "told as lost: %s\n",
+          d.until("lost", [&] { return d.logged("ledger_lost entries=1"); }) ? "yes" : "no");
   }
 }
 
-constexpr Case kCases[] = {{"ledgerBills", bills}, {"ledgerKilled", killed}, {"ledgerClosed", closed}};
+constexpr Case kCases[] = {
+    {"ledgerBills", bills}, {"ledgerKilled", killed}, {"ledgerClosed", closed}};
 
 }  // namespace
 
-int main(int argc, char** argv) { return test::runOnFront(kCases, argc, argv); }
+int main(int argc, char** argv) {
+  return test::runOnFront(kCases, argc, argv);
+}
--- a/tests/machine.cpp
+++ b/tests/machine.cpp
@@ -1,6 +1,6 @@
-// A front on a machine that changes under it: the wall clock is set ahead and back, while the front stands
-// still, so that it finds the step together with what came meanwhile; a system call is refused.
-// tests/soak/faulty_machine.cpp does it.
+// A front on a machine that changes under it: the wall clock is set ahead and back, while the front
+// stands still, so that it finds the step together with what came meanwhile; a system call is
+// refused. tests/soak/faulty_machine.cpp does it.
 #include <cerrno>
 #include <csignal>
 #include <cstdio>
@@ -74,7 +74,8 @@
   s.stepIsLogged();
 }
 
-// Set back by a minute under one that is never answered: its time ends all the same, and timers go on.
+// Set back by a minute under one that is never answered: its time ends all the same, and timers go
+// on.
 void clockBack() {
   Stage s(kMinute);
   s.d.toy.kill(0), s.d.toy.revive(0);  // a minute ago, by the front's clock
@@ -88,15 +89,16 @@
   std::printf("a read that nobody answers: %s; within its time: %s\n", got.c_str(),
               yes(s.d.s.now() - asked < Duration{600'000}));
   s.asks("the next one", Client::write("a"));
-  // The list says once more when the stores started; by the clock as it is now that was a moment ago.
+  // The list says once more when the stores started; by the clock as it is now that was a moment
+  // ago.
   s.d.toy.setState(0, "up"), s.d.toy.setState(1, "draining");
   s.d.until("the list is told", [&] { return s.d.logged("state=draining"); });
   s.asks("after a list", Client::write("a", 300));
   s.stepIsLogged();
 }
 
-// A replica that was found fresh by the clock as it was isn't any more once it is set ahead, nor for a read
-// that waits for its connection.
+// A replica that was found fresh by the clock as it was isn't any more once it is set ahead, nor
+// for a read that waits for its connection.
 void clockStale() {
   auto near = [] { return Client::read("b", 3000, "near"); };
   Stage s;
@@ -119,8 +121,8 @@
   });
 }
 
-// A session's last commit that was noted while the clock was ahead is no older for that, once it is set
-// right.
+// A session's last commit that was noted while the clock was ahead is no older for that, once it is
+// set right.
 void clockSessions() {
   edits = {{"\"eventual\"", "\"causal\""},
            {"\"lag_allowed\":[0,20000000", "\"lag_allowed\":[0,6000000"},
@@ -158,4 +160,6 @@
 }  // namespace
 
 // machine PROGRAM LIBRARY CASE
-int main(int argc, char** argv) { return test::runOnFaultyFront(kCases, argc, argv); }
+int main(int argc, char** argv) {
+  return test::runOnFaultyFront(kCases, argc, argv);
+}
--- a/tests/membership.cpp
+++ b/tests/membership.cpp
@@ -1,5 +1,5 @@
-// Who is alive, by the very modules that the front runs, on a network of the test's own: loss, delay, doubling, cuts,
-// pauses, restarts. No socket, no clock.
+// Who is alive, by the very modules that the front runs, on a network of the test's own: loss,
+// delay, doubling, cuts, pauses, restarts. No socket, no clock.
 #include <algorithm>
 #include <cstdio>
 #include <cstring>
@@ -17,7 +17,9 @@
 
 namespace {
 
-std::string nameFor(int k) { return "f" + std::to_string(k); }
+std::string nameFor(int k) {
+  return "f" + std::to_string(k);
+}
 
 // A fleet in three zones that knows itself.
 struct Fleet : Net {
@@ -66,7 +68,8 @@
   if (periods < 0)
     std::snprintf(text, sizeof text, "never");
   else
-    std::snprintf(text, sizeof text, periods <= bound ? "within %d periods" : "later than %d periods", bound);
+    std::snprintf(text, sizeof text,
+                  periods <= bound ? "within %d periods" : "later than %d periods", bound);
   return text;
 }
 
@@ -92,7 +95,8 @@
     int first = f.until([&] { return f.hold(4, State::dead) > 0; });
     int all = first + f.until([&] { return f.hold(4, State::dead) == f.running(); });
     std::printf("%d fronts, one is killed: the first gives it up %s,", n, within(first, 30));
-    std::printf(" all %s; live for all: %s\n", within(all, 40), f.count(static_cast<std::size_t>(n) - 1) == n - 1 ? "one less" : "?");
+    std::printf(" all %s; live for all: %s\n", within(all, 40),
+                f.count(static_cast<std::size_t>(n) - 1) == n - 1 ? "one less" : "?");
   }
   Fleet f(30);
   for (int k = 0; k < 10; ++k) f.kill(3 * k);  // a zone
@@ -112,12 +116,15 @@
   std::printf("paused for thirty periods: %d of 29 have given it up\n", f.hold(7, State::dead));
   f.resume(7);
   f.pass(ms(10));
-  std::printf("it wakes and doubts itself: %s\n", f.at(7).members().doubtsItself(f.now) ? "yes" : "no");
+  std::printf("it wakes and doubts itself: %s\n",
+              f.at(7).members().doubtsItself(f.now) ? "yes" : "no");
   int took = f.until([&] { return f.hold(7, State::alive) == 29; });
   int wrong = f.heldDeadBut(7);
-  std::printf("all hold it alive again %s; others given up by it or through it: %d\n", within(took, 60), wrong);
+  std::printf("all hold it alive again %s; others given up by it or through it: %d\n",
+              within(took, 60), wrong);
   f.pass(ms(10'000));
-  std::printf("later it believes in itself again: %s\n", f.at(7).members().doubtsItself(f.now) ? "no" : "yes");
+  std::printf("later it believes in itself again: %s\n",
+              f.at(7).members().doubtsItself(f.now) ? "no" : "yes");
 }
 
 // Slow for long, not dead: each of its rounds comes late.
@@ -148,9 +155,12 @@
     f.kill(4);
     int took = f.until([&] { return f.hold(4, State::dead) == 29; });
     std::fprintf(stderr, "given up wrongly: %.4f of all views\n", dead / (100.0 * 30 * 29));
-    std::printf("a third lost, a third doubled, some late, for a minute: one view in fifty, or fewer, gave up one that lives: %s;",
-                dead * 50 <= 100 * 30 * 29 ? "yes" : "no");
-    std::printf(" then all count all %s; one killed, the losses back: all know it %s\n", within(back, 60), within(took, 60));
+    std::printf(
+        "a third lost, a third doubled, some late, for a minute: one view in fifty, or fewer, gave "
+        "up one that lives: %s;",
+        dead * 50 <= 100 * 30 * 29 ? "yes" : "no");
+    std::printf(" then all count all %s; one killed, the losses back: all know it %s\n",
+                within(back, 60), within(took, 60));
   }
 }
 
@@ -164,8 +174,8 @@
   std::printf("the cut ends: all count all %s\n", within(took, 120));
   f.cut = [](int a, int) { return a == 5; };
   f.pass(ms(15'000));
-  std::printf("one whose words are lost, and who hears all: given up by %d, it doubts itself: %s\n", f.hold(5, State::dead),
-              f.at(5).members().doubtsItself(f.now) ? "yes" : "no");
+  std::printf("one whose words are lost, and who hears all: given up by %d, it doubts itself: %s\n",
+              f.hold(5, State::dead), f.at(5).members().doubtsItself(f.now) ? "yes" : "no");
   std::printf("others given up through it: %d\n", f.heldDeadBut(5));
 }
 
@@ -183,7 +193,8 @@
     }
     return n == 9;
   });
-  std::printf("killed and started again under its name: all hold the new life %s\n", within(took, 30));
+  std::printf("killed and started again under its name: all hold the new life %s\n",
+              within(took, 30));
   // Its clock has gone back: the life that it chooses first is an old one.
   f.kill(2);
   TimePoint now = f.now;
@@ -197,7 +208,8 @@
   int twin = f.add("f2", "c");
   f.start(twin, {0, 1});
   took = f.until([&] { return f.at(2).members().usurped() || f.at(twin).members().usurped(); });
-  std::printf("a second process of that name: one of them yields %s\n", took < 0 ? "never" : "in the end");
+  std::printf("a second process of that name: one of them yields %s\n",
+              took < 0 ? "never" : "in the end");
 }
 
 // What must change nothing: each is counted, and that is all.
@@ -208,12 +220,13 @@
     const auto& t = c.counters();
     const auto& d = c.members().dropped();
     char text[200];
-    std::snprintf(text, sizeof text,
-                  "size %d version %d key %d form %d; fleet %d life %d again %d for another %d own name %d",
-                  static_cast<int>(t.bad[1]), static_cast<int>(t.bad[2]), static_cast<int>(t.bad[3]),
-                  static_cast<int>(t.bad[4]), static_cast<int>(d.otherFleet),
-                  static_cast<int>(d.oldGeneration), static_cast<int>(d.replayed),
-                  static_cast<int>(d.misdirected), static_cast<int>(d.ownName));
+    std::snprintf(
+        text, sizeof text,
+        "size %d version %d key %d form %d; fleet %d life %d again %d for another %d own name %d",
+        static_cast<int>(t.bad[1]), static_cast<int>(t.bad[2]), static_cast<int>(t.bad[3]),
+        static_cast<int>(t.bad[4]), static_cast<int>(d.otherFleet),
+        static_cast<int>(d.oldGeneration), static_cast<int>(d.replayed),
+        static_cast<int>(d.misdirected), static_cast<int>(d.ownName));
     return std::string(text);
   };
   Keys key{"0123456789abcdef0123456789abcdef"};
@@ -231,9 +244,17 @@
   give("another key", *toDatagram(p, {"another key of thirty-two bytes."}));
   give("cut", good.substr(0, 40));
   give("nothing", "");
-  give("one bit turned", [&] { std::string s = good; s[60] = static_cast<char>(s[60] ^ 1); return s; }());
+  give("one bit turned", [&] {
+    std::string s = good;
+    s[60] = static_cast<char>(s[60] ^ 1);
+    return s;
+  }());
   give("no protobuf, rightly signed", seal(1, "\xff\xff\xff\xff", key));
-  give("of a later version", [&] { std::string s = good; s[0] = 9; return s; }());
+  give("of a later version", [&] {
+    std::string s = good;
+    s[0] = 9;
+    return s;
+  }());
   Packet q = p;
   q.fleet = "g";
   give("another fleet", *toDatagram(q, key));
@@ -269,14 +290,16 @@
   all("the old one is gone");
   f.kill(2), f.start(2, {0, 1}, "f", {old});
   f.pass(ms(12'000));
-  std::printf("one that still has only the old one: it counts %d\n", static_cast<int>(f.at(2).members().live()));
+  std::printf("one that still has only the old one: it counts %d\n",
+              static_cast<int>(f.at(2).members().live()));
 }
 
 void fleetsApart() {
   Fleet f(12, 1, false);
   for (int k = 0; k < 12; ++k) f.start(k, {0, 1, 2, 3}, k % 2 ? "odd" : "even");
   f.pass(ms(20'000));
-  std::printf("two fleets of six on one network, the same key and addresses: %d of 12 count six\n", f.count(6));
+  std::printf("two fleets of six on one network, the same key and addresses: %d of 12 count six\n",
+              f.count(6));
 }
 
 // What a front sends and holds must not grow with the fleet.
@@ -293,22 +316,32 @@
     std::size_t notes = 0;
     for (auto& h : f.hosts) packets += h.packets, bytes += h.bytes;
     for (int k = 0; k < n; ++k) notes = std::max(notes, f.at(k).notes().on(0, f.now).size());
-    double rate = static_cast<double>(bytes) / n / 20, packetsASecond = static_cast<double>(packets) / n / 20;
+    double rate = static_cast<double>(bytes) / n / 20,
+           packetsASecond = static_cast<double>(packets) / n / 20;
     if (base == 0) base = rate;
-    std::fprintf(stderr, "%d fronts: %.1f packets and %.0f bytes a second and front, at most %d notes held, %d know all\n", n,
-                 packetsASecond, rate, static_cast<int>(notes), f.count(static_cast<std::size_t>(n)));
-    std::printf("%d fronts: bytes at most three times those of ten: %s; notes held at most 64: %s; all know all: %s\n", n,
-                rate <= base * 3 ? "yes" : "no", notes <= 64 ? "yes" : "no",
-                f.count(static_cast<std::size_t>(n)) == n ? "yes" : "no");
+    std::fprintf(stderr,
+                 "%d fronts: %.1f packets and %.0f bytes a second and front, at most %d notes "
+                 "held, %d know all\n",
+                 n, packetsASecond, rate, static_cast<int>(notes),
+                 f.count(static_cast<std::size_t>(n)));
+    std::printf(
+        "%d fronts: bytes at most three times those of ten: %s; notes held at most 64: %s; all "
+        "know all: %s\n",
+        n, rate <= base * 3 ? "yes" : "no", notes <= 64 ? "yes" : "no",
+        f.count(static_cast<std::size_t>(n)) == n ? "yes" : "no");
   }
 }
 
-void flat() { flatAt({10, 30, 100}, 20'000); }
+void flat() {
+  flatAt({10, 30, 100}, 20'000);
+}
 // By hand: minutes.
-void flatBig() { flatAt({10, 1024}, 120'000); }
+void flatBig() {
+  flatAt({10, 1024}, 120'000);
+}
 
-// As many as there may be, who know each other from before: a start together is a million entries, one by one, and
-// takes minutes here (membersFlatBig).
+// As many as there may be, who know each other from before: a start together is a million entries,
+// one by one, and takes minutes here (membersFlatBig).
 void thousand() {
   constexpr int n = 1024;
   Fleet f(n, 9, false);
@@ -326,16 +359,19 @@
   f.leave(5);
   int took = f.until([&] { return f.hold(5, State::left) * 10 >= 9 * f.running(); }, 40);
   std::fprintf(stderr, "%d periods\n", took);
-  std::printf("one says that it goes: nine in ten know it %s, none has lost another: %s\n", within(took, 20),
-              f.count(n) + f.count(n - 1) == f.running() ? "yes" : "no");
+  std::printf("one says that it goes: nine in ten know it %s, none has lost another: %s\n",
+              within(took, 20), f.count(n) + f.count(n - 1) == f.running() ? "yes" : "no");
 }
 
-const Case kCases[] = {{"membersJoin", joins}, {"membersDie", dies},       {"membersWake", wakes},
-                       {"membersStarved", starved}, {"membersLoss", loss},   {"membersParted", parted},
-                       {"membersLives", lives}, {"membersDropped", dropped}, {"membersKeys", keys},
-                       {"membersFleets", fleetsApart}, {"membersFlat", flat},
-                       {"membersThousand", thousand}, {"membersFlatBig", flatBig}};
+const Case kCases[] = {
+    {"membersJoin", joins},         {"membersDie", dies},        {"membersWake", wakes},
+    {"membersStarved", starved},    {"membersLoss", loss},       {"membersParted", parted},
+    {"membersLives", lives},        {"membersDropped", dropped}, {"membersKeys", keys},
+    {"membersFleets", fleetsApart}, {"membersFlat", flat},       {"membersThousand", thousand},
+    {"membersFlatBig", flatBig}};
 
 }  // namespace
 
-int main(int argc, char** argv) { return runCase(kCases, argc, argv); }
+int main(int argc, char** argv) {
+  return runCase(kCases, argc, argv);
+}
