--- a/tests/parsers.cpp
+++ b/tests/parsers.cpp
@@ -7,10 +7,10 @@
 
 #include "codec/http/response.h"
 #include "codec/json/json.h"
-#include "discovery/endpoint_watcher.h"
-#include "request/store_report.h"
 #include "codec/pg/messages.h"
 #include "codec/pg/statement.h"
+#include "discovery/endpoint_watcher.h"
+#include "request/store_report.h"
 #include "trace.h"
 
 using namespace reedchute;
@@ -35,7 +35,8 @@
       for (const json::Value& item : v.items) s += (s.empty() ? "" : " ") + shown(item);
       return "[" + s + "]";
     default:
-      for (const auto& [name, member] : v.members) s += (s.empty() ? "" : " ") + name + ":" + shown(member);
+      for (const auto& [name, member] : v.members)
+        s += (s.empty() ? "" : " ") + name + ":" + shown(member);
       return "{" + s + "}";
   }
 }
@@ -63,29 +64,30 @@
 }
 
 void jsonReader() {
-  for (const char* text : {R"({"a":[1,-2.5e3,true,false,null,"x\n\"\u00e4\ud83d\ude00"],"b":{}, "c":[] })",
-                           " 12 ",
-                           "\"\"",
-                           "[[[]]]",
-                           "",
-                           "{",
-                           "[1,]",
-                           "{\"a\"}",
-                           "{\"a\":1,}",
-                           "01",
-                           "1.",
-                           "-",
-                           "1e",
-                           "nul",
-                           "nulls",
-                           "\"\\q\"",
-                           "\"\\u12g4\"",
-                           "\"\\ud800\"",
-                           "\"\x01\"",
-                           "1 2",
-                           "{} x",
-                           "]",
-                           "1e999"}) {
+  for (const char* text :
+       {R"({"a":[1,-2.5e3,true,false,null,"x\n\"\u00e4\ud83d\ude00"],"b":{}, "c":[] })",
+        " 12 ",
+        "\"\"",
+        "[[[]]]",
+        "",
+        "{",
+        "[1,]",
+        "{\"a\"}",
+        "{\"a\":1,}",
+        "01",
+        "1.",
+        "-",
+        "1e",
+        "nul",
+        "nulls",
+        "\"\\q\"",
+        "\"\\u12g4\"",
+        "\"\\ud800\"",
+        "\"\x01\"",
+        "1 2",
+        "{} x",
+        "]",
+        "1e999"}) {
     std::printf("%-72s ", text[0] == '"' && text[1] == '\x01' ? "(control character)" : text);
     everySplit(text, readJson);
   }
@@ -105,10 +107,12 @@
 
 void httpReader() {
   const std::pair<const char*, std::string> cases[] = {
-      {"by length, with the next behind it", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhelloHTTP/1.1"},
+      {"by length, with the next behind it",
+       "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhelloHTTP/1.1"},
       {"no body", "HTTP/1.1 204 No Content\r\n\r\n"},
       {"chunked",
-       "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2;x=y\r\nde\r\n0\r\nT: x\r\n\r\n"},
+       "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2;x=y\r\nde\r\n0\r\nT: "
+       "x\r\n\r\n"},
       {"to the end of the connection", "HTTP/1.0 200 OK\r\n\r\nall of it"},
       {"an interim response first",
        "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx"},
@@ -122,7 +126,8 @@
        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nab\r\n0\r\n\r\n"},
       {"another protocol", "SSH-2.0-x\r\n\r\n"},
       {"a header without a colon", "HTTP/1.1 200 OK\r\nnonsense\r\n\r\n"},
-      {"a body above the limit", "HTTP/1.1 200 OK\r\nContent-Length: 65\r\n\r\n" + std::string(65, 'x')},
+      {"a body above the limit",
+       "HTTP/1.1 200 OK\r\nContent-Length: 65\r\n\r\n" + std::string(65, 'x')},
       {"a head above the limit", "HTTP/1.1 200 OK\r\nX: " + std::string(20000, 'x') + "\r\n\r\n"},
   };
   for (const auto& [name, text] : cases) {
@@ -133,7 +138,8 @@
       std::printf("%s\n", readHttp({text}).c_str());
   }
   std::printf("%-36s ", "without a length, and then reset");
-  everySplit("HTTP/1.0 200 OK\r\n\r\nall of it", [](const std::vector<std::string>& parts) { return readHttp(parts, true); });
+  everySplit("HTTP/1.0 200 OK\r\n\r\nall of it",
+             [](const std::vector<std::string>& parts) { return readHttp(parts, true); });
   std::string interim;
   for (int k = 0; k < 9; ++k) interim += "HTTP/1.1 100 Continue\r\n\r\n";
   std::printf("%-36s ", "interim responses without end");
@@ -172,7 +178,8 @@
               static_cast<int>(pg::frameStartup(std::string("\0\0\0\7", 4), 100, code, size)));
   std::string error = pg::error(true, "53300", "no", "250");
   std::string_view payload = std::string_view(error).substr(5);
-  std::printf("code %s, text %s, detail %s, hint '%s'\n", std::string(pg::errorField(payload, 'C')).c_str(),
+  std::printf("code %s, text %s, detail %s, hint '%s'\n",
+              std::string(pg::errorField(payload, 'C')).c_str(),
               std::string(pg::errorField(payload, 'M')).c_str(),
               std::string(pg::errorField(payload, 'D')).c_str(),
               std::string(pg::errorField(payload, 'H')).c_str());
@@ -193,7 +200,8 @@
     for (std::size_t n = 1; n <= bytes.size(); ++n) {
       std::string_view some = std::string_view(bytes).substr(0, n);
       pg::Message m;
-      if (!pg::storeMessageMayFollow(some, 1000)) return std::printf("%s: known at byte %zu\n", name, n);
+      if (!pg::storeMessageMayFollow(some, 1000))
+        return std::printf("%s: known at byte %zu\n", name, n);
       if (pg::frame(some, 1000, m) == pg::Framed::whole)
         return std::printf("%s: %s when whole\n", name, pg::wellFormed(m) ? "sound" : "known");
     }
@@ -218,19 +226,24 @@
   tell("an error without a code", pg::message('E', std::string("Mno\0\0", 5)));
   tell("a parameter", pg::parameter("usage", "x0=1"));
   tell("a parameter without a value", pg::message('S', std::string("usage\0", 6)));
-  for (const char* text : {"x0=5,x1=1", "x0=nan,x1=1", "x0=inf", "x0=-3,x1=0", "x0=1e300", "x0=11,x1=1", "noise", "x0=,=5,,"}) {
+  for (const char* text : {"x0=5,x1=1", "x0=nan,x1=1", "x0=inf", "x0=-3,x1=0", "x0=1e300",
+                           "x0=11,x1=1", "noise", "x0=,=5,,"}) {
     request::StoreReport r = request::readReport(text, WallTime{10'000'000});
     std::printf("report '%s': position %lld, primary %d\n", text,
-                r.position ? static_cast<long long>(r.position->us / 1000) : -1LL, r.primary ? *r.primary : -1);
+                r.position ? static_cast<long long>(r.position->us / 1000) : -1LL,
+                r.primary ? *r.primary : -1);
   }
 }
 
 void statements() {
   const char* texts[] = {
-      "SELECT payload FROM entries WHERE ref = '7f' /* id=9b,c=basket,d=480,cluster=2,after=1767225600123 */",
-      "/* cluster = 2 , d=480, c=basket,id=9b,r=1 */ SELECT payload FROM entries WHERE ref = 'a /* d=9 */ "
+      "SELECT payload FROM entries WHERE ref = '7f' /* "
+      "id=9b,c=basket,d=480,cluster=2,after=1767225600123 */",
+      "/* cluster = 2 , d=480, c=basket,id=9b,r=1 */ SELECT payload FROM entries WHERE ref = 'a /* "
+      "d=9 */ "
       "''b';",
-      "INSERT INTO entries VALUES ('7f', '\\x9f') /* id=9b,c=order,d=1,k=5c,cluster=-2,new=x */ -- d=7",
+      "INSERT INTO entries VALUES ('7f', '\\x9f') /* id=9b,c=order,d=1,k=5c,cluster=-2,new=x */ -- "
+      "d=7",
       "",
       " ;; ",
       "/* nothing */",
@@ -248,9 +261,10 @@
     pg::Read read = pg::readStatement(text, f);
     std::printf("%d %s\n", static_cast<int>(read), text);
     if (read != pg::Read::good) continue;
-    std::printf("  id=%s c=%s d=%lld cluster=%lld key=%s k=%s after=%lld r=%d\n", std::string(f.id).c_str(),
-                std::string(f.workload).c_str(), static_cast<long long>(*f.waitMs),
-                static_cast<long long>(*f.group), std::string(f.key).c_str(), std::string(f.mark).c_str(),
+    std::printf("  id=%s c=%s d=%lld cluster=%lld key=%s k=%s after=%lld r=%d\n",
+                std::string(f.id).c_str(), std::string(f.workload).c_str(),
+                static_cast<long long>(*f.waitMs), static_cast<long long>(*f.group),
+                std::string(f.key).c_str(), std::string(f.mark).c_str(),
                 static_cast<long long>(f.afterMs.value_or(0)), f.repeated);
     std::printf("  %s\n", pg::withWait(text, f.waitAt, f.waitSize, 7).c_str());
   }
@@ -267,23 +281,26 @@
     return list(s.replace(s.find(from), std::strlen(from), to));
   };
   for (const std::string& text :
-       {list(good), list(" \n\t" + good + "\r\n  "), list(""), list(good + "," + good), with("\"up\"", "\"asleep\""),
-        with("10.1.0.1:1", "10.1.0.1"), with("10.1.0.1:1", "10.1.0.1:0"), with("10.1.0.1:1", "host:1"),
-        with("\"id\":\"a\",", ""), with("\"cell\":3,", ""), with("\"cell\":3", "\"cell\":\"3\""),
-        std::string("[]"), std::string("{\"version\":1,\"full\":true}"),
+       {list(good), list(" \n\t" + good + "\r\n  "), list(""), list(good + "," + good),
+        with("\"up\"", "\"asleep\""), with("10.1.0.1:1", "10.1.0.1"),
+        with("10.1.0.1:1", "10.1.0.1:0"), with("10.1.0.1:1", "host:1"), with("\"id\":\"a\",", ""),
+        with("\"cell\":3,", ""), with("\"cell\":3", "\"cell\":\"3\""), std::string("[]"),
+        std::string("{\"version\":1,\"full\":true}"),
         std::string("{\"version\":\"1\",\"full\":true,\"servers\":[]}")}) {
     json::Value v;
     std::string why;
     discovery::EndpointList r;
     bool read = json::parse(text, v, why) && discovery::parseEndpointList(v, r, why);
     if (read)
-      std::printf("version %lld, %zu entries\n", static_cast<long long>(r.version), r.members.size());
+      std::printf("version %lld, %zu entries\n", static_cast<long long>(r.version),
+                  r.members.size());
     else
       std::printf("bad: %s\n", why.c_str());
   }
 }
 
-// Input damaged at random, always in the same way: nothing is said but that every reader came to an end.
+// Input damaged at random, always in the same way: nothing is said but that every reader came to an
+// end.
 void damaged() {
   std::ranlux24_base chance(7);
   std::string json =
@@ -314,10 +331,16 @@
   std::printf("some were found bad: %s\n", bad > 0 ? "yes" : "no");
 }
 
-const Case kCases[] = {{"json", jsonReader},       {"http", httpReader}, {"messages", messages},
-                       {"statements", statements}, {"rosters", rosters}, {"damaged", damaged},
+const Case kCases[] = {{"json", jsonReader},
+                       {"http", httpReader},
+                       {"messages", messages},
+                       {"statements", statements},
+                       {"rosters", rosters},
+                       {"damaged", damaged},
                        {"spoiltMessages", spoiltMessages}};
 
 }  // namespace
 
-int main(int argc, char** argv) { return runCase(kCases, argc, argv); }
+int main(int argc, char** argv) {
+  return runCase(kCases, argc, argv);
+}
--- a/tests/pg_client.h
+++ b/tests/pg_client.h
@@ -11,8 +11,8 @@
 #include <string_view>
 #include <utility>
 
-#include "drive.h"
 #include "codec/pg/messages.h"
+#include "drive.h"
 
 namespace reedchute::test {
 
@@ -46,7 +46,8 @@
 // What became of a statement, by the words of its answer.
 inline const char* outcomeOf(const std::string& words) {
   auto has = [&](const char* word) { return words.find(word) != std::string::npos; };
-  if (has("ERROR") || has("FATAL")) return has(" 53300") ? "rejected" : has(" 57014") ? "aborted" : "invalid";
+  if (has("ERROR") || has("FATAL"))
+    return has(" 53300") ? "rejected" : has(" 57014") ? "aborted" : "invalid";
   return has("row") ? "completed" : "closed";
 }
 
@@ -82,7 +83,8 @@
     return "SELECT payload FROM entries WHERE ref = '" + key + "' /* id=" + std::to_string(++ids) +
            ",c=" + workload + ",cluster=7,d=" + std::to_string(wait) + " */";
   }
-  static std::string write(const std::string& key, int wait = 3000, const char* workload = "write") {
+  static std::string write(const std::string& key, int wait = 3000,
+                           const char* workload = "write") {
     return "INSERT INTO entries (ref, payload) VALUES ('" + key +
            "', '\\x9f') RETURNING payload /* id=" + std::to_string(++ids) + ",c=" + workload +
            ",k=5c,cluster=7,d=" + std::to_string(wait) + " */";
@@ -111,8 +113,8 @@
   static inline int ids = 0;
 };
 
-// Waits until what was sent to the front stands there for it to see. The kernel's table may leave out a line
-// while others come and go: what is not there has to be so three times in a row.
+// Waits until what was sent to the front stands there for it to see. The kernel's table may leave
+// out a line while others come and go: what is not there has to be so three times in a row.
 inline void comes(Drive& d, const std::function<bool()>& so) {
   int times = 0;
   d.until("it has come", [&] { return (times = so() ? times + 1 : 0) == 3; });
@@ -128,8 +130,8 @@
  public:
   Seen(
       Drive& d, std::string key, std::function<void()> then = [] {}) {
-    d.toy.seen = [this, &d, before = d.toy.seen, key = "'" + key + "'", then](int store,
-                                                                              const std::string& text) {
+    d.toy.seen = [this, &d, before = d.toy.seen, key = "'" + key + "'", then](
+                     int store, const std::string& text) {
       before(store, text);
       if (text.find(key) != std::string::npos) ++times, then();
     };
--- a/tests/pipeline.cpp
+++ b/tests/pipeline.cpp
@@ -1,13 +1,13 @@
-// Statements that stand behind others on one connection: whose time runs from when they came, which go side
-// by side, and in which order they are answered. The front is a process of its own.
+// Statements that stand behind others on one connection: whose time runs from when they came, which
+// go side by side, and in which order they are answered. The front is a process of its own.
 #include <cstdio>
 #include <cstdlib>
 #include <memory>
 #include <string>
 #include <vector>
 
-#include "cql_client.h"
 #include "client/arrival_times.h"
+#include "cql_client.h"
 #include "pg_client.h"
 #include "trace.h"
 
@@ -38,8 +38,8 @@
               late ? "some too late" : "none too late", at(100'000) >= 98'000 ? "yes" : "no");
 }
 
-// The time of one that stands behind another runs all the same: it is rejected once it has its turn, and
-// never sent.
+// The time of one that stands behind another runs all the same: it is rejected once it has its
+// turn, and never sent.
 void behindTime() {
   Drive d(1);
   Client c(d);
@@ -47,7 +47,8 @@
   c.send(pg::query(Client::write("slow700", 5000)) + pg::query(Client::read("b", 400)) +
          pg::query(Client::read("c", 5000)));
   std::string got = c.get(3);
-  std::printf("behind a write of 700 ms, for 400 ms and 5 s: %s; %d sent\n", got.c_str(), d.sent - before);
+  std::printf("behind a write of 700 ms, for 400 ms and 5 s: %s; %d sent\n", got.c_str(),
+              d.sent - before);
   // In pieces: what counts is the last of them.
   std::string late = pg::query(Client::read("d", 800));
   before = d.sent;
@@ -55,7 +56,8 @@
   d.pass(400);
   c.send(late.substr(20));
   got = c.get(2);
-  std::printf("its last piece came 400 ms later, for 800 ms: %s; %d sent\n", got.c_str(), d.sent - before);
+  std::printf("its last piece came 400 ms later, for 800 ms: %s; %d sent\n", got.c_str(),
+              d.sent - before);
 }
 
 // More stands ahead than is read of it: what is read late counts from when it may have come.
@@ -85,7 +87,8 @@
   std::printf("before the first is answered: %zu bytes came\n", c.in.size());
   std::printf("then: %s\n", c.get(4).c_str());
   before = d.sent;
-  c.send(pg::query(Client::read("slow300")) + pg::query(Client::write("e")) + pg::query(Client::read("f")));
+  c.send(pg::query(Client::read("slow300")) + pg::query(Client::write("e")) +
+         pg::query(Client::read("f")));
   d.until("the read is sent", [&] { return d.sent > before; });
   d.pass(100);
   std::printf("a write behind a slow read: %d sent so far\n", d.sent - before);
@@ -137,8 +140,8 @@
   c.query(test::selectOf("b"), {.waitMs = 400}, 2);
   c.query(test::selectOf("c"), {.waitMs = 5000}, 3);
   std::string first = c.answer(1), second = c.answer(2), third = c.answer(3);
-  std::printf("one stream, 700 ms; behind it for 400 ms and 5 s: %s, %s, %s; %d sent\n", first.c_str(),
-              second.c_str(), third.c_str(), d.sent - before);
+  std::printf("one stream, 700 ms; behind it for 400 ms and 5 s: %s, %s, %s; %d sent\n",
+              first.c_str(), second.c_str(), third.c_str(), d.sent - before);
 }
 
 // What a store is told is left counts from the write, not from before its connection came up.
@@ -149,21 +152,26 @@
   c.ask(Client::read("a"));
   d.holdBack(0);
   long told = -1;
-  d.toy.seen = [&](int, const std::string& text) { told = std::atol(text.c_str() + text.find(",d=") + 3); };
+  d.toy.seen = [&](int, const std::string& text) {
+    told = std::atol(text.c_str() + text.find(",d=") + 3);
+  };
   c.send(pg::query(Client::write("b", 3000)));
   d.until("the connection is dialled", [&] { return d.toy.holdsBack(0); });
   d.pass(600);
   d.toy.hold(0, false);
   std::string got = c.get();
-  std::printf("of 3 s, its connection up after 0.6: %s; told no more than is left: %s\n", got.c_str(),
-              told > 0 && told <= 2400 ? "yes" : "no");
+  std::printf("of 3 s, its connection up after 0.6: %s; told no more than is left: %s\n",
+              got.c_str(), told > 0 && told <= 2400 ? "yes" : "no");
 }
 
 constexpr Case kCases[] = {{"arrivals", arrivals},         {"behindTime", behindTime},
                            {"behindMuch", behindMuch},     {"sideBySide", sideBySide},
-                           {"aheadBounded", aheadBounded}, {"streamsFull", streamsFull}, {"toldLeft", toldLeft}};
+                           {"aheadBounded", aheadBounded}, {"streamsFull", streamsFull},
+                           {"toldLeft", toldLeft}};
 
 }  // namespace
 
 // pipeline PROGRAM CASE
-int main(int argc, char** argv) { return test::runOnFront(kCases, argc, argv); }
+int main(int argc, char** argv) {
+  return test::runOnFront(kCases, argc, argv);
+}
--- a/tests/races.cpp
+++ b/tests/races.cpp
@@ -1,6 +1,6 @@
-// Bad orders of events, made to happen each time on real connections: the front is stopped, both events are
-// sent to it, and it goes on; or a peer acts on what it has seen. docs/races.md names each pair. Nothing here
-// waits for a time to pass but where the time is what is tested.
+// Bad orders of events, made to happen each time on real connections: the front is stopped, both
+// events are sent to it, and it goes on; or a peer acts on what it has seen. docs/races.md names
+// each pair. Nothing here waits for a time to pass but where the time is what is tested.
 #include <csignal>
 #include <cstdio>
 #include <functional>
@@ -15,11 +15,11 @@
 using test::Client;
 using test::comes;
 using test::Drive;
+using test::edits;
+using test::ms;
 using test::Seen;
 using test::seen;
 using test::yes;
-using test::edits;
-using test::ms;
 
 namespace {
 
@@ -48,10 +48,13 @@
     d.stop();
     leaves.send(pg::query(Client::read("b")));
     resets ? leaves.reset() : leaves.socket->close();
-    comes(d, [&] { return resets ? d.faced(d.port, true).open == 1 : d.faced(d.port, true).ended > 0; });
+    comes(d, [&] {
+      return resets ? d.faced(d.port, true).open == 1 : d.faced(d.port, true).ended > 0;
+    });
     d.goOn();
     d.c.ask(Client::read("c"));
-    std::printf("one that asks and %s at once: %d sent of it\n", resets ? "resets" : "closes", its.times);
+    std::printf("one that asks and %s at once: %d sent of it\n", resets ? "resets" : "closes",
+                its.times);
   }
 }
 
@@ -100,7 +103,8 @@
   d.goOn();
   d.until("another's is completed",
           [&] { return other.ask(Client::read("c")).find("row") != std::string::npos; });
-  std::printf("gone as its execution's connection broke: %d sent of it after that\n", its.times - 1);
+  std::printf("gone as its execution's connection broke: %d sent of it after that\n",
+              its.times - 1);
 }
 
 // A repeat within its window whose connection comes up after the window.
@@ -112,7 +116,8 @@
   Seen its(d, "break-ok", [&] { d.toy.hold(0, true), d.toy.closeIdle(0); });
   d.toy.closeIdle(0);
   d.c.send(pg::query(Client::write("break-ok", 6000)));
-  d.until("it was taken", [&] { return its.times > 0; });  // and its connection ended in the same step
+  d.until("it was taken",
+          [&] { return its.times > 0; });  // and its connection ended in the same step
   d.until("the repeat's connection is dialled", [&] { return d.toy.holdsBack(0); });
   d.pass(600);
   d.toy.hold(0, false);
@@ -120,11 +125,14 @@
   std::printf("a repeat whose connection came up too late: %s; %d sent\n", got.c_str(), its.times);
 }
 
-// A bounded read waits for its connection to the primary; meanwhile an answer tells that it is none any more.
+// A bounded read waits for its connection to the primary; meanwhile an answer tells that it is none
+// any more.
 void roleLost() {
-  // The SLO time is long: the read waits until the new primary is found, however slow this machine is.
+  // The SLO time is long: the read waits until the new primary is found, however slow this machine
+  // is.
   edits = {{"\"lag_allowed\":[0,20000000", "\"lag_allowed\":[0,200000"},
-           {"\"near\",\"repeat\":\"repeatable\",\"slo\":500000", "\"near\",\"repeat\":\"repeatable\",\"slo\":5000000"},
+           {"\"near\",\"repeat\":\"repeatable\",\"slo\":500000",
+            "\"near\",\"repeat\":\"repeatable\",\"slo\":5000000"},
            {"\"connect_timeout\":250000", "\"connect_timeout\":2000000"}};
   Drive d(2);
   d.toy.lag(1, ms(60'000));
@@ -146,13 +154,14 @@
   };
   other.send(pg::query(Client::read("waits", 12'000, "near")));
   d.until("its connection is dialled", [&] { return d.toy.holdsBack(0); });
-  c.get();  // by which it is a replica, and its connection is free
+  c.get();                    // by which it is a replica, and its connection is free
   c.ask(Client::write("c"));  // finds the new one
   std::string got = other.get();
   std::printf("a bounded read whose primary lost the role meanwhile: %s\n", got.c_str());
 }
 
-// The last bytes of an idle connection come with its end, as a statement comes that must not run twice.
+// The last bytes of an idle connection come with its end, as a statement comes that must not run
+// twice.
 void endsWithWord() {
   for (const auto& [what, bytes] : {std::pair<const char*, std::string>{"nothing", ""},
                                     {"a parameter", pg::parameter("server_role", "writer")},
@@ -166,7 +175,8 @@
     d.c.send(pg::query(Client::write("b", 3000, "once")));
     d.goOn();
     std::string got = d.c.get();
-    std::printf("an idle connection that ends with %s: %s; %d sent\n", what, got.c_str(), d.sent - before);
+    std::printf("an idle connection that ends with %s: %s; %d sent\n", what, got.c_str(),
+                d.sent - before);
   }
 }
 
@@ -193,7 +203,8 @@
   d.exits();
 }
 
-// One that is owed an answer asks again long after SIGTERM: it is told so, as it could lose what it asked.
+// One that is owed an answer asks again long after SIGTERM: it is told so, as it could lose what it
+// asked.
 void termAsksAgain() {
   Drive d(1);
   Client c(d);
@@ -210,7 +221,8 @@
   d.exits();
 }
 
-// A request on a resting connection in the moment in which that is shut; one that came before is answered.
+// A request on a resting connection in the moment in which that is shut; one that came before is
+// answered.
 void restingShut() {
   Drive d(1);
   Client early(d), late(d);
@@ -224,7 +236,8 @@
   Seen its(d, "d");
   d.goOn();
   std::string got = early.get(1);
-  bool one = got == "row 'value of c', ready" || got == "ERROR 53300, ready" || got == "FATAL 57P03, closed";
+  bool one = got == "row 'value of c', ready" || got == "ERROR 53300, ready" ||
+             got == "FATAL 57P03, closed";
   std::printf("asked before it was shut: %s\n", one ? "one answer" : got.c_str());
   std::printf("then: %s\n", early.get(1).c_str());
   std::printf("one that rests: %s\n", late.get(1).c_str());
@@ -238,7 +251,8 @@
   d.exits();
 }
 
-// What a watch has brought counts as told, though a signal moves the list elsewhere in the same moment.
+// What a watch has brought counts as told, though a signal moves the list elsewhere in the same
+// moment.
 void moves() {
   for (bool silent : {true, false}) {
     Served d(2);
@@ -249,7 +263,8 @@
     // The signal comes before the watch's answer, so that it is taken first.
     drainUnread(d, 1, [&] { d.configure(port), d.signal(SIGHUP); });
     d.goOn();
-    bool told = d.until("the change is heard", [&] { return d.logged("id=toy-1 group=7 state=draining"); });
+    bool told = d.until("the change is heard",
+                        [&] { return d.logged("id=toy-1 group=7 state=draining"); });
     std::printf("SIGHUP while a watch brings a drain, the new service %s: heard %s\n",
                 silent ? "silent" : "answers", yes(told));
     if (silent) {
@@ -263,7 +278,8 @@
   }
 }
 
-// All times of the list stand far apart but for the grace, so that only calls made at once are in time.
+// All times of the list stand far apart but for the grace, so that only calls made at once are in
+// time.
 void slowButForGrace() {
   edits = {{"\"connect_timeout\":250000", "\"connect_timeout\":8000000"},
            {"\"ask_every\"", "\"stop_sending_within\":500000,\"ask_every\""}};
@@ -321,7 +337,8 @@
   d.toy.setState(1, "draining");
   d.until("refused", [&] { return d.logged("list_bad"); });
   d.until("the next call", [&] { return d.logged("state=draining"); });
-  std::printf("an answer without length that is reset is taken for whole: %s\n", yes(d.logged("version=9")));
+  std::printf("an answer without length that is reset is taken for whole: %s\n",
+              yes(d.logged("version=9")));
 }
 
 void endlessList() {
@@ -338,7 +355,8 @@
     d.toy.setState(1, "draining");
     c.asks("while the list's answer does not end", Client::read("a"));
     d.until("given up", [&] { return d.logged("list_bad") || d.logged("list_silent"); });
-    std::printf("and the next call: %s\n", yes(d.until("told", [&] { return d.logged("state=draining"); })));
+    std::printf("and the next call: %s\n",
+                yes(d.until("told", [&] { return d.logged("state=draining"); })));
   }
 }
 
@@ -363,7 +381,8 @@
   for (int k = 0; k < 40; ++k) c.ask(Client::read("ok"));
   d.holdBack(1);
   int completed = 0;
-  for (int k = 0; k < 10; ++k) completed += c.ask(Client::read("a")).find("row") != std::string::npos;
+  for (int k = 0; k < 10; ++k)
+    completed += c.ask(Client::read("a")).find("row") != std::string::npos;
   std::printf("a replica whose connections never come up: %d of 10 completed\n", completed);
   std::printf("connections that wait there: %s\n", d.toy.connections(1) < 4 ? "few" : "many");
   d.pass(1500);
@@ -393,8 +412,8 @@
     Client c(d), other(d);
     while (d.toy.executions(1) == 0) c.ask(Client::read("a"));
     int had = d.toy.executions(1), before = d.sent;
-    // One is out at each store; the replica's connection breaks as it drains, and its statement needs
-    // another.
+    // One is out at each store; the replica's connection breaks as it drains, and its statement
+    // needs another.
     other.send(pg::query(Client::read("slow300-slow300")));
     c.send(pg::query(Client::read("slow300-ok")));
     d.until("both are out", [&] { return d.sent >= before + 2; });
@@ -404,7 +423,8 @@
     comes(d, [&] { return d.faced(d.toy.port(1)).ended > 0 && d.faced(d.toy.port(1)).open == 0; });
     d.goOn();
     c.get(), other.get();
-    std::printf("a drain between two executions: %d more sent there\n", d.toy.executions(1) - had - out);
+    std::printf("a drain between two executions: %d more sent there\n",
+                d.toy.executions(1) - had - out);
   }
   Served d(1);
   d.holdBack(0);
@@ -419,8 +439,8 @@
   std::printf("; %d sent there\n", d.toy.executions(0) - had);
 }
 
-// The answer and the end of its client's time come together: one final answer, and the next statement gets
-// its own.
+// The answer and the end of its client's time come together: one final answer, and the next
+// statement gets its own.
 void answerAtDeadline() {
   Served d(1);
   int before = d.sent;
@@ -447,10 +467,11 @@
   other.asks("another one's", Client::read("a"));
 }
 
-// A client that reads slowly has its answer for as long as it waits; one that reads nothing holds its place
-// no longer.
+// A client that reads slowly has its answer for as long as it waits; one that reads nothing holds
+// its place no longer.
 void readsSlowly() {
-  Drive d(1, 256, "automatic", "", false, 64, "600000");  // connections rest shorter than clients wait
+  Drive d(1, 256, "automatic", "", false, 64,
+          "600000");  // connections rest shorter than clients wait
   Client slow(d, true, true), never(d, true, true);
   int before = d.sent;
   slow.send(pg::query(Client::read("big700000")));
@@ -483,8 +504,8 @@
   std::printf("that one: %s\n", last.get(2).c_str());
 }
 
-// Connections that the kernel has taken in and the front has not, as it is told to end: they wait for the
-// list.
+// Connections that the kernel has taken in and the front has not, as it is told to end: they wait
+// for the list.
 void termUnaccepted() {
   edits = {{"\"connect_timeout\":250000", "\"connect_timeout\":2000000"}};
   Drive d(1);
@@ -499,7 +520,8 @@
   d.exits();
 }
 
-// Idle clients hold all places while the list's service is away; it and the stores are reached all the same.
+// Idle clients hold all places while the list's service is away; it and the stores are reached all
+// the same.
 void fullHouse() {
   Drive d(2, 64);
   Client first(d);
@@ -549,4 +571,6 @@
 }  // namespace
 
 // races PROGRAM CASE
-int main(int argc, char** argv) { return test::runOnFront(kCases, argc, argv); }
+int main(int argc, char** argv) {
+  return test::runOnFront(kCases, argc, argv);
+}
--- a/tests/rig/net.h
+++ b/tests/rig/net.h
@@ -1,5 +1,5 @@
-// A network in one process, on a clock of its own: fronts that gossip by datagrams which are late, lost,
-// doubled, overtaken or cut off, all by seed.
+// A network in one process, on a clock of its own: fronts that gossip by datagrams which are late,
+// lost, doubled, overtaken or cut off, all by seed.
 #pragma once
 
 #include <cstdint>
@@ -19,9 +19,9 @@
 class Net {
  public:
   struct Faults {
-    Duration least{300}, most{3'000};      // a datagram's way
+    Duration least{300}, most{3'000};  // a datagram's way
     double lost = 0, doubled = 0;      // of datagrams
-    Duration late;                         // up to that much more for one in ten
+    Duration late;                     // up to that much more for one in ten
   };
   struct Host {
     std::unique_ptr<membership::Gossip> gossip;
@@ -38,8 +38,11 @@
     hosts.push_back({nullptr, name, zone});
     return static_cast<int>(hosts.size()) - 1;
   }
-  static membership::Address addressOf(int host) { return {0x0a000000u + static_cast<std::uint32_t>(host), 7946}; }
-  void start(int host, std::vector<int> seeds, const std::string& fleet = "f", membership::Keys keys = {"0123456789abcdef0123456789abcdef"}) {
+  static membership::Address addressOf(int host) {
+    return {0x0a000000u + static_cast<std::uint32_t>(host), 7946};
+  }
+  void start(int host, std::vector<int> seeds, const std::string& fleet = "f",
+             membership::Keys keys = {"0123456789abcdef0123456789abcdef"}) {
     Host& h = hosts[static_cast<std::size_t>(host)];
     h.up = true, h.paused = false;
     h.generation = static_cast<std::uint64_t>(now.us / 1000);
@@ -69,7 +72,10 @@
     wake(host);
   }
   membership::Gossip& at(int host) { return *hosts[static_cast<std::size_t>(host)].gossip; }
-  bool runs(int host) const { return hosts[static_cast<std::size_t>(host)].up && !hosts[static_cast<std::size_t>(host)].paused; }
+  bool runs(int host) const {
+    return hosts[static_cast<std::size_t>(host)].up &&
+           !hosts[static_cast<std::size_t>(host)].paused;
+  }
 
   int running() const {
     int n = 0;
--- a/tests/scenarios.cpp
+++ b/tests/scenarios.cpp
@@ -49,7 +49,8 @@
   b.probes = true;
   b.list(3);
   b.note(
-      "a new front probes all; a bounded read awaits the first answer, a read that any may answer does not");
+      "a new front probes all; a bounded read awaits the first answer, a read that any may answer "
+      "does not");
   b.arrive(0), b.arrive(1);
   b.round();
   b.pass(10);
@@ -69,7 +70,8 @@
   b.list(2);
   b.report(1, 20);
   b.note(
-      "any, bounded, session written 500 ms ago: replica; session written 5 ms ago, fresh, write: primary");
+      "any, bounded, session written 500 ms ago: replica; session written 5 ms ago, fresh, write: "
+      "primary");
   b.arrive(0), b.arrive(1), b.arrive(2, 2000, 500), b.arrive(2, 2000, 5), b.arrive(3), b.arrive(4);
   b.round();
 }
@@ -81,7 +83,8 @@
   b.list(3);
   b.report(1, 40), b.report(2, 15);
   b.note(
-      "where replicas check, a fresh read waits for the log and tries the most advanced one, then the "
+      "where replicas check, a fresh read waits for the log and tries the most advanced one, then "
+      "the "
       "primary");
   b.arrive(0);
   b.pass(25);
@@ -118,7 +121,9 @@
 void prompt() {
   Bench b(Bench::terms({kBounded, kWrite}));
   b.list(1, -1);
-  b.note("nothing can take it: rejected once it can't be in time; one that is out ends by its client's time");
+  b.note(
+      "nothing can take it: rejected once it can't be in time; one that is out ends by its "
+      "client's time");
   b.arrive(0, 2000);
   b.pass(400);
   b.listOne(0, true, EndpointStatus::up);
@@ -165,7 +170,9 @@
 void untrueReport() {
   Bench b(Bench::terms({kFresh, kWrite}));
   b.list(2, -1);
-  b.note("danger: a report claims the role untruly; writes may find out, fresh reads wait for an answer");
+  b.note(
+      "danger: a report claims the role untruly; writes may find out, fresh reads wait for an "
+      "answer");
   b.report(1, 10, true);
   b.arrive(0), b.arrive(1);
   b.round();
@@ -177,7 +184,9 @@
 void switchOver() {
   Bench b(Bench::terms({kWrite}));
   b.list(3);
-  b.note("the primary turns a write away: members are tried in turn; the one that answers as primary is it");
+  b.note(
+      "the primary turns a write away: members are tried in turn; the one that answers as primary "
+      "is it");
   b.arrive(0);
   b.round();
   b.answer(0, AttemptOutcome::notServedHere, Role::replica);
@@ -227,8 +236,10 @@
     b.round();
     b.quiet = false;
     if (b.last == 1)
-      ++failed, b.answer(statement, AttemptOutcome::error), b.last = -1, b.quiet = true, b.pass(15), b.quiet = false;
-    if (b.last >= 0 && b.last != 1) b.answer(statement, AttemptOutcome::ok, Role::unknown, b.last == 1 ? 1 : 0);
+      ++failed, b.answer(statement, AttemptOutcome::error), b.last = -1, b.quiet = true, b.pass(15),
+                                                            b.quiet = false;
+    if (b.last >= 0 && b.last != 1)
+      b.answer(statement, AttemptOutcome::ok, Role::unknown, b.last == 1 ? 1 : 0);
     b.clock = b.clock + ms(5);
   }
   std::printf("failed at store 1: %d of 200\n", failed);
@@ -237,10 +248,13 @@
 void longReads() {
   Bench b(Bench::terms({kLongRead, kBounded}));
   b.list(4);
-  b.note("danger: long reads hold up a replica's log; they fill one replica before they take the next");
+  b.note(
+      "danger: long reads hold up a replica's log; they fill one replica before they take the "
+      "next");
   b.quiet = true;
   std::vector<int> sent(4, 0);
-  for (int k = 0; k < 12; ++k) b.arrive(0), b.last = -1, b.round(), b.last >= 0 ? ++sent[b.last] : 0;
+  for (int k = 0; k < 12; ++k)
+    b.arrive(0), b.last = -1, b.round(), b.last >= 0 ? ++sent[b.last] : 0;
   for (int s = 0; s < 4; ++s) std::printf("store %d: %d of 12\n", s, sent[s]);
 }
 
@@ -250,7 +264,8 @@
   Bench b(Bench::terms({low, high}));
   b.list(1);
   b.note(
-      "past the in-flight limit statements wait; room goes to the important one, the rest is rejected in "
+      "past the in-flight limit statements wait; room goes to the important one, the rest is "
+      "rejected in "
       "time");
   for (int k = 0; k < 10; ++k) b.arrive(0);
   b.round();
@@ -265,7 +280,8 @@
   Bench b(Bench::terms({kWrite}));
   b.list(1);
   b.note(
-      "danger: a client's repeat taken for new ends late; in a queue it stands and is rejected as half gone");
+      "danger: a client's repeat taken for new ends late; in a queue it stands and is rejected as "
+      "half gone");
   for (int k = 0; k < 4; ++k) b.arrive(0);
   b.round();
   b.arrive(0, 2000, 0, true), b.arrive(0);
@@ -275,7 +291,9 @@
 void standing() {
   Bench b(Bench::terms({kBounded}));
   b.list(2);
-  b.note("danger: a position that stands still is no report to be renewed; it is looked at by its lag");
+  b.note(
+      "danger: a position that stands still is no report to be renewed; it is looked at by its "
+      "lag");
   TimePoint stands = b.clock - ms(20);
   int probes = 0;
   b.quiet = true;
@@ -294,8 +312,9 @@
     t.fronts = 20;
     Bench b(t);
     b.list(2);
-    b.note(w.level == Level::any ? "danger: twenty fronts crowd a store with one each; slow answers space sends"
-                                 : "writes run ahead of that pace, but less the deeper it was cut");
+    b.note(w.level == Level::any
+               ? "danger: twenty fronts crowd a store with one each; slow answers space sends"
+               : "writes run ahead of that pace, but less the deeper it was cut");
     b.quiet = true;
     for (int k = 1; k <= 30; ++k) {
       b.last = -1;
@@ -315,13 +334,15 @@
   t.tenants = {{10}, {10}}, t.overShareWorth = 0.2, t.fronts = 1;
   Bench b(t);
   b.list(1);
-  b.note("tenant 0 sends far beyond its share; when room is short its excess waits behind tenant 1");
+  b.note(
+      "tenant 0 sends far beyond its share; when room is short its excess waits behind tenant 1");
   b.quiet = true;
   std::vector<int> stmts;
   for (int k = 0; k < 40; ++k) b.arrive(0), b.round();
   int other = b.arrive(0, 2000, 0, false, 1);
   std::printf("tenant 1 waits with #%d\n", other);
-  for (int k = 0; k < 16; ++k) b.quiet = k < 14, b.answer(k, AttemptOutcome::ok, Role::primary), b.round();
+  for (int k = 0; k < 16; ++k)
+    b.quiet = k < 14, b.answer(k, AttemptOutcome::ok, Role::primary), b.round();
 }
 
 void deadStore() {
@@ -330,7 +351,9 @@
   b.arrive(0);
   b.round();
   b.report(0, 10, true), b.report(1, 10);
-  b.note("danger: statements that try a dead store wait for a connection; probes do it, at growing gaps");
+  b.note(
+      "danger: statements that try a dead store wait for a connection; probes do it, at growing "
+      "gaps");
   b.answer(0, AttemptOutcome::connectFailed);
   b.round();
   for (int k = 0; k < 800; ++k) {
@@ -356,12 +379,14 @@
     for (int k = 0; k < 2; ++k) b.arrive(0), b.pass(200);
     sent += b.last >= 0;
   }
-  std::printf("-- danger: sixty fronts, two statements each, at two stores that have just started\n");
+  std::printf(
+      "-- danger: sixty fronts, two statements each, at two stores that have just started\n");
   std::printf("fronts that sent one: %d of 60\n", sent);
 }
 
-// Danger: a debt by the dearest statement's work kept a new primary empty until it was warm, though it was told of
-// writes only; and what all fronts together send must stay under the multiple at which a cold store falls over.
+// Danger: a debt by the dearest statement's work kept a new primary empty until it was warm, though
+// it was told of writes only; and what all fronts together send must stay under the multiple at
+// which a cold store falls over.
 void coldPrimary() {
   constexpr int kFronts = 200;
   std::vector<std::unique_ptr<Bench>> fronts;
@@ -373,7 +398,8 @@
     for (int workload : {0, 1}) {
       int statement = b.ask(workload, 300, 5);
       if (b.last == 0) ++(workload ? reads : writes);
-      if (b.last >= 0) b.answer(statement, AttemptOutcome::ok, b.last ? Role::replica : Role::primary, 0, -1, 30);
+      if (b.last >= 0)
+        b.answer(statement, AttemptOutcome::ok, b.last ? Role::replica : Role::primary, 0, -1, 30);
       b.pass(295);
     }
     while (b.clock < end) b.pass(5);
@@ -384,8 +410,10 @@
     for (int k = 0; k < 10; ++k) second(b);
     b.listOne(0, true, EndpointStatus::up, b.clock);
   }
-  std::printf("-- %d fronts, a write and a short read a second each, four members; the primary starts anew\n",
-              kFronts);
+  std::printf(
+      "-- %d fronts, a write and a short read a second each, four members; the primary starts "
+      "anew\n",
+      kFronts);
   std::printf("warm: %d writes a second, %d reads\n", writes / 10, reads / 10);
   for (int n = 1; n <= 10; ++n) {
     writes = reads = 0;
@@ -412,20 +440,24 @@
   }
 }
 
-// Danger: what was sent ahead of a pace that was cut stood as owed for minutes; a primary that was full for two
-// seconds got a fifth of its writes for half a minute after.
+// Danger: what was sent ahead of a pace that was cut stood as owed for minutes; a primary that was
+// full for two seconds got a fifth of its writes for half a minute after.
 void paceReturns() {
   Bench b(Bench::terms({kWrite}, 300), 1);
   auto second = [&](bool full, double took) {
     int sent = 0;
     for (int k = 0; k < 2; ++k) {
       b.ask(0, 300, 5);
-      if (b.last >= 0) ++sent, b.answer(b.lastStmt, full ? AttemptOutcome::overloaded : AttemptOutcome::ok, Role::primary, 0, -1, took);
+      if (b.last >= 0)
+        ++sent, b.answer(b.lastStmt, full ? AttemptOutcome::overloaded : AttemptOutcome::ok,
+                         Role::primary, 0, -1, took);
       b.pass(495);
     }
     return sent;
   };
-  b.note("300 fronts; two writes a second; the primary is well, then full for two seconds, then well again");
+  b.note(
+      "300 fronts; two writes a second; the primary is well, then full for two seconds, then well "
+      "again");
   int sent = 0;
   for (int k = 0; k < 4; ++k) sent += second(false, 30);
   std::printf("well: %d of 8 sent\n", std::exchange(sent, 0));
@@ -437,8 +469,8 @@
   }
 }
 
-// Danger: 300 fronts that start together each found the primary free for one read that no replica was fresh for;
-// their first reads alone jammed it for four seconds.
+// Danger: 300 fronts that start together each found the primary free for one read that no replica
+// was fresh for; their first reads alone jammed it for four seconds.
 void firstReads() {
   int sent[3] = {};
   for (int front = 0; front < 300; ++front) {
@@ -452,7 +484,8 @@
     }
   }
   std::printf("-- danger: 300 fronts start together, and no replica is there for their reads\n");
-  std::printf("at once: %d at the primary; after 0.5 s: %d; after 15 s: %d\n", sent[0], sent[1], sent[2]);
+  std::printf("at once: %d at the primary; after 0.5 s: %d; after 15 s: %d\n", sent[0], sent[1],
+              sent[2]);
 }
 
 void listTwoZones(Bench& b, int members, int primary) {
@@ -462,8 +495,9 @@
   b.engine.endSnapshot(true);
 }
 
-// Danger: a zone is lost, and each front finds out store by store. Three tries in vain with no word from the zone
-// between, and its replicas are left to the others; one word from it, or a while, and they count again.
+// Danger: a zone is lost, and each front finds out store by store. Three tries in vain with no word
+// from the zone between, and its replicas are left to the others; one word from it, or a while, and
+// they count again.
 void zoneDoubt() {
   Bench b(Bench::terms({kAny}));
   listTwoZones(b, 21, 0);
@@ -472,16 +506,22 @@
     for (int k = 0; k < 100; ++k) {
       int statement = b.ask(0);
       there += b.last % 2;
-      if (b.last >= 0) b.answer(statement, b.last % 2 ? AttemptOutcome::neverSent : AttemptOutcome::ok);
+      if (b.last >= 0)
+        b.answer(statement, b.last % 2 ? AttemptOutcome::neverSent : AttemptOutcome::ok);
       b.engine.onClientClosed(statement);
     }
-    std::printf("%s: %s of 100 reads go to zone 1\n", what, there == 0 ? "none" : there < 10 ? "a few" : there > 30 ? "half" : "some");
+    std::printf("%s: %s of 100 reads go to zone 1\n", what,
+                there == 0   ? "none"
+                : there < 10 ? "a few"
+                : there > 30 ? "half"
+                             : "some");
   };
   auto vain = [&](int times) {
     for (int k = 0, tried = 0; k < times && tried < 2000; ++tried) {
       int statement = b.ask(0);
       bool one = b.last % 2 == 1;
-      if (b.last >= 0) b.answer(statement, one ? AttemptOutcome::connectFailed : AttemptOutcome::ok);
+      if (b.last >= 0)
+        b.answer(statement, one ? AttemptOutcome::connectFailed : AttemptOutcome::ok);
       b.engine.onClientClosed(statement);
       k += one;
     }
@@ -499,7 +539,8 @@
   share("after eight connect time-outs");
 }
 
-// A zone's share is one factor of the weight; none means none, but for writes. ReceivedStatement back, its stores are cold.
+// A zone's share is one factor of the weight; none means none, but for writes. ReceivedStatement
+// back, its stores are cold.
 void zoneShares() {
   Bench b(Bench::terms({kAny, kWrite}));
   listTwoZones(b, 20, 1);
@@ -535,9 +576,10 @@
   b.pass(11'000), share("warm");
 }
 
-// A cold store falls when all fronts together bring it more than N + 3 root N + 3 statements of mean work in a window,
-// N being its multiple of what it can do then. The budgets of 300 fronts, one in ten with six times the others' traffic,
-// all of it writes for that one store, in a fleet that is asked for a fifth more than it can do.
+// A cold store falls when all fronts together bring it more than N + 3 root N + 3 statements of
+// mean work in a window, N being its multiple of what it can do then. The budgets of 300 fronts,
+// one in ten with six times the others' traffic, all of it writes for that one store, in a fleet
+// that is asked for a fifth more than it can do.
 void coldSumOf(int kFronts, double perSecond) {
   constexpr int kMembers = 6, kSeconds = 10;
   std::vector<double> sentAt;
@@ -549,7 +591,8 @@
     Bench b(t, kMembers);
     // One front in ten, or the first of few, gets six times what each of the others gets.
     bool heavy = front % 10 == 0;
-    double shares = kFronts + 5.0 * ((kFronts + 9) / 10), every = 1000 * shares / perSecond / (heavy ? 6 : 1);  // ms
+    double shares = kFronts + 5.0 * ((kFronts + 9) / 10),
+           every = 1000 * shares / perSecond / (heavy ? 6 : 1);  // ms
     std::ranlux24_base chance(static_cast<std::uint32_t>(front + 1));
     TimePoint restarts = b.clock + ms(8000), next = b.clock;
     bool cold = false;
@@ -559,8 +602,10 @@
       b.answer(b.lastStmt, AttemptOutcome::ok, Role::primary, b.lastExecution, -1, 30);
     };
     while (b.clock < restarts + ms(kSeconds * 1000)) {
-      if (!cold && b.clock >= restarts) cold = true, b.listOne(0, true, EndpointStatus::up, b.clock);
-      for (; b.clock >= next; next = next + ms(every * 2 * (static_cast<double>(chance() % 1000) / 1000))) {
+      if (!cold && b.clock >= restarts)
+        cold = true, b.listOne(0, true, EndpointStatus::up, b.clock);
+      for (; b.clock >= next;
+           next = next + ms(every * 2 * (static_cast<double>(chance() % 1000) / 1000))) {
         if (!cold) asked += 1 / 8.0;
         b.ask(0, 300), answers();
       }
@@ -569,19 +614,23 @@
     }
   }
   double can = asked / kMembers / 1.2;
-  std::printf("-- %d fronts of uneven traffic, every write for a store that has just started\n", kFronts);
+  std::printf("-- %d fronts of uneven traffic, every write for a store that has just started\n",
+              kFronts);
   bool under = true;
   for (int second = 0; second + 2 <= kSeconds; second += 2) {
     double most = 0;
     for (int step = 0; step < 20; ++step) {
       double from = second + step * 0.1;
-      double came = static_cast<double>(std::count_if(sentAt.begin(), sentAt.end(), [&](double at) { return at >= from && at < from + 2; }));
+      double came = static_cast<double>(std::count_if(
+          sentAt.begin(), sentAt.end(), [&](double at) { return at >= from && at < from + 2; }));
       // As cold as it is when the window begins.
-      double n = t.coldMultiple * (t.coldFrom + (1 - t.coldFrom) * from / t.coldRamp.seconds()) * can * 2;
+      double n = t.coldMultiple * (t.coldFrom + (1 - t.coldFrom) * from / t.coldRamp.seconds()) *
+                 can * 2;
       most = std::max(most, came / (n + 2 * std::sqrt(n) + 2));
     }
     under &= most <= 1;
-    std::printf("from second %d on: at most %d hundredths of what it bears\n", second, static_cast<int>(std::ceil(most * 100)));
+    std::printf("from second %d on: at most %d hundredths of what it bears\n", second,
+                static_cast<int>(std::ceil(most * 100)));
   }
   std::printf("never over it: %s\n", under ? "yes" : "no");
 }
@@ -593,10 +642,12 @@
   coldSumOf(300, 600);
 }
 
-// Danger: a look for nearly every bounded read, half of them in vain, while primaries have room. Where its pace has a
-// place the primary takes it at once; where it was cut, is cold, or is named by a report alone, a look comes first.
+// Danger: a look for nearly every bounded read, half of them in vain, while primaries have room.
+// Where its pace has a place the primary takes it at once; where it was cut, is cold, or is named
+// by a report alone, a look comes first.
 void primaryFirst() {
-  for (const char* what : {"a primary with room", "cut by a slow answer", "cold", "named by a report alone", "taken a moment ago"}) {
+  for (const char* what : {"a primary with room", "cut by a slow answer", "cold",
+                           "named by a report alone", "taken a moment ago"}) {
     EngineSettings t = Bench::terms({kBounded}, 100);
     t.probePrice = 0.01;
     Bench b(t);
@@ -608,24 +659,31 @@
     if (!std::strncmp(what, "cut", 3) || !std::strncmp(what, "taken", 5)) {
       int statement = b.ask(0);
       b.clock = b.clock + ms(300);
-      b.answer(statement, AttemptOutcome::ok, Role::primary, 0, -1, std::strncmp(what, "cut", 3) ? 20 : 300);
+      b.answer(statement, AttemptOutcome::ok, Role::primary, 0, -1,
+               std::strncmp(what, "cut", 3) ? 20 : 300);
       if (!std::strncmp(what, "cut", 3)) b.pass(1000);
     }
     b.probed = -1;
     b.ask(0);
-    std::printf("%s: %s, %s\n", what, b.last == 0 ? "it goes there" : b.last > 0 ? "it goes to a replica" : "it waits",
+    std::printf("%s: %s, %s\n", what,
+                b.last == 0  ? "it goes there"
+                : b.last > 0 ? "it goes to a replica"
+                             : "it waits",
                 b.probed >= 0 ? "a look is made" : "no look");
   }
 }
 
-// Danger: at many fronts most replicas have no room for one more read from here. Fresh ones among them stood for
-// replicas at hand, so that none was looked for; and looks began with the hosts of long reads, which always lag.
+// Danger: at many fronts most replicas have no room for one more read from here. Fresh ones among
+// them stood for replicas at hand, so that none was looked for; and looks began with the hosts of
+// long reads, which always lag.
 void looks() {
   EngineSettings t = Bench::terms({kBounded, kLongRead}, 100);
   t.probePrice = 0.01;
   Bench b(t);
   b.list(6);
-  b.note("a hundred fronts; the first two replicas host long reads and lag by seconds, the rest by 250 ms or not");
+  b.note(
+      "a hundred fronts; the first two replicas host long reads and lag by seconds, the rest by "
+      "250 ms or not");
   b.quiet = true;
   for (int k = 0; k < 4; ++k) {
     b.ask(1, 300, 50);
@@ -643,14 +701,16 @@
       b.probed = -1, b.pass(5);
       if (b.probed >= 0) look(b.probed);
     }
-    if (b.lastStmt == statement) ++served[b.last], b.answer(statement, AttemptOutcome::ok, Role::unknown, 0, -1, 60);
+    if (b.lastStmt == statement)
+      ++served[b.last], b.answer(statement, AttemptOutcome::ok, Role::unknown, 0, -1, 60);
     b.pass(300);
   }
-  for (int s = 0; s < 6; ++s) std::printf("store %d: looked at %d times, %d of 40 reads\n", s, looked[s], served[s]);
+  for (int s = 0; s < 6; ++s)
+    std::printf("store %d: looked at %d times, %d of 40 reads\n", s, looked[s], served[s]);
 }
 
-// Danger: at many fronts short reads that all went to the hosts of long reads first filled those; a light front
-// hears of it too late. There they take hosts like any other replica.
+// Danger: at many fronts short reads that all went to the hosts of long reads first filled those; a
+// light front hears of it too late. There they take hosts like any other replica.
 void hostsShared() {
   std::vector<int> sent(6, 0);
   for (int front = 0; front < 100; ++front) {
@@ -660,7 +720,8 @@
     if (b.last >= 0) ++sent[static_cast<std::size_t>(b.last)];
   }
   std::printf("-- a hundred fronts send one short read each; the first replicas host long reads\n");
-  for (int s = 0; s < 6; ++s) std::printf("store %d: %d of 100\n", s, sent[static_cast<std::size_t>(s)]);
+  for (int s = 0; s < 6; ++s)
+    std::printf("store %d: %d of 100\n", s, sent[static_cast<std::size_t>(s)]);
 }
 
 void fullTable() {
@@ -669,7 +730,9 @@
   b.arrive(0);
   b.round();
   b.report(0, 10, true), b.report(1, 10);
-  b.note("danger: a full connection table looks like a dead store; its probe answers, so it is not cold");
+  b.note(
+      "danger: a full connection table looks like a dead store; its probe answers, so it is not "
+      "cold");
   b.answer(0, AttemptOutcome::connectFailed);
   b.pass(300);
   b.report(1, 10);
@@ -683,8 +746,8 @@
   b.round();
 }
 
-// Danger: hundreds of fronts that met a dead store each gave back all connections after every use, for a warm-up's
-// time.
+// Danger: hundreds of fronts that met a dead store each gave back all connections after every use,
+// for a warm-up's time.
 void othersKeep() {
   EngineSettings t = Bench::terms({kWrite, kAny});
   t.fronts = 100;
@@ -703,21 +766,24 @@
   b.pass(20);
   Bench c(t);
   c.list(2);
-  c.note("one refuses a connection, yet its probe answers: tables are full, all idle ones go after use");
+  c.note(
+      "one refuses a connection, yet its probe answers: tables are full, all idle ones go after "
+      "use");
   c.answer((c.arrive(1), c.pass(300), c.lastStmt), AttemptOutcome::connectFailed);
   c.report(1, 10);
   c.answer((c.arrive(0), c.pass(300), c.lastStmt), AttemptOutcome::ok, Role::primary);
   c.pass(20);
 }
 
-// Danger: where answers take a hundredth of the SLO time, one connection that fell silent, or that never came up,
-// would block a store that answers on all its others.
+// Danger: where answers take a hundredth of the SLO time, one connection that fell silent, or that
+// never came up, would block a store that answers on all its others.
 void oneConnection() {
   Bench b(Bench::terms({kAny}));
   b.list(1);
   b.quiet = true;
   for (int k = 0; k < 300; ++k)
-    b.answer((b.arrive(0), b.round(), b.lastStmt), AttemptOutcome::ok, Role::primary, 0, -1, 2), b.clock = b.clock + ms(1);
+    b.answer((b.arrive(0), b.round(), b.lastStmt), AttemptOutcome::ok, Role::primary, 0, -1, 2),
+        b.clock = b.clock + ms(1);
   b.quiet = false;
   b.note("one execution stays out, others are answered now and then");
   b.arrive(0);
@@ -735,7 +801,8 @@
   b.arrive(0);
   b.round();
   b.note("two answers are owed for long, no other is; the store is used at once all the same");
-  b.answer(304, AttemptOutcome::ok, Role::primary, 1, -1, 2), b.answer(306, AttemptOutcome::ok, Role::primary, 0, -1, 2);
+  b.answer(304, AttemptOutcome::ok, Role::primary, 1, -1, 2),
+      b.answer(306, AttemptOutcome::ok, Role::primary, 0, -1, 2);
   b.answer(300, AttemptOutcome::ok, Role::primary, 0, -1, 2);
   b.arrive(0), b.arrive(0);
   b.round();
@@ -744,15 +811,17 @@
   b.round();
 }
 
-// Danger: where connections break now and then, one probe or one connection in vain would leave a replica without
-// bounded reads for many bounds.
+// Danger: where connections break now and then, one probe or one connection in vain would leave a
+// replica without bounded reads for many bounds.
 void oneInVain() {
   Bench b(Bench::terms({kBounded}));
   b.list(2);
   b.report(1, 10);
   b.probes = true;
   b.answer((b.arrive(0), b.round(), b.lastStmt), AttemptOutcome::ok, Role::replica);
-  b.note("a connection to the replica breaks before it is up; it was heard just now and is tried again");
+  b.note(
+      "a connection to the replica breaks before it is up; it was heard just now and is tried "
+      "again");
   b.clock = b.clock + ms(50);
   b.answer((b.arrive(0), b.round(), b.lastStmt), AttemptOutcome::connectFailed);
   b.round();
@@ -783,13 +852,15 @@
     b.answer((b.round(), b.lastStmt), AttemptOutcome::ok, Role::replica, 1);
     for (int k = 0; k < 3; ++k) {
       b.pass(300);
-      asked ? b.engine.onProbeEnded(away, false, {}, b.clock) : b.engine.onProbeNotSent(away, b.clock);
+      asked ? b.engine.onProbeEnded(away, false, {}, b.clock)
+            : b.engine.onProbeNotSent(away, b.clock);
     }
     b.pass(2500);
     b.report(away, 10);
     b.round();
     b.quiet = false;
-    b.note(asked ? "three looks in vain at one that refused a connection, then an answer: it was dead, and is cold"
+    b.note(asked ? "three looks in vain at one that refused a connection, then an answer: it was "
+                   "dead, and is cold"
                  : "three that never left this front, then an answer: it is as it was");
     b.shares(0, 100, 3);
   }
@@ -800,7 +871,8 @@
   t.storesCheck = true, t.secondCopies = false, t.fronts = 20;
   Bench b(t);
   b.list(3);
-  b.note("danger: probes fail while statements succeed; where replicas check, a due read is the look");
+  b.note(
+      "danger: probes fail while statements succeed; where replicas check, a due read is the look");
   for (int s = 0; s < 3; ++s) b.engine.onProbeEnded(s, false, {}, b.clock);
   b.pass(2500);
   b.arrive(0);
@@ -812,7 +884,8 @@
     EngineSettings t = Bench::terms({kAny});
     t.goneBinds = binds;
     Bench b(t);
-    b.note(binds ? "where it binds: nothing is sent until the list is back" : "an empty list, not binding");
+    b.note(binds ? "where it binds: nothing is sent until the list is back"
+                 : "an empty list, not binding");
     b.list(2), b.list(0);
     b.arrive(0, 300);
     b.round();
@@ -838,15 +911,17 @@
   }
 }
 
-// Danger: a statement answered past half of its client's time, with nothing ever sent, leaves the client too
-// little to try again.
+// Danger: a statement answered past half of its client's time, with nothing ever sent, leaves the
+// client too little to try again.
 void lateWait() {
   EngineSettings t = Bench::terms({kWrite, kBounded});
   t.workloads[0].lateShare = 0.3, t.workloads[1].lateShare = 0.2;
   Bench b(t);
   b.list(2);
   b.report(1, 10);
-  b.note("the primary dies: a write and a bounded read past their SLO time wait less than half their 2 s");
+  b.note(
+      "the primary dies: a write and a bounded read past their SLO time wait less than half their "
+      "2 s");
   int first = b.arrive(0);
   b.round();
   b.answer(first, AttemptOutcome::connectFailed);
@@ -855,14 +930,15 @@
   b.pass(1200);
 }
 
-// Danger: an answer that can't be read, or one connection that ends, taken for a death, would block store after
-// store and make each cold for its warm-up time.
+// Danger: an answer that can't be read, or one connection that ends, taken for a death, would block
+// store after store and make each cold for its warm-up time.
 void oneEnd() {
   Bench b(Bench::terms({kAny}));
   b.list(3);
   for (AttemptOutcome ending : {AttemptOutcome::malformedResponse, AttemptOutcome::reset}) {
-    b.note(ending == AttemptOutcome::malformedResponse ? "every tenth answer is spoilt, at all stores alike"
-                                    : "every tenth answer ends with its connection");
+    b.note(ending == AttemptOutcome::malformedResponse
+               ? "every tenth answer is spoilt, at all stores alike"
+               : "every tenth answer ends with its connection");
     int k = 0;
     b.quiet = true;
     for (int round = 0; round < 300; ++round) {
@@ -880,7 +956,8 @@
     b.quiet = false;
     std::printf("%d of 300 were sent at once\n", k);
   }
-  b.note("then a statement that its store calls wrong: it is answered, and no other store is asked");
+  b.note(
+      "then a statement that its store calls wrong: it is answered, and no other store is asked");
   int statement = b.arrive(0);
   b.round();
   b.answer(statement, AttemptOutcome::invalid);
@@ -911,13 +988,16 @@
   b.pass(3000);
 }
 
-// Danger: a read that leaves late, as its connection came up late, would find data older than its bound.
+// Danger: a read that leaves late, as its connection came up late, would find data older than its
+// bound.
 void sendBy() {
   Bench b(Bench::terms({kBounded, kAny, kWrite}));
   b.bySend = true;
   b.list(2);
   b.report(1, 60);
-  b.note("a bounded read may leave until its replica's position is as old as the bound, others until their end");
+  b.note(
+      "a bounded read may leave until its replica's position is as old as the bound, others until "
+      "their end");
   int late = b.arrive(0);
   b.arrive(1), b.arrive(2);
   b.round();
@@ -928,7 +1008,8 @@
   b.round();
 }
 
-// What was read by a clock before it was set and what is read by it since, told by who gets the reads.
+// What was read by a clock before it was set and what is read by it since, told by who gets the
+// reads.
 void clockSteps() {
   for (double ahead : {150.0, -150.0}) {
     EngineSettings t = Bench::terms({kBounded, kSession, kWrite});
@@ -941,8 +1022,11 @@
     int write = b.arrive(2);
     b.round();
     b.answer(write, AttemptOutcome::ok, Role::primary, 0, 30);
-    b.note(ahead > 0 ? "set ahead by 150 ms: the replica's position counts as older, and the session's commit with it"
-                     : "set back by 150 ms: the position stays as it was, the commit is later by all of it");
+    b.note(
+        ahead > 0
+            ? "set ahead by 150 ms: the replica's position counts as older, and the session's "
+              "commit with it"
+            : "set back by 150 ms: the position stays as it was, the commit is later by all of it");
     b.engine.onClockStepped(ms(ahead));
     b.arrive(0), b.arrive(1);
     b.round();
@@ -964,15 +1048,18 @@
   b.report(1, -160), b.round();
 }
 
-// Danger: a primary that was cut off for a while, taken for cold, would leave writes waiting for a warm-up.
+// Danger: a primary that was cut off for a while, taken for cold, would leave writes waiting for a
+// warm-up.
 void cutOff() {
   for (bool primary : {true, false}) {
     Bench b(Bench::terms({kWrite}));
     b.list(3);
     int first = b.arrive(0);
     b.round();
-    b.note(primary ? "the primary is out of reach, then reports as primary: it was cut off, writes go on"
-                   : "it reports as replica: it died, and the new primary gets the writes");
+    b.note(
+        primary
+            ? "the primary is out of reach, then reports as primary: it was cut off, writes go on"
+            : "it reports as replica: it died, and the new primary gets the writes");
     b.answer(first, AttemptOutcome::connectFailed);
     b.round();
     b.engine.onProbeEnded(0, false, {}, b.clock);
@@ -985,15 +1072,17 @@
   }
 }
 
-// Danger: a primary dies and comes back as a replica that catches up. Its position stands at what it was last seen with,
-// so its report seemed older than its role, and bounded reads went to it as to a primary.
+// Danger: a primary dies and comes back as a replica that catches up. Its position stands at what
+// it was last seen with, so its report seemed older than its role, and bounded reads went to it as
+// to a primary.
 void primaryReturns() {
   Bench b(Bench::terms({kBounded, kWrite}), 3);
   int writes = 0, reads = 0;
   for (int k = 0; k < 100; ++k) {
     b.ask(1);
     writes += b.last == 0;
-    if (b.last == 0) b.answer(b.lastStmt, AttemptOutcome::ok, Role::primary, b.lastExecution, -1, 10);
+    if (b.last == 0)
+      b.answer(b.lastStmt, AttemptOutcome::ok, Role::primary, b.lastExecution, -1, 10);
     b.pass(20);
   }
   std::printf("while it is primary, writes go to it: %s\n", writes > 0 ? "yes" : "no");
@@ -1004,14 +1093,15 @@
   for (int k = 0; k < 50; ++k) {
     b.ask(0, 2000, 20);
     reads += b.last == 0;
-    if (b.last == 0) b.answer(b.lastStmt, AttemptOutcome::ok, Role::unknown, b.lastExecution, -1, 10);
+    if (b.last == 0)
+      b.answer(b.lastStmt, AttemptOutcome::ok, Role::unknown, b.lastExecution, -1, 10);
   }
   std::printf("started again, it reports as replica with what it had: bounded reads go to it: %s\n",
               reads > 0 ? "yes" : "no");
 }
 
-// A report names the primary between the send of a write and its answer as primary: that answer still makes it sure, and
-// bounded reads that find no fresh replica go there.
+// A report names the primary between the send of a write and its answer as primary: that answer
+// still makes it sure, and bounded reads that find no fresh replica go there.
 void reportCrosses() {
   Bench b(Bench::terms({kBounded, kWrite}));
   b.quiet = true;
@@ -1025,8 +1115,8 @@
   std::printf("a bounded read after that: %s\n", b.last == primary ? "sent to it" : "waits");
 }
 
-// Danger: a light front hears of a jam once in seconds. By one small cut each, a hundred of them held a primary's
-// queue at three seconds; its writes were late, and it looked silent.
+// Danger: a light front hears of a jam once in seconds. By one small cut each, a hundred of them
+// held a primary's queue at three seconds; its writes were late, and it looked silent.
 void jammedPrimary() {
   constexpr int kFronts = 100;
   constexpr double kEach = 1000.0 / 75;  // ms that a write takes; they come at a hundred a second
@@ -1040,7 +1130,9 @@
   std::ranlux24_base chance(7);
   for (int k = 0; k < kFronts; ++k)
     fronts.push_back(std::make_unique<Bench>(Bench::terms({kWrite}, kFronts, k), 1));
-  std::printf("-- %d fronts, a write a second each; the primary can do 75 a second, one after the other\n", kFronts);
+  std::printf(
+      "-- %d fronts, a write a second each; the primary can do 75 a second, one after the other\n",
+      kFronts);
   TimePoint now = fronts[0]->clock, free = now;
   int inTime = 0, late = 0;
   for (int step = 1; step <= 8000; ++step) {
@@ -1048,7 +1140,8 @@
     std::erase_if(queue, [&](const Out& o) {
       if (o.done > now) return false;
       o.front->clock = now;
-      o.front->answer(o.statement, AttemptOutcome::ok, Role::primary, 0, -1, (now - o.sent).seconds() * 1000);
+      o.front->answer(o.statement, AttemptOutcome::ok, Role::primary, 0, -1,
+                      (now - o.sent).seconds() * 1000);
       return ++(now - o.sent <= kWrite.slo ? inTime : late), true;
     });
     for (auto& f : fronts) {
@@ -1060,13 +1153,15 @@
       queue.push_back({f.get(), f->lastStmt, now, free});
     }
     if (step % 2000) continue;
-    std::printf("until %d s: of 1000 about %d in time, %d late, the queue is %d ms long\n", step / 200,
-                (std::exchange(inTime, 0) + 25) / 50 * 50, (std::exchange(late, 0) + 25) / 50 * 50,
+    std::printf("until %d s: of 1000 about %d in time, %d late, the queue is %d ms long\n",
+                step / 200, (std::exchange(inTime, 0) + 25) / 50 * 50,
+                (std::exchange(late, 0) + 25) / 50 * 50,
                 static_cast<int>(std::max(0.0, (free - now).seconds() * 1000 + 50) / 100) * 100);
   }
 }
 
-// Danger: writes that look for another primary while theirs is only jammed spend their tries on replicas.
+// Danger: writes that look for another primary while theirs is only jammed spend their tries on
+// replicas.
 void searchInVain() {
   EngineSettings t = Bench::terms({kWrite}, 100);
   t.mayProbe = false;
@@ -1076,7 +1171,9 @@
     b.last = -1;
     if (k % 60 == 0) b.arrive(0, 5000);
     b.pass(5);
-    if (b.last > 0) ++asked, b.answer(b.lastStmt, AttemptOutcome::notServedHere, Role::replica, b.lastExecution, -1, 1);
+    if (b.last > 0)
+      ++asked, b.answer(b.lastStmt, AttemptOutcome::notServedHere, Role::replica, b.lastExecution,
+                        -1, 1);
     got += b.last == 0;
   }
   std::printf("-- a primary takes writes and answers none for 10 s; another is looked for\n");
@@ -1084,23 +1181,60 @@
 }
 
 const Case kScenarios[] = {
-    {"curve", curve}, {"unmeasured", unmeasured}, {"levels", levels},
-    {"checkedReads", checkedReads}, {"window", window}, {"prompt", prompt},
-    {"drain", drain}, {"nonIdempotent", nonIdempotent}, {"cold", cold},
-    {"coldBurst", coldBurst}, {"switchOver", switchOver}, {"hang", hang},
-    {"overload", overload}, {"fastErrors", fastErrors}, {"longReads", longReads},
-    {"askedList", askedList}, {"emptyList", emptyList}, {"untrueReport", untrueReport},
-    {"deadStore", deadStore}, {"coldDebt", coldDebt}, {"fullTable", fullTable},
-    {"readAsLook", readAsLook}, {"probesEarned", probesEarned}, {"repeats", repeats},
-    {"standing", standing}, {"manyFronts", manyFronts}, {"tenantShares", tenantShares},
-    {"paceReturns", paceReturns}, {"coldPrimary", coldPrimary}, {"firstReads", firstReads},
-    {"looks", looks}, {"primaryFirst", primaryFirst}, {"zoneDoubt", zoneDoubt}, {"coldSum", coldSum}, {"zoneShares", zoneShares}, {"hostsShared", hostsShared}, {"jammedPrimary", jammedPrimary}, {"searchInVain", searchInVain},
-    {"othersKeep", othersKeep}, {"unasked", unasked}, {"primaryReturns", primaryReturns},
+    {"curve", curve},
+    {"unmeasured", unmeasured},
+    {"levels", levels},
+    {"checkedReads", checkedReads},
+    {"window", window},
+    {"prompt", prompt},
+    {"drain", drain},
+    {"nonIdempotent", nonIdempotent},
+    {"cold", cold},
+    {"coldBurst", coldBurst},
+    {"switchOver", switchOver},
+    {"hang", hang},
+    {"overload", overload},
+    {"fastErrors", fastErrors},
+    {"longReads", longReads},
+    {"askedList", askedList},
+    {"emptyList", emptyList},
+    {"untrueReport", untrueReport},
+    {"deadStore", deadStore},
+    {"coldDebt", coldDebt},
+    {"fullTable", fullTable},
+    {"readAsLook", readAsLook},
+    {"probesEarned", probesEarned},
+    {"repeats", repeats},
+    {"standing", standing},
+    {"manyFronts", manyFronts},
+    {"tenantShares", tenantShares},
+    {"paceReturns", paceReturns},
+    {"coldPrimary", coldPrimary},
+    {"firstReads", firstReads},
+    {"looks", looks},
+    {"primaryFirst", primaryFirst},
+    {"zoneDoubt", zoneDoubt},
+    {"coldSum", coldSum},
+    {"zoneShares", zoneShares},
+    {"hostsShared", hostsShared},
+    {"jammedPrimary", jammedPrimary},
+    {"searchInVain", searchInVain},
+    {"othersKeep", othersKeep},
+    {"unasked", unasked},
+    {"primaryReturns", primaryReturns},
     {"reportCrosses", reportCrosses},
-    {"lateWait", lateWait}, {"oneEnd", oneEnd}, {"places", places}, {"oneInVain", oneInVain}, {"oneConnection", oneConnection}, {"sendBy", sendBy},
-                       {"clockSteps", clockSteps}, {"cutOff", cutOff},
+    {"lateWait", lateWait},
+    {"oneEnd", oneEnd},
+    {"places", places},
+    {"oneInVain", oneInVain},
+    {"oneConnection", oneConnection},
+    {"sendBy", sendBy},
+    {"clockSteps", clockSteps},
+    {"cutOff", cutOff},
 };
 
 }  // namespace
 
-int main(int argc, char** argv) { return runCase(kScenarios, argc, argv); }
+int main(int argc, char** argv) {
+  return runCase(kScenarios, argc, argv);
+}
--- a/tests/sched.cpp
+++ b/tests/sched.cpp
@@ -23,7 +23,8 @@
 }
 
 void pair(int (&fds)[2]) {
-  if (socketpair(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK, 0, fds) < 0) throw std::runtime_error("no socketpair");
+  if (socketpair(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK, 0, fds) < 0)
+    throw std::runtime_error("no socketpair");
 }
 
 Task<> after(Scheduler& s, const char* name, double ms) {
@@ -80,8 +81,8 @@
   std::printf("%s ended\n", name);
 }
 
-// Danger: the events of one pass may name a descriptor that was closed earlier in it, and whose number is in
-// use again.
+// Danger: the events of one pass may name a descriptor that was closed earlier in it, and whose
+// number is in use again.
 void reused() {
   Scheduler s;
   int one[2], two[2], three[2];
@@ -190,4 +191,6 @@
 
 }  // namespace
 
-int main(int argc, char** argv) { return runCase(kCases, argc, argv); }
+int main(int argc, char** argv) {
+  return runCase(kCases, argc, argv);
+}
--- a/tests/sim_files.h
+++ b/tests/sim_files.h
@@ -1,4 +1,5 @@
-// A folder in memory whose failures are caused one by one: each step of input or output can be the last one.
+// A folder in memory whose failures are caused one by one: each step of input or output can be the
+// last one.
 #pragma once
 
 #include <map>
@@ -17,7 +18,7 @@
   // The step that doesn't end any more; -1: none. Of an append a part may have been taken by then.
   int killAt = -1;
   enum class Taken { none, some, all } taken = Taken::some;  // of the append that it is killed in
-  int fullFrom = -1, fullTo = -1;  // steps at which the disk is full
+  int fullFrom = -1, fullTo = -1;                            // steps at which the disk is full
   int steps = 0;
   unsigned seed = 1;
 
@@ -31,8 +32,11 @@
     bool last = step();
     File& f = files_[name];
     if (last) {
-      std::size_t part = std::minstd_rand(seed + static_cast<unsigned>(steps))() % (bytes.size() + 1);
-      f.data += bytes.substr(0, taken == Taken::none ? 0 : taken == Taken::all ? bytes.size() : part);
+      std::size_t part = std::minstd_rand(seed + static_cast<unsigned>(steps))() %
+                         (bytes.size() + 1);
+      f.data += bytes.substr(0, taken == Taken::none  ? 0
+                                : taken == Taken::all ? bytes.size()
+                                                      : part);
       throw Killed{};
     }
     f.data += bytes;
@@ -72,7 +76,9 @@
 
   std::string& bytesOf(const std::string& name) { return files_.at(name).data; }
   void remove(const std::string& name) { files_.erase(name); }
-  void rename(const std::string& from, const std::string& to) { files_[to] = files_.at(from), files_.erase(from); }
+  void rename(const std::string& from, const std::string& to) {
+    files_[to] = files_.at(from), files_.erase(from);
+  }
 
  private:
   struct File {
--- a/tests/sizes.cpp
+++ b/tests/sizes.cpp
@@ -13,16 +13,17 @@
 using test::Case;
 using test::Client;
 using test::Drive;
-using test::yes;
 using test::edits;
 using test::runCase;
+using test::yes;
 
 namespace {
 
 // 1,024 entries, indented, with long ids; 32 MB and 256 descriptors, of which 77 are for stores.
 void stores() {
   Drive d(2, 256, "automatic", "", false, 32, "15000000", "", 1022);
-  std::printf("a list of 1,024 is taken: %s\n", yes(d.until("it is", [&] { return d.logged(" full=1 entries=1024"); })));
+  std::printf("a list of 1,024 is taken: %s\n",
+              yes(d.until("it is", [&] { return d.logged(" full=1 entries=1024"); })));
   int most = 0, completed = 0, other = 0;
   std::vector<std::unique_ptr<Client>> clients;
   for (int k = 0; k < 20; ++k) clients.push_back(std::make_unique<Client>(d));
@@ -42,10 +43,12 @@
   }
   std::printf("statements: %d completed, %d otherwise\n", completed, other);
   std::fprintf(stderr, "at most %d KB and %d descriptors\n", d.peakKb(), most);
-  std::printf("within 32 MB: %s; within 256 descriptors: %s\n", yes(d.heldAtMost(32)), yes(most <= 256));
+  std::printf("within 32 MB: %s; within 256 descriptors: %s\n", yes(d.heldAtMost(32)),
+              yes(most <= 256));
   int told = d.toy.executions(1);
   d.toy.setState(700, "draining");
-  std::printf("a change is heard: %s\n", yes(d.until("it is", [&] { return d.logged(" full=0 entries=1"); })));
+  std::printf("a change is heard: %s\n",
+              yes(d.until("it is", [&] { return d.logged(" full=0 entries=1"); })));
   clients[2]->asks("and the next", Client::read("a"));
   std::printf("replicas were used: %s\n", yes(told > 0));
   clients.clear();
@@ -59,15 +62,19 @@
   std::string body = "{\"version\":9,\"full\":true,\"servers\":[[]";
   while (body.size() < 520'000) body += ",[]";
   body += "]}";
-  d.toy.spoilList("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
+  d.toy.spoilList("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" +
+                  body);
   d.toy.setState(1, "draining");
-  std::printf("a list of nothing but brackets is refused: %s\n", yes(d.until("it is", [&] { return d.logged("list_bad"); })));
-  std::printf("the next is taken: %s\n", yes(d.until("it is", [&] { return d.logged("state=draining"); })));
+  std::printf("a list of nothing but brackets is refused: %s\n",
+              yes(d.until("it is", [&] { return d.logged("list_bad"); })));
+  std::printf("the next is taken: %s\n",
+              yes(d.until("it is", [&] { return d.logged("state=draining"); })));
   std::fprintf(stderr, "at most %d KB\n", d.peakKb());
   std::printf("within 32 MB: %s\n", yes(d.heldAtMost(32)));
 }
 
-// Of 64 descriptors 13 are for stores. Twenty-one replicas take connections and say nothing: each of them is probed.
+// Of 64 descriptors 13 are for stores. Twenty-one replicas take connections and say nothing: each
+// of them is probed.
 void places() {
   edits = {{"\"connect_timeout\":250000", "\"connect_timeout\":2000000"}};
   Drive d(22, 64);
@@ -76,11 +83,13 @@
   d.killAndStart();
   Client c(d);
   int completed = 0;
-  for (int k = 0; k < 20; ++k) completed += c.ask(Client::write("a" + std::to_string(k))).find("row") != std::string::npos;
+  for (int k = 0; k < 20; ++k)
+    completed += c.ask(Client::write("a" + std::to_string(k))).find("row") != std::string::npos;
   std::printf("all places wanted for probes that wait: %d of 20 writes completed\n", completed);
 }
 
-// Statements hold all of them; what finds none waits, and its store counts as away no more than before.
+// Statements hold all of them; what finds none waits, and its store counts as away no more than
+// before.
 void noPlace() {
   Drive d(9, 64);
   for (int k = 0; k < 10; ++k) Client(d).ask(Client::read("warm"));
@@ -101,10 +110,16 @@
       if (!row) std::fprintf(stderr, "instead: %s\n", got.c_str());
     }
   }
-  std::printf("13 places, three times 16 slow reads and a write at once: %d reads and %d writes completed\n", completed, writes);
+  std::printf(
+      "13 places, three times 16 slow reads and a write at once: %d reads and %d writes "
+      "completed\n",
+      completed, writes);
 }
 
-const Case kCases[] = {{"sizesStores", stores}, {"sizesPlaces", places}, {"sizesNoPlace", noPlace}, {"sizesNoise", noise}};
+const Case kCases[] = {{"sizesStores", stores},
+                       {"sizesPlaces", places},
+                       {"sizesNoPlace", noPlace},
+                       {"sizesNoise", noise}};
 
 }  // namespace
 
--- a/tests/soak/clients.cpp
+++ b/tests/soak/clients.cpp
@@ -1,4 +1,5 @@
-// Clients: each thread is one that asks over a connection to some front, in good and in bad manners.
+// Clients: each thread is one that asks over a connection to some front, in good and in bad
+// manners.
 #include <sys/prctl.h>
 #include <unistd.h>
 
@@ -24,8 +25,8 @@
       : control_(control),
         recorder_(recorder),
         fronts_(options.fronts),
-        prefix_((static_cast<std::uint64_t>(options.number) + 1) << 32 | static_cast<std::uint64_t>(thread)
-                                                                             << 24),
+        prefix_((static_cast<std::uint64_t>(options.number) + 1) << 32 |
+                static_cast<std::uint64_t>(thread) << 24),
         chance_(static_cast<unsigned>(options.seed * 7919 + prefix_ / 4096 +
                                       static_cast<std::uint64_t>(thread))) {}
 
@@ -62,7 +63,9 @@
     if (oneIn(control_.garbageOneIn)) return sayGarbage();
     if (oneIn(control_.stopsOneIn)) return stopMidway();
     if (oneIn(control_.restsOneIn)) usleep(below(1'500'000));
-    int statements = oneIn(control_.pipelinesOneIn) ? 2 + static_cast<int>(below(kMostPipelined - 1)) : 1;
+    int statements = oneIn(control_.pipelinesOneIn)
+                         ? 2 + static_cast<int>(below(kMostPipelined - 1))
+                         : 1;
     ask(statements, oneIn(control_.leavesOneIn));
     if (socket_ >= 0 && oneIn(60)) leave(0, false);
   }
@@ -78,10 +81,12 @@
   void leave(std::uint64_t statement, bool resets) {
     resets ? closeWithReset(socket_) : static_cast<void>(close(socket_));
     socket_ = -1;
-    recorder_.add({.kind = Kind::clientLeft, .statement = statement, .front = front_, .port = port_});
+    recorder_.add(
+        {.kind = Kind::clientLeft, .statement = statement, .front = front_, .port = port_});
   }
   void sawEnd(std::uint64_t statement) {
-    recorder_.add({.kind = Kind::clientSawEnd, .statement = statement, .front = front_, .port = port_});
+    recorder_.add(
+        {.kind = Kind::clientSawEnd, .statement = statement, .front = front_, .port = port_});
     close(socket_), socket_ = -1;
   }
 
@@ -89,10 +94,11 @@
     std::string tail = std::string("/* id=") + std::to_string(id) + ",c=" + w.name +
                        ",cluster=" + std::to_string(below(2)) + ",d=" + std::to_string(deadlineMs) +
                        (w.effect == Effect::deduplicated ? ",k=" + std::to_string(id) : "") + " */";
-    if (!w.write) return "SELECT payload FROM entries WHERE ref = '" + std::to_string(id % 997) + "' " + tail;
+    if (!w.write)
+      return "SELECT payload FROM entries WHERE ref = '" + std::to_string(id % 997) + "' " + tail;
     std::string payload = oneIn(20) ? std::string(2 * (1 + below(30'000)), 'a') : std::string("9f");
-    return "INSERT INTO entries (ref, payload) VALUES ('" + std::to_string(id % 997) + "', '\\x" + payload +
-           "') RETURNING payload " + tail;
+    return "INSERT INTO entries (ref, payload) VALUES ('" + std::to_string(id % 997) + "', '\\x" +
+           payload + "') RETURNING payload " + tail;
   }
 
   void ask(int count, bool leavesEarly) {
@@ -101,7 +107,8 @@
     std::string bytes;
     for (int k = 0; k < count; ++k) {
       const Workload& w = kWorkloads[below(static_cast<unsigned>(std::size(kWorkloads)))];
-      int deadlineMs = oneIn(25) ? 5 + static_cast<int>(below(60)) : 300 + static_cast<int>(below(1'200));
+      int deadlineMs = oneIn(25) ? 5 + static_cast<int>(below(60))
+                                 : 300 + static_cast<int>(below(1'200));
       std::uint64_t id = prefix_ + ++counter_;
       bytes += queryMessage(statement(id, w, deadlineMs));
       asked.push_back({id, deadlineMs * 1000});
@@ -133,7 +140,8 @@
       std::optional<Message> m = takeMessage(in_);
       if (m && (m->type == 'D' || m->type == 'E')) answered(asked[next].id, *m), ++next;
       if (m) continue;
-      std::int64_t now = monotonicUs(), until = std::min({leavesAt, last + kPatienceUs, now + 20'000});
+      std::int64_t now = monotonicUs(),
+                   until = std::min({leavesAt, last + kPatienceUs, now + 20'000});
       if (waitReadable(socket_, until) == Wait::readable) {
         if (readSome(socket_, in_) <= 0) return sawEnd(asked[next].id);
         continue;
@@ -161,8 +169,10 @@
   void stopMidway() {
     std::string whole = queryMessage(statement(prefix_ + ++counter_, kWorkloads[0], 1'000));
     if (!put(whole.substr(0, 1 + below(static_cast<unsigned>(whole.size() - 1))))) return;
-    recorder_.add(
-        {.kind = Kind::clientStopped, .statement = prefix_ + counter_, .front = front_, .port = port_});
+    recorder_.add({.kind = Kind::clientStopped,
+                   .statement = prefix_ + counter_,
+                   .front = front_,
+                   .port = port_});
     std::int64_t until = monotonicUs() + kStoppedUs;
     while (waitReadable(socket_, until) == Wait::readable)
       if (readSome(socket_, in_) <= 0) return sawEnd(prefix_ + counter_);
@@ -220,6 +230,8 @@
   _exit(0);
 }
 
-std::string frontHost(int k) { return "127.0.1." + std::to_string(k + 1); }
+std::string frontHost(int k) {
+  return "127.0.1." + std::to_string(k + 1);
+}
 
 }  // namespace soak
--- a/tests/soak/control.h
+++ b/tests/soak/control.h
@@ -1,4 +1,5 @@
-// Memory that the controller shares with all its peers: what each of them is to do wrong at this moment.
+// Memory that the controller shares with all its peers: what each of them is to do wrong at this
+// moment.
 #pragma once
 
 #include <atomic>
--- a/tests/soak/faults.h
+++ b/tests/soak/faults.h
@@ -30,7 +30,8 @@
   std::atomic<int> next;    // so many of the next calls fail
   std::atomic<int> error;   // with this; 0: one of those that Linux documents, drawn each time
   std::atomic<int> failed;  // how many have failed so far
-  std::atomic<int> stops;   // before so many of the next calls the process stops itself, as by SIGSTOP
+  std::atomic<int>
+      stops;  // before so many of the next calls the process stops itself, as by SIGSTOP
 };
 
 struct FrontControl {
--- a/tests/soak/faulty_machine.cpp
+++ b/tests/soak/faulty_machine.cpp
@@ -1,7 +1,7 @@
-// Loaded into the fronts of the soak: system calls fail now and then as Linux documents, the wall clock is
-// shifted, and what the front does on its connections is recorded at the call itself. SOAK_FAULTS names the
-// file of its FrontControl, SOAK_EVENTS the file of its events, SOAK_FRONT its number; SOAK_SIGNAL a signal
-// that comes as the process begins.
+// Loaded into the fronts of the soak: system calls fail now and then as Linux documents, the wall
+// clock is shifted, and what the front does on its connections is recorded at the call itself.
+// SOAK_FAULTS names the file of its FrontControl, SOAK_EVENTS the file of its events, SOAK_FRONT
+// its number; SOAK_SIGNAL a signal that comes as the process begins.
 #include <arpa/inet.h>
 #include <dlfcn.h>
 #include <fcntl.h>
@@ -50,12 +50,15 @@
 
   Machine() {
     if (const char* number = std::getenv("SOAK_FRONT")) front = std::atoi(number);
-    if (const char* path = std::getenv("SOAK_EVENTS")) recorder = std::make_unique<soak::Recorder>(path);
+    if (const char* path = std::getenv("SOAK_EVENTS"))
+      recorder = std::make_unique<soak::Recorder>(path);
     random ^= static_cast<std::uint64_t>(soak::monotonicUs()) << 16;
     const char* path = std::getenv("SOAK_FAULTS");
-    int file = path ? static_cast<int>(syscall(SYS_openat, AT_FDCWD, path, O_RDWR | O_CLOEXEC, 0)) : -1;
+    int file = path ? static_cast<int>(syscall(SYS_openat, AT_FDCWD, path, O_RDWR | O_CLOEXEC, 0))
+                    : -1;
     if (file < 0) return;
-    void* map = mmap(nullptr, sizeof(soak::FrontControl), PROT_READ | PROT_WRITE, MAP_SHARED, file, 0);
+    void* map = mmap(nullptr, sizeof(soak::FrontControl), PROT_READ | PROT_WRITE, MAP_SHARED, file,
+                     0);
     syscall(SYS_close, file);
     if (map != MAP_FAILED) faults = static_cast<soak::FrontControl*>(map);
   }
@@ -68,7 +71,8 @@
     if (!faults) return false;
     soak::CallFaults& f = faults->of(call);
     if (f.stops.load(std::memory_order_relaxed) > 0) --f.stops, raise(SIGSTOP);
-    int left = f.next.load(std::memory_order_relaxed), rate = f.rate.load(std::memory_order_relaxed);
+    int left = f.next.load(std::memory_order_relaxed),
+        rate = f.rate.load(std::memory_order_relaxed);
     bool fails = left > 0 || (rate > 0 && draw() % kOf < static_cast<unsigned>(rate));
     if (!fails) return false;
     if (left > 0) --f.next;
@@ -170,9 +174,10 @@
 }
 
 int accept4(int fd, sockaddr* address, socklen_t* size, int flags) {
-  static const int errors[] = {ECONNABORTED, EINTR,      EMFILE,    ENFILE,       ENOBUFS,     ENOMEM,
-                               EPROTO,       EPERM,      ENETDOWN,  EHOSTUNREACH, ENETUNREACH, ENONET,
-                               ETIMEDOUT,    EOPNOTSUPP, EHOSTDOWN, ENOPROTOOPT};
+  static const int errors[] = {ECONNABORTED, EINTR,        EMFILE,      ENFILE,
+                               ENOBUFS,      ENOMEM,       EPROTO,      EPERM,
+                               ENETDOWN,     EHOSTUNREACH, ENETUNREACH, ENONET,
+                               ETIMEDOUT,    EOPNOTSUPP,   EHOSTDOWN,   ENOPROTOOPT};
   if (fails(soak::Call::accept, errors)) return -1;
   sockaddr_in from{};
   socklen_t its = sizeof from;
@@ -218,7 +223,8 @@
   if (interrupted() || fails(soak::Call::send, errors)) return -1;
   Descriptor* d = m.at(fd);
   if (d) noteAttempt(*d, {static_cast<const char*>(bytes), size});
-  if (size > 1 && m.strikes(soak::Call::shortSend)) size = 1 + m.draw() % std::min<std::size_t>(size, 64);
+  if (size > 1 && m.strikes(soak::Call::shortSend))
+    size = 1 + m.draw() % std::min<std::size_t>(size, 64);
   ssize_t n = syscall(SYS_sendto, fd, bytes, size, flags, nullptr, 0);
   if (d) noteWritten(*d, n);
   return n;
@@ -231,7 +237,8 @@
 
 int close(int fd) {
   if (Descriptor* d = machine().at(fd)) {
-    if (d->accepted) machine().record({.kind = Kind::frontClosed, .port = d->port, .value = d->read});
+    if (d->accepted)
+      machine().record({.kind = Kind::frontClosed, .port = d->port, .value = d->read});
     *d = Descriptor{};
   }
   return static_cast<int>(syscall(SYS_close, fd));
@@ -255,7 +262,9 @@
   return next<std::FILE* (*)(const char*, const char*)>("fopen")(path, mode);
 }
 
-std::FILE* fopen64(const char* path, const char* mode) { return fopen(path, mode); }
+std::FILE* fopen64(const char* path, const char* mode) {
+  return fopen(path, mode);
+}
 
 int open(const char* path, int flags, ...) {
   static const int errors[] = {EMFILE, ENFILE, EIO, EINTR};
@@ -273,10 +282,12 @@
   return static_cast<int>(syscall(SYS_epoll_ctl, epoll, what, fd, event));
 }
 
-int epoll_pwait2(int epoll, epoll_event* events, int most, const timespec* left, const sigset_t* signals) {
+int epoll_pwait2(int epoll, epoll_event* events, int most, const timespec* left,
+                 const sigset_t* signals) {
   static const int errors[] = {EPERM};
   if (interrupted() || fails(soak::Call::exactWait, errors)) return -1;
-  int count = static_cast<int>(syscall(SYS_epoll_pwait2, epoll, events, most, left, signals, _NSIG / 8));
+  int count =
+      static_cast<int>(syscall(SYS_epoll_pwait2, epoll, events, most, left, signals, _NSIG / 8));
   // Held up here, a process has events that are old by the time at which it looks at its clock.
   if (count > 0) machine().strikes(soak::Call::wait);
   return count;
--- a/tests/soak/fleet.cpp
+++ b/tests/soak/fleet.cpp
@@ -98,7 +98,8 @@
     f.faultsPath = path("front" + std::to_string(front) + ".faults");
     f.configPath = path("front" + std::to_string(front) + ".json");
     int file = open(f.faultsPath.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0644);
-    if (file < 0 || ftruncate(file, sizeof(FrontControl)) < 0) throw std::runtime_error("no file for faults");
+    if (file < 0 || ftruncate(file, sizeof(FrontControl)) < 0)
+      throw std::runtime_error("no file for faults");
     f.faults = shared<FrontControl>(file);
     close(file);
     startFront(front);
@@ -108,7 +109,8 @@
     for (int front = 0; front < options_.fronts; ++front) all = all && answers(front);
     if (!all) continue;
     for (int k = 0; k < options_.clientProcesses; ++k) {
-      ClientOptions c{k, 4, options_.fronts, options_.seed, path("client" + std::to_string(k) + ".events")};
+      ClientOptions c{k, 4, options_.fronts, options_.seed,
+                      path("client" + std::to_string(k) + ".events")};
       clients_.push_back(forkPeer([&] { runClients(*control_, c); }));
     }
     return true;
@@ -148,7 +150,8 @@
   for (int k = 0; k < options_.fronts; ++k)
     if (frontRuns(k)) stopFront(k, false), terminateFront(k);
   auto anyRuns = [&] {
-    return std::any_of(fronts_.begin(), fronts_.end(), [](const FrontProcess& f) { return f.pid > 0; });
+    return std::any_of(fronts_.begin(), fronts_.end(),
+                       [](const FrontProcess& f) { return f.pid > 0; });
   };
   for (until = monotonicUs() + kEndUs; anyRuns() && monotonicUs() < until; usleep(10'000)) reap();
   for (int k = 0; k < options_.fronts; ++k)
@@ -228,40 +231,45 @@
     const char* repeat = w.effect == Effect::repeatable ? "repeatable"
                          : w.effect == Effect::once     ? "once"
                                                         : "by_key";
-    classes += std::string(classes.empty() ? "" : ",") + "{\"name\":\"" + w.name + "\",\"repeat\":\"" +
-               repeat + "\"" +
-               (w.effect == Effect::deduplicated ? ",\"key_scope\":\"cell\",\"repeat_window\":" +
-                                                       std::to_string(options_.repeatWindowMs * 1000)
-                                                 : "") +
+    classes += std::string(classes.empty() ? "" : ",") + "{\"name\":\"" + w.name +
+               "\",\"repeat\":\"" + repeat + "\"" +
+               (w.effect == Effect::deduplicated
+                    ? ",\"key_scope\":\"cell\",\"repeat_window\":" +
+                          std::to_string(options_.repeatWindowMs * 1000)
+                    : "") +
                ",\"slo\":500000,\"worth\":" + (w.write ? "4" : "1") + ",\"late_worth\":0.2}";
   }
   return "{\"classes\":[" + classes +
          "],\"extra\":{\"read_level\":[\"eventual\",\"lag_bound\",\"mutate\",\"mutate\"],"
          "\"lag_allowed\":[0," +
          std::to_string(kWorkloads[1].boundUs) +
-         ",0,0],\"origin_time\":0,\"role_in_list\":\"static\",\"checks\":\"none\",\"tokens\":\"brought\"},"
+         ",0,0],\"origin_time\":0,\"role_in_list\":\"static\",\"checks\":\"none\",\"tokens\":"
+         "\"brought\"},"
          "\"failure_domains\":[\"a\"],\"membership_mode\":\"" +
          (options_.asksForList ? "subscribe" : "automatic") +
          "\",\"siblings\":" + std::to_string(options_.fronts) +
-         ",\"tick\":5000,\"limits\":{\"connect_timeout\":250000,\"keepalive\":15000000,\"max_attempts\":" +
+         ",\"tick\":5000,\"limits\":{\"connect_timeout\":250000,\"keepalive\":15000000,\"max_"
+         "attempts\":" +
          std::to_string(options_.mostAttempts) + ",\"may_cancel\":" + truth(options_.mayCancel) +
          ",\"parallel_tries\":" + truth(options_.secondCopies) +
          ",\"probes\":true,\"retry_after\":true,\"max_retry_after\":2000000},"
-         "\"obligations\":{\"ask_every\":2000000,\"cold_from\":0.27,\"fall_multiple\":2.5,\"ramp_time\":"
+         "\"obligations\":{\"ask_every\":2000000,\"cold_from\":0.27,\"fall_multiple\":2.5,\"ramp_"
+         "time\":"
          "4000000,"
          "\"tip_after\":1000000,\"stop_sending_within\":" +
-         std::to_string(options_.drainGraceMs * 1000) + "},\"prices\":{\"probe\":0.016},\"realms\":[]}";
+         std::to_string(options_.drainGraceMs * 1000) +
+         "},\"prices\":{\"probe\":0.016},\"realms\":[]}";
 }
 
 void Fleet::configure(int front) {
   FrontProcess& f = frontAt(front);
-  std::string text = "{\"name\":\"n" + std::to_string(front) + "\",\"listen\":\"" + frontHost(front) + ":" +
-                     std::to_string(control_->frontPort[front]) +
+  std::string text = "{\"name\":\"n" + std::to_string(front) + "\",\"listen\":\"" +
+                     frontHost(front) + ":" + std::to_string(control_->frontPort[front]) +
                      "\",\"discovery\":\"127.0.0.1:" + std::to_string(f.agentPorts[f.agent]) +
                      "\",\"seed\":\"" + std::to_string(10'000'000 + options_.seed % 1'000'000) +
                      "\",\"limits\":{\"sockets\":" + std::to_string(options_.descriptors) +
-                     ",\"memory_mb\":64},\"known\":" + wholeList(*control_) + ",\"settings\":" + settings() +
-                     "}";
+                     ",\"memory_mb\":64},\"known\":" + wholeList(*control_) +
+                     ",\"settings\":" + settings() + "}";
   std::string aside = f.configPath + ".new";
   std::ofstream(aside) << text;
   std::rename(aside.c_str(), f.configPath.c_str());
@@ -275,7 +283,8 @@
   f.pid = fork();
   if (f.pid != 0) return;
   prctl(PR_SET_PDEATHSIG, SIGKILL);
-  int log = open(path("front" + std::to_string(front) + ".log").c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644);
+  int log = open(path("front" + std::to_string(front) + ".log").c_str(),
+                 O_WRONLY | O_CREAT | O_APPEND, 0644);
   dup2(log, 2);
   setenv("LB_CONFIG", f.configPath.c_str(), 1);
   setenv("SOAK_FAULTS", f.faultsPath.c_str(), 1);
@@ -284,7 +293,8 @@
   setenv("LD_PRELOAD", options_.library.c_str(), 1);
   // ASan asks to be the first that is loaded; nothing of its own is replaced here.
   const char* had = std::getenv("ASAN_OPTIONS");
-  setenv("ASAN_OPTIONS", ((had ? std::string(had) + ":" : "") + "verify_asan_link_order=0").c_str(), 1);
+  setenv("ASAN_OPTIONS", ((had ? std::string(had) + ":" : "") + "verify_asan_link_order=0").c_str(),
+         1);
   execl(options_.program.c_str(), options_.program.c_str(), static_cast<char*>(nullptr));
   _exit(127);
 }
--- a/tests/soak/fleet.h
+++ b/tests/soak/fleet.h
@@ -1,4 +1,5 @@
-// The processes of one run: fronts with the fault library, stores, proxies, the list's service and clients.
+// The processes of one run: fronts with the fault library, stores, proxies, the list's service and
+// clients.
 #pragma once
 
 #include <sys/types.h>
@@ -34,7 +35,8 @@
   bool begin();
   // Takes up which processes have ended.
   void reap();
-  // Clients ask nothing new, and the fronts end as they do for a restart; false where something stays.
+  // Clients ask nothing new, and the fronts end as they do for a restart; false where something
+  // stays.
   bool finish();
 
   void startStore(int store, bool withOldData);
@@ -54,7 +56,9 @@
   void reloadFront(int front, int agent);
   bool frontRuns(int front) const { return fronts_[static_cast<std::size_t>(front)].pid > 0; }
   int frontStarts(int front) const { return fronts_[static_cast<std::size_t>(front)].starts; }
-  std::int64_t frontEndedAt(int front) const { return fronts_[static_cast<std::size_t>(front)].endedAt; }
+  std::int64_t frontEndedAt(int front) const {
+    return fronts_[static_cast<std::size_t>(front)].endedAt;
+  }
 
   Control& control() { return *control_; }
   FrontControl& faults(int front) { return *fronts_[static_cast<std::size_t>(front)].faults; }
--- a/tests/soak/list.cpp
+++ b/tests/soak/list.cpp
@@ -19,10 +19,11 @@
   const char* state = listed == static_cast<int>(ListState::up)         ? "up"
                       : listed == static_cast<int>(ListState::draining) ? "draining"
                                                                         : "removed";
-  return "{\"id\":\"s-" + std::to_string(store) + "\",\"addr\":\"127.0.0.1:" + std::to_string(s.proxyPort) +
-         "\",\"zone\":\"a\",\"kind\":\"m\",\"cell\":" + std::to_string(s.group) + ",\"state\":\"" + state +
-         "\",\"weight\":1.0,\"started_ms\":" + std::to_string(s.startedMs) + ",\"access\":\"" +
-         (s.primary ? "writer" : "reader") + "\"}";
+  return "{\"id\":\"s-" + std::to_string(store) +
+         "\",\"addr\":\"127.0.0.1:" + std::to_string(s.proxyPort) +
+         "\",\"zone\":\"a\",\"kind\":\"m\",\"cell\":" + std::to_string(s.group) + ",\"state\":\"" +
+         state + "\",\"weight\":1.0,\"started_ms\":" + std::to_string(s.startedMs) +
+         ",\"access\":\"" + (s.primary ? "writer" : "reader") + "\"}";
 }
 
 std::string listing(std::int64_t version, bool full, const std::string& entries) {
@@ -33,20 +34,27 @@
 std::string changesSince(const Control& control, std::int64_t version, std::int64_t known) {
   std::string entries;
   for (int k = 0; k < control.storeCount; ++k)
-    if (control.stores[k].listed != static_cast<int>(ListState::absent) && control.changedAt[k] > known)
+    if (control.stores[k].listed != static_cast<int>(ListState::absent) &&
+        control.changedAt[k] > known)
       entries += (entries.empty() ? "" : ",") + entry(control, k);
   return listing(version, false, entries);
 }
 
 std::int64_t figure(const std::string& head, const std::string& name) {
   std::size_t at = head.find(name);
-  return at == std::string::npos ? -1 : static_cast<std::int64_t>(numberOf(head.substr(at + name.size())));
+  return at == std::string::npos
+             ? -1
+             : static_cast<std::int64_t>(numberOf(head.substr(at + name.size())));
 }
 
 class ListCall {
  public:
   ListCall(Control& control, const ListOptions::Agent& agent, const Recorder& recorder, int socket)
-      : control_(control), agent_(agent), recorder_(recorder), socket_(socket), resets_(control.resetLists) {}
+      : control_(control),
+        agent_(agent),
+        recorder_(recorder),
+        socket_(socket),
+        resets_(control.resetLists) {}
 
   void run() {
     std::string in;
@@ -86,8 +94,9 @@
     // Danger: the version is read first: what changes meanwhile is told again with the next one.
     std::int64_t version = control_.listVersion;
     std::string body = known < 0 ? wholeList(control_) : changesSince(control_, version, known);
-    bool written = writeAll(socket_, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: " +
-                                         std::to_string(body.size()) + "\r\n\r\n" + body);
+    bool written = writeAll(
+        socket_, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: " +
+                     std::to_string(body.size()) + "\r\n\r\n" + body);
     if (written) recorder_.add({.kind = Kind::listTold, .front = agent_.front, .value = version});
     return written;
   }
@@ -111,7 +120,8 @@
   std::string entries;
   for (int k = 0; k < control.storeCount; ++k) {
     int listed = control.stores[k].listed;
-    if (listed == static_cast<int>(ListState::up) || listed == static_cast<int>(ListState::draining))
+    if (listed == static_cast<int>(ListState::up) ||
+        listed == static_cast<int>(ListState::draining))
       entries += (entries.empty() ? "" : ",") + entry(control, k);
   }
   return listing(version, true, entries);
--- a/tests/soak/main.cpp
+++ b/tests/soak/main.cpp
@@ -1,8 +1,8 @@
-// The soak: some thirty real processes on loopback under troubles drawn from a seed, judged by what they
-// recorded.
+// The soak: some thirty real processes on loopback under troubles drawn from a seed, judged by what
+// they recorded.
 //   soak PROGRAM LIBRARY [--seed N] [--runs N] [--seconds N] [--fronts N] [--keep FOLDER]
-// Each run prints its troubles, its counts and the violations that were found; exit code 1 where there was
-// one. With
+// Each run prints its troubles, its counts and the violations that were found; exit code 1 where
+// there was one. With
 // --keep the folder of a run that found something stays, with the logs of its fronts.
 #include <unistd.h>
 
@@ -45,9 +45,10 @@
 
 void tell(const Verdict& verdict) {
   std::printf(
-      "  statements=%zu served=%zu refused=%zu failed=%zu left=%zu resent=%zu excused=%zu attempts=%zu\n",
-      verdict.statements, verdict.served, verdict.refused, verdict.failed, verdict.left, verdict.resent,
-      verdict.excused, verdict.attempts);
+      "  statements=%zu served=%zu refused=%zu failed=%zu left=%zu resent=%zu excused=%zu "
+      "attempts=%zu\n",
+      verdict.statements, verdict.served, verdict.refused, verdict.failed, verdict.left,
+      verdict.resent, verdict.excused, verdict.attempts);
   std::map<std::string, std::size_t> counts;
   for (const Violation& v : verdict.violations) {
     if (++counts[v.rule] > kMostTold) continue;
@@ -88,7 +89,8 @@
   Verdict verdict = judge(readEvents(folder), judgedBy);
   tell(verdict);
   std::size_t own = countLines(folder, " invariant_violated ", true) +
-                    countLines(folder, " answers_missing ", true) + countLines(folder, " fault ", true);
+                    countLines(folder, " answers_missing ", true) +
+                    countLines(folder, " fault ", true);
   good = good && verdict.violations.empty() && own == 0 && verdict.served > 0;
   std::printf("seed %llu: %s\n", static_cast<unsigned long long>(seed), good ? "kept" : "BROKEN");
   std::fflush(stdout);
@@ -132,13 +134,14 @@
 int main(int argc, char** argv) {
   soak::Options options;
   if (!soak::readOptions(argc, argv, options)) {
-    std::fprintf(
-        stderr,
-        "usage: soak PROGRAM LIBRARY [--seed N] [--runs N] [--seconds N] [--fronts N] [--keep FOLDER]\n");
+    std::fprintf(stderr,
+                 "usage: soak PROGRAM LIBRARY [--seed N] [--runs N] [--seconds N] [--fronts N] "
+                 "[--keep FOLDER]\n");
     return 2;
   }
   std::uint64_t broken = 0;
-  for (std::uint64_t k = 0; k < options.runs; ++k) broken += !soak::runOnce(options, options.seed + k);
+  for (std::uint64_t k = 0; k < options.runs; ++k)
+    broken += !soak::runOnce(options, options.seed + k);
   std::printf("%llu runs, %llu broken\n", static_cast<unsigned long long>(options.runs),
               static_cast<unsigned long long>(broken));
   return broken > 0;
--- a/tests/soak/oracle.cpp
+++ b/tests/soak/oracle.cpp
@@ -11,10 +11,13 @@
 namespace soak {
 namespace {
 
-constexpr std::int64_t kStillOwedUs = 500'000;     // after its time an answer earns nothing; later it is lost
-constexpr std::int64_t kLeftSlackUs = 100'000;     // an attempt may begin so long after its client has gone
-constexpr std::int64_t kToldSlackUs = 150'000;     // more than is left, that a store may be told
-constexpr std::int64_t kStoppedUs = 3'000'000;     // that a client which stops in the middle is kept waiting
+constexpr std::int64_t kStillOwedUs =
+    500'000;  // after its time an answer earns nothing; later it is lost
+constexpr std::int64_t kLeftSlackUs =
+    100'000;  // an attempt may begin so long after its client has gone
+constexpr std::int64_t kToldSlackUs = 150'000;  // more than is left, that a store may be told
+constexpr std::int64_t kStoppedUs =
+    3'000'000;  // that a client which stops in the middle is kept waiting
 constexpr std::int64_t kToldAnywayUs = 6'000'000;  // a change of the list counts as told by then
 
 // As the fronts' settings have it (fleet.cpp).
@@ -132,8 +135,8 @@
       }
     }
   }
-  // How its connection ended, where it stood without an answer; behind others it is told of the first of
-  // them.
+  // How its connection ended, where it stood without an answer; behind others it is told of the
+  // first of them.
   void findEnd(Story& s) {
     const Event& first = s.sent.statement != 0 ? s.sent : s.all.front();
     auto ends = ends_.find({first.front, first.port});
@@ -227,8 +230,8 @@
       if (run.at <= s.answered->at) return blame("promise", "refused though it had run", s);
   }
 
-  // Nothing is sent after the answer or for a client that has gone; what is left is told; no store that
-  // drains.
+  // Nothing is sent after the answer or for a client that has gone; what is left is told; no store
+  // that drains.
   void checkAttempts(const Story& s) {
     for (const Attempt& a : s.attempts) {
       std::int64_t at = a.began.at;
@@ -252,7 +255,8 @@
     if (drain == drains_.end()) return;
     std::int64_t told = toldAt(a.began.front, a.began.at, drain->second.value);
     if (a.began.at - options_.drainGraceUs - options_.slackUs > told)
-      blame("drain", "an attempt " + ms(a.began.at - told) + " after its store's drain was told", s);
+      blame("drain", "an attempt " + ms(a.began.at - told) + " after its store's drain was told",
+            s);
   }
   // When this front was told of a list's version, in the life in which it is at `at`.
   std::int64_t toldAt(int front, std::int64_t at, std::int64_t version) const {
@@ -310,7 +314,8 @@
     std::int64_t at = received.at;
     for (const Attempt& a : s.attempts) {
       auto store = storePorts_.find(a.began.port);
-      if (store != storePorts_.end() && store->second == received.store) at = std::min(at, a.began.at);
+      if (store != storePorts_.end() && store->second == received.store)
+        at = std::min(at, a.began.at);
     }
     return at;
   }
@@ -322,7 +327,8 @@
       if (stopped == story.all.end()) continue;
       bool ended = story.sawEnd && story.sawEnd->at <= stopped->at + kStoppedUs + options_.slackUs;
       if (!ended && story.left && !killedMeanwhile(*stopped, stopped->at + kStoppedUs))
-        blame("stopped", "a client that stopped in the middle of a message was kept waiting", story);
+        blame("stopped", "a client that stopped in the middle of a message was kept waiting",
+              story);
     }
   }
   void checkFronts() {
@@ -336,29 +342,34 @@
       // One that was told to end before it had begun ends by the signal.
       bool early = e.kind == Kind::frontExited && e.code == SIGTERM && ending[e.front] &&
                    e.at - begun[e.front] < kBeginsUs;
-      if (e.kind == Kind::frontExited && (e.code != 0 || !ending[e.front]) && !killedAt(e) && !early)
-        verdict_.violations.push_back({"crash", "a front ended with status " + std::to_string(e.code), {e}});
+      if (e.kind == Kind::frontExited && (e.code != 0 || !ending[e.front]) && !killedAt(e) &&
+          !early)
+        verdict_.violations.push_back(
+            {"crash", "a front ended with status " + std::to_string(e.code), {e}});
     }
   }
-  // Rule 4: in no window a cold store gets more than its start allows, by the load of the other members of
-  // its group, where two thirds of it come from fronts that were told of the start.
+  // Rule 4: in no window a cold store gets more than its start allows, by the load of the other
+  // members of its group, where two thirds of it come from fronts that were told of the start.
   void checkSlowStart() {
     std::map<int, std::vector<Event>> arrivals;  // by store
     std::map<int, int> groups;
     for (const Event& e : events_) {
       auto store = storePorts_.find(e.port);
-      if (e.kind == Kind::attemptWhole && store != storePorts_.end()) arrivals[store->second].push_back(e);
+      if (e.kind == Kind::attemptWhole && store != storePorts_.end())
+        arrivals[store->second].push_back(e);
       if (e.kind == Kind::storeStarted) groups[e.store] = e.code;
     }
     for (const Event& e : events_)
       if (e.kind == Kind::storeStarted && e.value == 0) checkStart(e, arrivals, groups);
   }
-  static std::vector<Event> within(const std::vector<Event>& all, std::int64_t from, std::int64_t to) {
+  static std::vector<Event> within(const std::vector<Event>& all, std::int64_t from,
+                                   std::int64_t to) {
     auto before = [](const Event& e, std::int64_t at) { return e.at < at; };
     return {std::lower_bound(all.begin(), all.end(), from, before),
             std::lower_bound(all.begin(), all.end(), to, before)};
   }
-  // What a store bears is not told; it is at least what a member of its group has borne in some second.
+  // What a store bears is not told; it is at least what a member of its group has borne in some
+  // second.
   double mostBorne(int group, std::map<int, std::vector<Event>>& arrivals,
                    const std::map<int, int>& groups) const {
     std::size_t most = 0;
@@ -367,14 +378,15 @@
       const std::vector<Event>& all = arrivals[store];
       for (std::int64_t at = all.empty() ? 0 : all.front().at; !all.empty() && at < all.back().at;
            at += kColdWindowUs)
-        if (!startsWithin(store, at)) most = std::max(most, within(all, at, at + kColdWindowUs).size());
+        if (!startsWithin(store, at))
+          most = std::max(most, within(all, at, at + kColdWindowUs).size());
     }
     return static_cast<double>(most);
   }
   bool startsWithin(int store, std::int64_t at) const {
     return std::any_of(events_.begin(), events_.end(), [&](const Event& e) {
-      return e.kind == Kind::storeStarted && e.store == store && e.value == 0 && e.at <= at + kColdWindowUs &&
-             static_cast<double>(at - e.at) < kColdRampUs;
+      return e.kind == Kind::storeStarted && e.store == store && e.value == 0 &&
+             e.at <= at + kColdWindowUs && static_cast<double>(at - e.at) < kColdRampUs;
     });
   }
   void checkStart(const Event& start, std::map<int, std::vector<Event>>& arrivals,
@@ -382,13 +394,16 @@
     double borne = mostBorne(start.code, arrivals, groups);
     for (std::int64_t age = 0; static_cast<double>(age) < kColdRampUs; age += kColdWindowUs / 4) {
       std::int64_t from = start.at + age, to = from + kColdWindowUs;
-      double warmth = kColdFrom + (1 - kColdFrom) * std::min(1.0, static_cast<double>(age) / kColdRampUs);
+      double warmth = kColdFrom +
+                      (1 - kColdFrom) * std::min(1.0, static_cast<double>(age) / kColdRampUs);
       double n = kColdMultiple * warmth * borne;
       double most = n < 30 ? n + 3 * std::sqrt(n) + 3 : n + 2 * std::sqrt(n) + 2;
       std::vector<Event> got = within(arrivals[start.store], from, to);
-      auto told = std::count_if(got.begin(), got.end(),
-                                [&](const Event& e) { return toldAt(e.front, e.at, start.offset) <= e.at; });
-      if (static_cast<double>(got.size()) <= most || static_cast<std::size_t>(told) * 3 < got.size() * 2)
+      auto told = std::count_if(got.begin(), got.end(), [&](const Event& e) {
+        return toldAt(e.front, e.at, start.offset) <= e.at;
+      });
+      if (static_cast<double>(got.size()) <= most ||
+          static_cast<std::size_t>(told) * 3 < got.size() * 2)
         continue;
       verdict_.violations.push_back({"slow start",
                                      "store " + std::to_string(start.store) + " got " +
--- a/tests/soak/oracle_test.cpp
+++ b/tests/soak/oracle_test.cpp
@@ -1,4 +1,5 @@
-// The soak's oracle finds what it is there for: one broken rule after the other, planted in an orderly run.
+// The soak's oracle finds what it is there for: one broken rule after the other, planted in an
+// orderly run.
 #include "oracle.h"
 
 #include <algorithm>
@@ -17,7 +18,9 @@
 constexpr std::int64_t kSent = 10'000'000;
 constexpr int kClientPort = 5000, kStorePort = 6000;
 
-std::int64_t at(int ms) { return kSent + ms * 1000; }
+std::int64_t at(int ms) {
+  return kSent + ms * 1000;
+}
 
 // A statement of this workload: sent with 1 s, one attempt at store 0, answered after 10 ms.
 std::vector<Event> orderly(int workload) {
@@ -35,7 +38,12 @@
        .value = 1,
        .deadline = at(1000),
        .offset = 100},
-      {.at = at(1), .kind = Kind::attemptBegan, .statement = 1, .front = 0, .port = kStorePort, .value = 999},
+      {.at = at(1),
+       .kind = Kind::attemptBegan,
+       .statement = 1,
+       .front = 0,
+       .port = kStorePort,
+       .value = 999},
       {.at = at(1), .kind = Kind::attemptWhole, .statement = 1, .front = 0, .port = kStorePort},
       {.at = at(2), .kind = Kind::storeReceived, .statement = 1, .store = 0},
       {.at = at(4), .kind = Kind::storeRan, .statement = 1, .store = 0},
@@ -57,16 +65,22 @@
 }
 // Another attempt, which its store runs.
 void again(Events& all, int ms) {
+  all.push_back({.at = at(ms),
+                 .kind = Kind::attemptBegan,
+                 .statement = 1,
+                 .front = 0,
+                 .port = kStorePort,
+                 .value = 1});
   all.push_back(
-      {.at = at(ms), .kind = Kind::attemptBegan, .statement = 1, .front = 0, .port = kStorePort, .value = 1});
-  all.push_back({.at = at(ms), .kind = Kind::attemptWhole, .statement = 1, .front = 0, .port = kStorePort});
+      {.at = at(ms), .kind = Kind::attemptWhole, .statement = 1, .front = 0, .port = kStorePort});
   all.push_back({.at = at(ms + 1), .kind = Kind::storeRan, .statement = 1, .store = 0});
 }
 
 void tell(const char* what, int workload, const std::function<void(Events&)>& change) {
   Events all = orderly(workload);
   change(all);
-  std::stable_sort(all.begin(), all.end(), [](const Event& a, const Event& b) { return a.at < b.at; });
+  std::stable_sort(all.begin(), all.end(),
+                   [](const Event& a, const Event& b) { return a.at < b.at; });
   std::set<std::string> rules;
   for (const Violation& v : judge(all, {}).violations) rules.insert(v.rule);
   std::printf("%s:", what);
@@ -84,15 +98,24 @@
   tell("answered 0.7 s late", kAny, [](Events& e) { the(e, Kind::clientAnswered).at = at(1700); });
   tell("never answered", kAny, [](Events& e) {
     drop(e, Kind::clientAnswered);
-    e.push_back({.at = at(1800), .kind = Kind::clientLeft, .statement = 1, .front = 0, .port = kClientPort});
+    e.push_back({.at = at(1800),
+                 .kind = Kind::clientLeft,
+                 .statement = 1,
+                 .front = 0,
+                 .port = kClientPort});
   });
   auto ends = [](Events& e) {
     drop(e, Kind::clientAnswered);
-    e.push_back({.at = at(20), .kind = Kind::clientSawEnd, .statement = 1, .front = 0, .port = kClientPort});
+    e.push_back({.at = at(20),
+                 .kind = Kind::clientSawEnd,
+                 .statement = 1,
+                 .front = 0,
+                 .port = kClientPort});
     the(e, Kind::frontClosed).at = at(19);
   };
   tell("read, and the connection ended", kAny, ends);
-  tell("the same, not read", kAny, [&](Events& e) { ends(e), the(e, Kind::frontClosed).value = 50; });
+  tell("the same, not read", kAny,
+       [&](Events& e) { ends(e), the(e, Kind::frontClosed).value = 50; });
   tell("the same, its front killed", kAny, [&](Events& e) {
     ends(e), drop(e, Kind::frontTerminated);
     e.push_back({.at = at(18), .kind = Kind::frontKilled, .front = 0});
@@ -107,24 +130,35 @@
        [](Events& e) { the(e, Kind::clientAnswered).at = at(1400), again(e, 1300); });
   tell("sent for who has gone", kAny, [](Events& e) {
     drop(e, Kind::clientAnswered);
-    e.push_back({.at = at(50), .kind = Kind::clientLeft, .statement = 1, .front = 0, .port = kClientPort});
+    e.push_back(
+        {.at = at(50), .kind = Kind::clientLeft, .statement = 1, .front = 0, .port = kClientPort});
     again(e, 170);
   });
   tell("told 0.3 s too much", kAny, [](Events& e) { the(e, Kind::attemptBegan).value = 1300; });
-  tell("sent to one that drains", kAny,
-       [](Events& e) { e.push_back({.at = at(-900), .kind = Kind::storeDraining, .store = 0, .value = 1}); });
-  tell("once, run twice", kOnce, [](Events& e) { the(e, Kind::clientAnswered).at = at(300), again(e, 200); });
+  tell("sent to one that drains", kAny, [](Events& e) {
+    e.push_back({.at = at(-900), .kind = Kind::storeDraining, .store = 0, .value = 1});
+  });
+  tell("once, run twice", kOnce,
+       [](Events& e) { the(e, Kind::clientAnswered).at = at(300), again(e, 200); });
   tell("marked, again within its window", kWrite,
        [](Events& e) { the(e, Kind::clientAnswered).at = at(300), again(e, 200); });
   tell("marked, again after its window", kWrite, [](Events& e) {
-    the(e, Kind::clientSent).deadline = at(2000), the(e, Kind::clientAnswered).at = at(1300), again(e, 1200);
+    the(e, Kind::clientSent).deadline = at(2000), the(e, Kind::clientAnswered).at = at(1300),
+           again(e, 1200);
   });
-  tell("a bounded read of old data", kNear, [](Events& e) { the(e, Kind::storeReceived).value = 1'300'000; });
+  tell("a bounded read of old data", kNear,
+       [](Events& e) { the(e, Kind::storeReceived).value = 1'300'000; });
   tell("kept waiting in the middle of a message", kAny, [](Events& e) {
-    e.push_back(
-        {.at = at(0), .kind = Kind::clientStopped, .statement = 2, .front = 0, .port = kClientPort + 1});
-    e.push_back(
-        {.at = at(3600), .kind = Kind::clientLeft, .statement = 2, .front = 0, .port = kClientPort + 1});
+    e.push_back({.at = at(0),
+                 .kind = Kind::clientStopped,
+                 .statement = 2,
+                 .front = 0,
+                 .port = kClientPort + 1});
+    e.push_back({.at = at(3600),
+                 .kind = Kind::clientLeft,
+                 .statement = 2,
+                 .front = 0,
+                 .port = kClientPort + 1});
   });
   tell("a front that ends unasked", kAny,
        [](Events& e) { drop(e, Kind::frontTerminated), the(e, Kind::frontExited).code = 11; });
--- a/tests/soak/peers.h
+++ b/tests/soak/peers.h
@@ -1,5 +1,6 @@
-// The processes around the fronts: stores, the proxy before them, the list's service, and clients. Each runs
-// until it is killed, does what the shared control tells it to do wrong, and records what it sees.
+// The processes around the fronts: stores, the proxy before them, the list's service, and clients.
+// Each runs until it is killed, does what the shared control tells it to do wrong, and records what
+// it sees.
 #pragma once
 
 #include <cstdint>
--- a/tests/soak/proxy.cpp
+++ b/tests/soak/proxy.cpp
@@ -19,10 +19,12 @@
 
 class Pair {
  public:
-  Pair(StoreControl& control, int client) : control_(control), client_(client), resets_(control.resetAll) {}
+  Pair(StoreControl& control, int client)
+      : control_(control), client_(client), resets_(control.resetAll) {}
 
   void run() {
-    if (int delay = control_.connectDelayMs; delay > 0) usleep(static_cast<useconds_t>(delay) * 1000);
+    if (int delay = control_.connectDelayMs; delay > 0)
+      usleep(static_cast<useconds_t>(delay) * 1000);
     while (control_.blackhole) usleep(kLookMs * 1000);
     int port = control_.backendPort;
     store_ = port > 0 ? connectTo("127.0.0.1", port, kConnectMs) : -1;
@@ -50,7 +52,8 @@
   }
   bool forward(int from, int to) {
     std::string bytes;
-    if (readSome(from, bytes) <= 0) return end(from == store_ && bytes.empty() && control_.backendPort == 0);
+    if (readSome(from, bytes) <= 0)
+      return end(from == store_ && bytes.empty() && control_.backendPort == 0);
     lastByte_ = monotonicUs();
     int oneIn = control_.resetOneIn;
     if (oneIn > 0 && chance_() % static_cast<unsigned>(oneIn) == 0) {
@@ -82,7 +85,9 @@
       for (;;) {
         int client = accept4(listener, nullptr, nullptr, SOCK_CLOEXEC | SOCK_NONBLOCK);
         if (client >= 0)
-          std::thread([&control, store, client] { Pair(control.stores[store], client).run(); }).detach();
+          std::thread([&control, store, client] {
+            Pair(control.stores[store], client).run();
+          }).detach();
       }
     });
   for (std::thread& t : accepting) t.join();
--- a/tests/soak/record.h
+++ b/tests/soak/record.h
@@ -1,5 +1,5 @@
-// What happened during a run of the soak, as every process saw it: one line an event, by the monotonic clock
-// that all processes of a machine share.
+// What happened during a run of the soak, as every process saw it: one line an event, by the
+// monotonic clock that all processes of a machine share.
 #pragma once
 
 #include <cstdint>
@@ -8,8 +8,8 @@
 
 namespace soak {
 
-// Microseconds of the monotonic clock. Calls the kernel itself: the fault library replaces the C library's
-// clocks.
+// Microseconds of the monotonic clock. Calls the kernel itself: the fault library replaces the C
+// library's clocks.
 std::int64_t monotonicUs();
 // Microseconds of the real wall clock.
 std::int64_t wallUs();
@@ -32,7 +32,8 @@
   storeRan,
   storeReplied,  // code: an Answer; `failed`: the statement may have run
   // the controller
-  storeStarted,  // code: its group; value: 0 where it starts cold; offset: the list's version that says so
+  storeStarted,  // code: its group; value: 0 where it starts cold; offset: the list's version that
+                 // says so
   storeKilled,
   storeDraining,  // value: the list's version that says so
   storePrimary,
@@ -58,13 +59,14 @@
   int code = 0;
   std::int64_t value = 0;
   std::int64_t deadline = 0;  // clientSent: by the monotonic clock
-  std::int64_t offset = 0;    // clientSent: bytes that the client has written on this connection so far
+  std::int64_t offset =
+      0;  // clientSent: bytes that the client has written on this connection so far
 };
 
 const char* nameOf(Kind kind);
 
-// Appends events to a file of its own. Lines of several threads, and of processes forked from this one, don't
-// mix: each is one write.
+// Appends events to a file of its own. Lines of several threads, and of processes forked from this
+// one, don't mix: each is one write.
 class Recorder {
  public:
   explicit Recorder(const std::string& path);
--- a/tests/soak/sockets.cpp
+++ b/tests/soak/sockets.cpp
@@ -35,7 +35,8 @@
 }
 
 void addNumber(std::string& to, std::uint32_t number) {
-  for (int shift = 24; shift >= 0; shift -= 8) to.push_back(static_cast<char>(number >> shift & 0xff));
+  for (int shift = 24; shift >= 0; shift -= 8)
+    to.push_back(static_cast<char>(number >> shift & 0xff));
 }
 
 void addText(std::string& to, std::string_view text) {
@@ -50,7 +51,8 @@
   int on = 1;
   setsockopt(socket, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
   sockaddr_in address = addressOf(host, port);
-  if (bind(socket, reinterpret_cast<sockaddr*>(&address), sizeof address) < 0 || listen(socket, kBacklog) < 0)
+  if (bind(socket, reinterpret_cast<sockaddr*>(&address), sizeof address) < 0 ||
+      listen(socket, kBacklog) < 0)
     throw std::runtime_error("can't listen on " + host);
   port = localPort(socket);
   return socket;
@@ -67,8 +69,8 @@
     pollfd waits{socket, POLLOUT, 0};
     int error = 0;
     socklen_t size = sizeof error;
-    if (poll(&waits, 1, timeoutMs) == 1 && getsockopt(socket, SOL_SOCKET, SO_ERROR, &error, &size) == 0 &&
-        error == 0)
+    if (poll(&waits, 1, timeoutMs) == 1 &&
+        getsockopt(socket, SOL_SOCKET, SO_ERROR, &error, &size) == 0 && error == 0)
       result = 0;
   }
   if (result == 0) return socket;
@@ -79,13 +81,17 @@
 int localPort(int socket) {
   sockaddr_in address{};
   socklen_t size = sizeof address;
-  return getsockname(socket, reinterpret_cast<sockaddr*>(&address), &size) == 0 ? ntohs(address.sin_port) : 0;
+  return getsockname(socket, reinterpret_cast<sockaddr*>(&address), &size) == 0
+             ? ntohs(address.sin_port)
+             : 0;
 }
 
 int peerPort(int socket) {
   sockaddr_in address{};
   socklen_t size = sizeof address;
-  return getpeername(socket, reinterpret_cast<sockaddr*>(&address), &size) == 0 ? ntohs(address.sin_port) : 0;
+  return getpeername(socket, reinterpret_cast<sockaddr*>(&address), &size) == 0
+             ? ntohs(address.sin_port)
+             : 0;
 }
 
 void closeWithReset(int socket) {
@@ -163,7 +169,9 @@
   return bytes + payload;
 }
 
-std::string greeting() { return message('R', std::string_view("\0\0\0\0", 4)) + readyMessage(); }
+std::string greeting() {
+  return message('R', std::string_view("\0\0\0\0", 4)) + readyMessage();
+}
 
 std::string queryMessage(std::string_view text) {
   std::string payload;
@@ -180,7 +188,8 @@
 
 std::string errorMessage(const char* code, const char* text) {
   std::string payload;
-  for (const auto& [name, value] : {std::pair{'S', "ERROR"}, {'V', "ERROR"}, {'C', code}, {'M', text}}) {
+  for (const auto& [name, value] :
+       {std::pair{'S', "ERROR"}, {'V', "ERROR"}, {'C', code}, {'M', text}}) {
     payload.push_back(name);
     addText(payload, value);
   }
@@ -189,14 +198,18 @@
 }
 
 std::string rowMessage(std::string_view value) {
-  static const std::string described("\0\1payload\0\0\0\0\0\0\0\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\1", 28);
+  static const std::string described(
+      "\0\1payload\0\0\0\0\0\0\0\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\1", 28);
   std::string data("\0\1", 2);
   addNumber(data, static_cast<std::uint32_t>(value.size()));
   data.append(value);
-  return message('T', described) + message('D', data) + message('C', std::string_view("SELECT 1\0", 9));
+  return message('T', described) + message('D', data) +
+         message('C', std::string_view("SELECT 1\0", 9));
 }
 
-std::string readyMessage() { return message('Z', "I"); }
+std::string readyMessage() {
+  return message('Z', "I");
+}
 
 std::string errorCode(const Message& error) {
   std::string_view rest = error.payload;
@@ -222,6 +235,8 @@
   return {};
 }
 
-std::uint64_t numberOf(const std::string& digits) { return std::strtoull(digits.c_str(), nullptr, 10); }
+std::uint64_t numberOf(const std::string& digits) {
+  return std::strtoull(digits.c_str(), nullptr, 10);
+}
 
 }  // namespace soak
--- a/tests/soak/sockets.h
+++ b/tests/soak/sockets.h
@@ -1,4 +1,5 @@
-// Blocking sockets and PostgreSQL messages for the soak's peers, which share no code with the front.
+// Blocking sockets and PostgreSQL messages for the soak's peers, which share no code with the
+// front.
 #pragma once
 
 #include <cstdint>
--- a/tests/soak/store.cpp
+++ b/tests/soak/store.cpp
@@ -17,9 +17,7 @@
 class Store {
  public:
   Store(Control& control, const StoreOptions& options)
-      : control_(control.stores[options.index]),
-        index_(options.index),
-        recorder_(options.events) {}
+      : control_(control.stores[options.index]), index_(options.index), recorder_(options.events) {}
 
   [[noreturn]] void run() {
     int port = 0, listener = listenOn("127.0.0.1", port);
@@ -35,7 +33,9 @@
     std::int64_t frozen = control_.frozenAt;
     return control_.primary || frozen == 0 ? wallUs() : frozen;
   }
-  std::string role() const { return parameter("server_role", control_.primary ? "writer" : "reader"); }
+  std::string role() const {
+    return parameter("server_role", control_.primary ? "writer" : "reader");
+  }
   bool oneIn(int n) {
     thread_local std::minstd_rand chance(static_cast<unsigned>(monotonicUs()));
     return n > 0 && chance() % static_cast<unsigned>(n) == 0;
@@ -79,7 +79,8 @@
     bool primary = control_.primary, write = text.rfind("INSERT", 0) == 0;
     record(Kind::storeReceived, id, Answer::served, primary ? 0 : wallUs() - position);
     while (control_.hangs) usleep(2'000);
-    if (write && !primary) return reply(socket, id, Answer::miss, errorMessage("25006", "no primary"));
+    if (write && !primary)
+      return reply(socket, id, Answer::miss, errorMessage("25006", "no primary"));
     if (oneIn(control_.refusesOneIn))
       return reply(socket, id, Answer::refused, errorMessage("53300", "full"));
     usleep(static_cast<useconds_t>(control_.serviceUs.load()));
--- a/tests/soak/troubles.cpp
+++ b/tests/soak/troubles.cpp
@@ -52,11 +52,13 @@
     {"a front is told to end, held up, as stores hang", &Troubles::endsHeldUp},
 };
 
-Troubles::Troubles(Fleet& fleet, std::uint64_t seed) : fleet_(fleet), chance_(seed * 2654435761u + 17) {}
+Troubles::Troubles(Fleet& fleet, std::uint64_t seed)
+    : fleet_(fleet), chance_(seed * 2654435761u + 17) {}
 
 void Troubles::run(std::int64_t seconds) {
   Control& c = fleet_.control();
-  c.leavesOneIn = 30, c.pipelinesOneIn = 20, c.restsOneIn = 25, c.stopsOneIn = 400, c.garbageOneIn = 400;
+  c.leavesOneIn = 30, c.pipelinesOneIn = 20, c.restsOneIn = 25, c.stopsOneIn = 400,
+  c.garbageOneIn = 400;
   std::int64_t end = monotonicUs() + seconds * 1'000'000;
   pass(monotonicUs() + 500'000);
   while (monotonicUs() < end) {
@@ -70,7 +72,8 @@
   for (unsigned k = 0, n = 1 + below(4); k < n; ++k) {
     unsigned which = below(static_cast<unsigned>(std::size(kAll)));
     fleet_.recorder().add({.kind = Kind::trouble, .value = static_cast<std::int64_t>(which)});
-    std::printf("  %.3f %s\n", static_cast<double>(monotonicUs() % 100'000'000'000) / 1e6, kAll[which].name);
+    std::printf("  %.3f %s\n", static_cast<double>(monotonicUs() % 100'000'000'000) / 1e6,
+                kAll[which].name);
     (this->*kAll[which].begin)();
   }
 }
@@ -92,7 +95,8 @@
 }
 
 std::int64_t Troubles::between(std::int64_t leastMs, std::int64_t mostMs) {
-  return (leastMs + static_cast<std::int64_t>(chance_() % static_cast<std::uint64_t>(mostMs - leastMs + 1))) *
+  return (leastMs +
+          static_cast<std::int64_t>(chance_() % static_cast<std::uint64_t>(mostMs - leastMs + 1))) *
          1000;
 }
 
@@ -124,10 +128,12 @@
 
 // ---- fronts ----
 
-void Troubles::restartOnceEnded(int front) { restartOnceEnded(front, fleet_.frontStarts(front)); }
+void Troubles::restartOnceEnded(int front) {
+  restartOnceEnded(front, fleet_.frontStarts(front));
+}
 
-// `starts`: how often it has been started. Danger: told to end twice, it is started once, and runs on for
-// good.
+// `starts`: how often it has been started. Danger: told to end twice, it is started once, and runs
+// on for good.
 void Troubles::restartOnceEnded(int front, int starts) {
   after(20'000, [this, front, starts] {
     bool same = fleet_.frontStarts(front) == starts;
@@ -167,7 +173,8 @@
   int front = anyFront();
   fleet_.reloadFront(front, static_cast<int>(below(2)));
   if (below(2))
-    after(between(5, 400), [this, front] { fleet_.reloadFront(front, static_cast<int>(below(2))); });
+    after(between(5, 400),
+          [this, front] { fleet_.reloadFront(front, static_cast<int>(below(2))); });
 }
 
 void Troubles::reloadsAll() {
@@ -199,18 +206,20 @@
 }
 
 void Troubles::failsAccepts() {
-  setFor(fleet_.faults(anyFront()).of(Call::accept).rate, below(2) ? 512 : 100, between(500, 2'000));
+  setFor(fleet_.faults(anyFront()).of(Call::accept).rate, below(2) ? 512 : 100,
+         between(500, 2'000));
 }
 
 void Troubles::failsCalls() {
   FrontControl& f = fleet_.faults(anyFront());
   std::int64_t us = between(500, 2'500);
-  constexpr Call kCalls[] = {Call::connect,   Call::socket, Call::interrupt,      Call::shortReceive,
-                             Call::shortSend, Call::open,   Call::registerEvents, Call::send,
-                             Call::receive,   Call::read};
+  constexpr Call kCalls[] = {
+      Call::connect, Call::socket,         Call::interrupt, Call::shortReceive, Call::shortSend,
+      Call::open,    Call::registerEvents, Call::send,      Call::receive,      Call::read};
   for (int k = 0; k < 3; ++k) {
     Call call = kCalls[below(static_cast<unsigned>(std::size(kCalls)))];
-    bool harmless = call == Call::interrupt || call == Call::shortReceive || call == Call::shortSend;
+    bool harmless = call == Call::interrupt || call == Call::shortReceive ||
+                    call == Call::shortSend;
     setFor(f.of(call).rate, harmless ? kOften : kNowAndThen, us);
   }
 }
@@ -229,12 +238,17 @@
 }
 
 void Troubles::hangsStores() {
-  for (unsigned k = 0, n = 1 + below(3); k < n; ++k) setFor(store(anyStore()).hangs, between(200, 2'000));
+  for (unsigned k = 0, n = 1 + below(3); k < n; ++k)
+    setFor(store(anyStore()).hangs, between(200, 2'000));
 }
 
-void Troubles::silencesStore() { setFor(store(anyStore()).blackhole, between(300, 2'500)); }
+void Troubles::silencesStore() {
+  setFor(store(anyStore()).blackhole, between(300, 2'500));
+}
 
-void Troubles::resetsConnections() { setFor(store(anyStore()).resetOneIn, 12, between(300, 2'000)); }
+void Troubles::resetsConnections() {
+  setFor(store(anyStore()).resetOneIn, 12, between(300, 2'000));
+}
 
 void Troubles::resetsAll() {
   for (unsigned k = 0, n = 1 + below(4); k < n; ++k) ++store(anyStore()).resetAll;
@@ -281,7 +295,9 @@
   });
 }
 
-void Troubles::joins() { fleet_.nextSpare(static_cast<int>(below(2))); }
+void Troubles::joins() {
+  fleet_.nextSpare(static_cast<int>(below(2)));
+}
 
 // ---- the list ----
 
@@ -300,7 +316,9 @@
     setFor(mode, static_cast<int>(ListMode::slow), between(300, 2'000));
 }
 
-void Troubles::resetsList() { ++fleet_.control().resetLists; }
+void Troubles::resetsList() {
+  ++fleet_.control().resetLists;
+}
 
 // ---- clients ----
 
@@ -309,7 +327,9 @@
   ++fleet_.control().leaveBurst;
 }
 
-void Troubles::clientsPipeline() { setFor(fleet_.control().pipelinesOneIn, 2, between(300, 1'500)); }
+void Troubles::clientsPipeline() {
+  setFor(fleet_.control().pipelinesOneIn, 2, between(300, 1'500));
+}
 
 void Troubles::clientsMisbehave() {
   setFor(fleet_.control().stopsOneIn, 8, between(300, 1'000));
@@ -335,6 +355,8 @@
   endFront(front);
 }
 
-void Troubles::clientsHurry() { setFor(fleet_.control().thinkUs, 0, between(500, 2'500)); }
+void Troubles::clientsHurry() {
+  setFor(fleet_.control().thinkUs, 0, between(500, 2'500));
+}
 
 }  // namespace soak
--- a/tests/trace.h
+++ b/tests/trace.h
@@ -11,7 +11,9 @@
 
 namespace reedchute::test {
 
-inline Duration ms(double n) { return Duration{static_cast<std::int64_t>(n * 1000)}; }
+inline Duration ms(double n) {
+  return Duration{static_cast<std::int64_t>(n * 1000)};
+}
 
 // Bytes, by what puts them there.
 std::string made(auto&& put) {
@@ -21,7 +23,9 @@
 }
 
 // What a test program can run, by the name that it is called with.
-inline const char* yes(bool so) { return so ? "yes" : "no"; }
+inline const char* yes(bool so) {
+  return so ? "yes" : "no";
+}
 
 struct Case {
   const char* name;
@@ -41,7 +45,9 @@
  public:
   explicit Bench(EngineSettings terms) : engine(std::move(terms), clock) {}
   // With so many members listed, of which decisions are counted and not told.
-  Bench(EngineSettings terms, int members) : Bench(std::move(terms)) { quiet = true, list(members); }
+  Bench(EngineSettings terms, int members) : Bench(std::move(terms)) {
+    quiet = true, list(members);
+  }
 
   static EngineSettings terms(std::vector<Workload> workloads, int fronts = 2, int seed = 7) {
     EngineSettings t;
@@ -52,7 +58,8 @@
     t.coldRamp = ms(10000), t.coldWindow = ms(1000), t.coldFrom = 0.25, t.coldMultiple = 2.5;
     return t;
   }
-  static Workload work(Level level, Effect effect = Effect::idempotent, Scope scope = Scope::group) {
+  static Workload work(Level level, Effect effect = Effect::idempotent,
+                       Scope scope = Scope::group) {
     Workload w;
     w.level = level, w.effect = effect, w.scope = scope, w.bound = ms(200), w.slo = ms(400),
     w.window = ms(1000);
@@ -61,10 +68,12 @@
 
   void list(int stores, int primary = 0, EndpointStatus end = EndpointStatus::up) {
     engine.beginSnapshot(true);
-    for (int s = 0; s < stores; ++s) listOne(s, s == primary, s + 1 == stores ? end : EndpointStatus::up);
+    for (int s = 0; s < stores; ++s)
+      listOne(s, s == primary, s + 1 == stores ? end : EndpointStatus::up);
     engine.endSnapshot(true);
   }
-  void listOne(int s, bool primary, EndpointStatus listed, std::optional<TimePoint> started = {}, int zone = 0) {
+  void listOne(int s, bool primary, EndpointStatus listed, std::optional<TimePoint> started = {},
+               int zone = 0) {
     engine.addEndpoint({s, 0, zone, listed, primary, 1, started}, clock);
   }
   // A report that is `age` old when it comes in.
@@ -80,8 +89,8 @@
     engine.onStatementArrived(next_, a, clock);
     return next_++;
   }
-  void answer(int statement, AttemptOutcome ending, Role role = Role::unknown, int attempt = 0, double age = -1,
-              double took = 20) {
+  void answer(int statement, AttemptOutcome ending, Role role = Role::unknown, int attempt = 0,
+              double age = -1, double took = 20) {
     AttemptResult r;
     r.attempt = attempt, r.outcome = ending, r.role = role, r.elapsed = ms(took),
     r.closed = ending == AttemptOutcome::ok || ending == AttemptOutcome::invalid;
@@ -123,15 +132,19 @@
   }
 
   void send(int statement, int store, TimePoint, TimePoint sendBy) override {
-    if (static_cast<int>(times_.size()) <= statement) times_.resize(static_cast<std::size_t>(statement) + 1);
+    if (static_cast<int>(times_.size()) <= statement)
+      times_.resize(static_cast<std::size_t>(statement) + 1);
     lastExecution = times_[static_cast<std::size_t>(statement)]++;
     last = store, lastStmt = statement;
     if (bySend)
-      say("send #%d to %d, by %.0f", statement, store, (sendBy - TimePoint{1'000'000'000}).seconds() * 1000);
+      say("send #%d to %d, by %.0f", statement, store,
+          (sendBy - TimePoint{1'000'000'000}).seconds() * 1000);
     else
       say("send #%d to %d", statement, store);
   }
-  void cancel(int statement, int attempt) override { say("cancel #%d execution %d", statement, attempt); }
+  void cancel(int statement, int attempt) override {
+    say("cancel #%d execution %d", statement, attempt);
+  }
   void reject(int statement, Duration back) override {
     say("reject #%d, come back after %d", statement, static_cast<int>(back.us / 1000));
   }
--- a/tests/zones.cpp
+++ b/tests/zones.cpp
@@ -1,5 +1,6 @@
-// Which zones fronts use, by the very modules that the front runs: first the decision alone, told counts, then fleets
-// of it on a network of the test's own, before stores that fall when they are overrun.
+// Which zones fronts use, by the very modules that the front runs: first the decision alone, told
+// counts, then fleets of it on a network of the test's own, before stores that fall when they are
+// overrun.
 #include <algorithm>
 #include <cmath>
 #include <cstdio>
@@ -21,14 +22,24 @@
 
 // ---- the decision alone ----
 
-ZoneSight well(int n = 12) { return {.answers = n, .well = 4, .groups = 4}; }
-ZoneSight gone(int n = 12) { return {.failed = n, .vain = n, .ill = 4, .groupsIll = 4, .groups = 4}; }
-ZoneSight late(int n = 12) { return {.answers = n, .late = n / 2, .well = 4, .groups = 4}; }
-ZoneSight oneGroup() { return {.answers = 2, .failed = 10, .well = 1, .ill = 3, .groupsIll = 1, .groups = 4}; }
+ZoneSight well(int n = 12) {
+  return {.answers = n, .well = 4, .groups = 4};
+}
+ZoneSight gone(int n = 12) {
+  return {.failed = n, .vain = n, .ill = 4, .groupsIll = 4, .groups = 4};
+}
+ZoneSight late(int n = 12) {
+  return {.answers = n, .late = n / 2, .well = 4, .groups = 4};
+}
+ZoneSight oneGroup() {
+  return {.answers = 2, .failed = 10, .well = 1, .ill = 3, .groupsIll = 1, .groups = 4};
+}
 
 // One front in zone a, told what it and others have seen.
 struct Seat {
-  explicit Seat(Leaving rules = {}, const std::string& zone = "a") : zones(rules, "me", zone) { own.zone = zone; }
+  explicit Seat(Leaving rules = {}, const std::string& zone = "a") : zones(rules, "me", zone) {
+    own.zone = zone;
+  }
   Sight own;
   std::vector<Told> told;
   Zones zones;
@@ -37,13 +48,17 @@
   std::map<std::string, int> stores{{"a", 4}, {"b", 4}, {"c", 4}};
   bool doubtful = false;
 
-  void others(int n, const std::string& at, std::map<std::string, ZoneSight> seen, Duration age = ms(200), bool doubts = false) {
-    for (int k = 0; k < n; ++k) told.push_back({{.zone = at, .doubtful = doubts, .rate = 10, .room = 0.5, .zones = seen}, age});
+  void others(int n, const std::string& at, std::map<std::string, ZoneSight> seen,
+              Duration age = ms(200), bool doubts = false) {
+    for (int k = 0; k < n; ++k)
+      told.push_back(
+          {{.zone = at, .doubtful = doubts, .rate = 10, .room = 0.5, .zones = seen}, age});
   }
   void pass(Duration span) {
     for (TimePoint end = now + span; now < end;) {
       Views v;
-      v.live = live, v.liveHere = std::max<std::size_t>(1, live / 3), v.alone = told.empty(), v.doubtful = doubtful;
+      v.live = live, v.liveHere = std::max<std::size_t>(1, live / 3), v.alone = told.empty(),
+      v.doubtful = doubtful;
       v.own = &own, v.stores = stores;
       for (const Told& t : told) v.others.push_back(&t);
       zones.decide(v, now);
@@ -68,25 +83,39 @@
     s.pass(ms(1000));
     s.say(what);
   };
-  std::map<std::string, ZoneSight> bGone{{"a", well()}, {"b", gone()}, {"c", well()}}, fine{{"a", well()}, {"b", well()}, {"c", well()}};
-  one("all is well", [&](Seat& s) { s.own.zones = fine, s.others(9, "a", fine), s.others(9, "c", fine); });
-  one("b is gone for all", [&](Seat& s) { s.own.zones = bGone, s.others(9, "a", bGone), s.others(9, "c", bGone); });
-  one("b can't be reached from here", [&](Seat& s) { s.own.zones = bGone, s.others(9, "a", bGone), s.others(9, "c", fine); });
-  one("c's fronts can't reach b, ours can", [&](Seat& s) { s.own.zones = fine, s.others(9, "a", fine), s.others(9, "c", bGone); });
+  std::map<std::string, ZoneSight> bGone{{"a", well()}, {"b", gone()}, {"c", well()}},
+      fine{{"a", well()}, {"b", well()}, {"c", well()}};
+  one("all is well",
+      [&](Seat& s) { s.own.zones = fine, s.others(9, "a", fine), s.others(9, "c", fine); });
+  one("b is gone for all",
+      [&](Seat& s) { s.own.zones = bGone, s.others(9, "a", bGone), s.others(9, "c", bGone); });
+  one("b can't be reached from here",
+      [&](Seat& s) { s.own.zones = bGone, s.others(9, "a", bGone), s.others(9, "c", fine); });
+  one("c's fronts can't reach b, ours can",
+      [&](Seat& s) { s.own.zones = fine, s.others(9, "a", fine), s.others(9, "c", bGone); });
   one("one of ten finds it gone", [&](Seat& s) { s.own.zones = bGone, s.others(9, "a", fine); });
-  one("two find it gone, nobody else can tell: no quorum", [&](Seat& s) { s.own.zones = bGone, s.others(1, "a", bGone); });
-  one("nine do, but what they say is old", [&](Seat& s) { s.own.zones = bGone, s.others(9, "a", bGone, ms(5000)); });
-  one("nine do, each doubts itself", [&](Seat& s) { s.own.zones = bGone, s.others(9, "a", bGone, ms(200), true); });
-  one("nine do, and this front doubts itself", [&](Seat& s) { s.doubtful = true, s.own.zones = bGone, s.others(9, "a", bGone); });
+  one("two find it gone, nobody else can tell: no quorum",
+      [&](Seat& s) { s.own.zones = bGone, s.others(1, "a", bGone); });
+  one("nine do, but what they say is old",
+      [&](Seat& s) { s.own.zones = bGone, s.others(9, "a", bGone, ms(5000)); });
+  one("nine do, each doubts itself",
+      [&](Seat& s) { s.own.zones = bGone, s.others(9, "a", bGone, ms(200), true); });
+  one("nine do, and this front doubts itself",
+      [&](Seat& s) { s.doubtful = true, s.own.zones = bGone, s.others(9, "a", bGone); });
   one("alone", [&](Seat& s) { s.own.zones = bGone; });
   std::map<std::string, ZoneSight> group{{"a", well()}, {"b", oneGroup()}, {"c", well()}};
   one("one group's stores are ill", [&](Seat& s) { s.own.zones = group, s.others(9, "a", group); });
-  std::map<std::string, ZoneSight> all{{"a", gone()}, {"b", gone()}, {"c", gone()}}, slow{{"a", late()}, {"b", late()}, {"c", late()}};
-  one("this front finds all ill, others none", [&](Seat& s) { s.own.zones = all, s.others(9, "a", fine); });
-  one("all find all ill", [&](Seat& s) { s.own.zones = all, s.others(9, "a", all), s.others(9, "c", all); });
-  one("everything is overloaded", [&](Seat& s) { s.own.zones = slow, s.others(9, "a", slow), s.others(9, "c", slow); });
+  std::map<std::string, ZoneSight> all{{"a", gone()}, {"b", gone()}, {"c", gone()}},
+      slow{{"a", late()}, {"b", late()}, {"c", late()}};
+  one("this front finds all ill, others none",
+      [&](Seat& s) { s.own.zones = all, s.others(9, "a", fine); });
+  one("all find all ill",
+      [&](Seat& s) { s.own.zones = all, s.others(9, "a", all), s.others(9, "c", all); });
+  one("everything is overloaded",
+      [&](Seat& s) { s.own.zones = slow, s.others(9, "a", slow), s.others(9, "c", slow); });
   std::map<std::string, ZoneSight> grey{{"a", well()}, {"b", late()}, {"c", well()}};
-  one("b is grey, half of the others' room is left", [&](Seat& s) { s.own.zones = grey, s.own.room = 0.5, s.others(9, "a", grey); });
+  one("b is grey, half of the others' room is left",
+      [&](Seat& s) { s.own.zones = grey, s.own.room = 0.5, s.others(9, "a", grey); });
   one("b is grey, a tenth of it", [&](Seat& s) {
     s.own.zones = grey, s.own.room = 0.1, s.others(9, "a", grey);
     for (Told& t : s.told) t.sight.room = 0.1;
@@ -96,23 +125,33 @@
     for (Told& t : s.told) t.sight.room = 0;
   });
   std::map<std::string, ZoneSight> two{{"a", well()}, {"b", gone()}, {"c", gone(9)}};
-  one("b and c are gone, one may be left", [&](Seat& s) { s.own.zones = two, s.others(9, "a", two); });
+  one("b and c are gone, one may be left",
+      [&](Seat& s) { s.own.zones = two, s.others(9, "a", two); });
   Leaving both;
   both.atOnce = 2;
-  one("b and c are gone, two may be left", [&](Seat& s) { s.own.zones = two, s.others(9, "a", two); }, both);
-  one("all three but for a, which is the last", [&](Seat& s) {
-    std::map<std::string, ZoneSight> here{{"a", gone()}, {"b", well()}};
-    s.stores = {{"a", 4}}, s.own.zones = here, s.others(9, "a", here);
-  }, both);
+  one(
+      "b and c are gone, two may be left",
+      [&](Seat& s) { s.own.zones = two, s.others(9, "a", two); }, both);
+  one(
+      "all three but for a, which is the last",
+      [&](Seat& s) {
+        std::map<std::string, ZoneSight> here{{"a", gone()}, {"b", well()}};
+        s.stores = {{"a", 4}}, s.own.zones = here, s.others(9, "a", here);
+      },
+      both);
   std::map<std::string, ZoneSight> left = fine;
   left["b"] = {.stage = Stage::left, .inStage = ms(9000), .share = 0, .tries = 3};
-  one("a front that has just come sees nothing yet, the others have left b", [&](Seat& s) { s.others(9, "a", left); });
+  one("a front that has just come sees nothing yet, the others have left b",
+      [&](Seat& s) { s.others(9, "a", left); });
 }
 
 void returns() {
   Seat s;
-  std::map<std::string, ZoneSight> bGone{{"a", well()}, {"b", gone()}, {"c", well()}}, fine{{"a", well()}, {"b", well()}, {"c", well()}};
-  auto told = [&](const std::map<std::string, ZoneSight>& seen) { s.told.clear(), s.own.zones = seen, s.others(9, "a", seen); };
+  std::map<std::string, ZoneSight> bGone{{"a", well()}, {"b", gone()}, {"c", well()}},
+      fine{{"a", well()}, {"b", well()}, {"c", well()}};
+  auto told = [&](const std::map<std::string, ZoneSight>& seen) {
+    s.told.clear(), s.own.zones = seen, s.others(9, "a", seen);
+  };
   s.pass(ms(100));
   auto b = [&] { return s.zones.find("b"); };
   auto until = [&](Stage stage) {
@@ -134,7 +173,8 @@
     until(Stage::left);
     int tries = b()->tries;
     told(fine);
-    std::printf("it falls %s: taken back after %d ms\n", tries ? "on its way back" : "again", until(Stage::returning));
+    std::printf("it falls %s: taken back after %d ms\n", tries ? "on its way back" : "again",
+                until(Stage::returning));
     s.pass(ms(1000));
   }
   until(Stage::whole);
@@ -152,7 +192,8 @@
     std::string why;
     bool taken = s.zones.command(zone, {o, generation, by, {}}, why);
     s.pass(ms(200));
-    std::printf("%s says %s of %s, generation %d: %s\n", by, nameOf(o), zone, static_cast<int>(generation), taken ? "taken" : why.c_str());
+    std::printf("%s says %s of %s, generation %d: %s\n", by, nameOf(o), zone,
+                static_cast<int>(generation), taken ? "taken" : why.c_str());
     s.say("  so");
   };
   give("b", Order::leave, 1, "anna");
@@ -173,18 +214,28 @@
 }
 
 void sights() {
-  Sight s{.zone = "a", .doubtful = true, .rate = 12.3, .room = 0.5, .zones = {{"b", late()}, {"c", gone()}}};
-  s.zones["b"].stage = Stage::returning, s.zones["b"].share = 0.25, s.zones["b"].tries = 2, s.zones["b"].inStage = ms(1234);
+  Sight s{.zone = "a",
+          .doubtful = true,
+          .rate = 12.3,
+          .room = 0.5,
+          .zones = {{"b", late()}, {"c", gone()}}};
+  s.zones["b"].stage = Stage::returning, s.zones["b"].share = 0.25, s.zones["b"].tries = 2,
+  s.zones["b"].inStage = ms(1234);
   Sight got;
-  std::printf("three zones fit a note: %s\n", toBytes(s).size() <= membership::Notes::Bounds{}.bytes ? "yes" : "no");
+  std::printf("three zones fit a note: %s\n",
+              toBytes(s).size() <= membership::Notes::Bounds{}.bytes ? "yes" : "no");
   // Hundreds of stores, zones named as providers name them, all of them ill.
   Sight most{.zone = "eu-central-1a", .doubtful = true, .rate = 320, .room = 0.5, .zones = {}};
   for (char k = 'a'; k <= 'p'; ++k)
-    most.zones[std::string("eu-central-1") + k] = {400, 400, 400, 400, 400, 400, 400, 400, Stage::left, ms(100'000), 0.5, 9};
+    most.zones[std::string("eu-central-1") + k] = {400, 400, 400,         400,         400, 400,
+                                                   400, 400, Stage::left, ms(100'000), 0.5, 9};
   membership::Notes notes("f1", 1, {}, 1);
   std::printf("sixteen with long names and many stores, too: %s\n",
-              notes.hear({"f2", 1, 1, 0, Duration{}, toBytes(most)}, Duration{}, TimePoint{}) ? "yes" : "no");
-  std::printf("read back: %s\n", fromBytes(toBytes(s), got) && toBytes(got) == toBytes(s) ? "the same" : "?");
+              notes.hear({"f2", 1, 1, 0, Duration{}, toBytes(most)}, Duration{}, TimePoint{})
+                  ? "yes"
+                  : "no");
+  std::printf("read back: %s\n",
+              fromBytes(toBytes(s), got) && toBytes(got) == toBytes(s) ? "the same" : "?");
   std::string bytes = toBytes(s);
   int wild = 0;
   for (std::size_t k = 0; k < bytes.size(); ++k) fromBytes(bytes.substr(0, k), got);
@@ -194,13 +245,19 @@
     for (int n = 0; n < 3; ++n) hurt[chance() % hurt.size()] = static_cast<char>(chance() & 0xff);
     if (!fromBytes(hurt, got)) continue;
     for (const auto& [zone, z] : got.zones)
-      wild += z.answers < 0 || z.late > z.answers || z.share < 0 || z.share > 1 || z.inStage < Duration{} || z.groupsIll > z.groups;
+      wild += z.answers < 0 || z.late > z.answers || z.share < 0 || z.share > 1 ||
+              z.inStage < Duration{} || z.groupsIll > z.groups;
   }
   std::printf("cut and hurt ones: none with senseless counts: %s\n", wild == 0 ? "yes" : "no");
 }
 
-const Case kCases[] = {{"zonesVerdicts", verdicts}, {"zonesReturns", returns}, {"zonesCommands", commands}, {"zonesSights", sights}};
+const Case kCases[] = {{"zonesVerdicts", verdicts},
+                       {"zonesReturns", returns},
+                       {"zonesCommands", commands},
+                       {"zonesSights", sights}};
 
 }  // namespace
 
-int main(int argc, char** argv) { return runCase(kCases, argc, argv); }
+int main(int argc, char** argv) {
+  return runCase(kCases, argc, argv);
+}
--- a/tests/zones_fleet.cpp
+++ b/tests/zones_fleet.cpp
@@ -1,7 +1,8 @@
-// Fleets of the very modules that the front runs (members, notes, zones), on a network and before stores of the test's
-// own. What a front does with a store is a plain model of the module: a store that fails is blocked for a growing while
-// and tried again; one that has just started gets each front's part of what it bears cold. Rates, ways and draws come
-// from a seed. `together` is the program with membership, `one by one` without.
+// Fleets of the very modules that the front runs (members, notes, zones), on a network and before
+// stores of the test's own. What a front does with a store is a plain model of the module: a store
+// that fails is blocked for a growing while and tried again; one that has just started gets each
+// front's part of what it bears cold. Rates, ways and draws come from a seed. `together` is the
+// program with membership, `one by one` without.
 #include <algorithm>
 #include <cmath>
 #include <cstdio>
@@ -23,19 +24,22 @@
 namespace {
 
 constexpr double kMultiple = 2.5, kColdFrom = 0.25, kHeadroom = 0.8, kLoad = 0.6;
-constexpr Duration kRamp{10'000'000}, kWindow{2'000'000}, kStep{50'000}, kBlock{250'000}, kBlockMost{2'000'000};
+constexpr Duration kRamp{10'000'000}, kWindow{2'000'000}, kStep{50'000}, kBlock{250'000},
+    kBlockMost{2'000'000};
 
 struct Store {
   std::string zone;
   bool up = true;
   double lateShare = 0;
   TimePoint started = kNever;
-  double can = 0;                  // statements a second, warm
-  std::deque<TimePoint> came;      // in the last window
-  double peak = 0;                 // the most that came in a window, of what it bears then
+  double can = 0;              // statements a second, warm
+  std::deque<TimePoint> came;  // in the last window
+  double peak = 0;             // the most that came in a window, of what it bears then
   int falls = 0;
   double warmth(TimePoint now) const {
-    return started == kNever ? 1 : std::min(1.0, kColdFrom + (1 - kColdFrom) * ((now - started) / kRamp));
+    return started == kNever
+               ? 1
+               : std::min(1.0, kColdFrom + (1 - kColdFrom) * ((now - started) / kRamp));
   }
 };
 
@@ -59,7 +63,8 @@
 
 class Fleet : public Net {
  public:
-  Fleet(int fronts, std::uint64_t seed, bool together, Leaving rules = {}) : Net(seed), rules_(rules), together_(together) {
+  Fleet(int fronts, std::uint64_t seed, bool together, Leaving rules = {})
+      : Net(seed), rules_(rules), together_(together) {
     for (int k = 0; k < 18; ++k) stores.push_back({.zone = zoneFor(k), .came = {}});
     double all = 0;
     for (int k = 0; k < fronts; ++k) {
@@ -79,9 +84,11 @@
   void starts(int k) {
     start(k, {0, 1, 2});
     Front& f = fleet[static_cast<std::size_t>(k)];
-    f.quorum = std::make_unique<Quorum>(rules_, hosts[static_cast<std::size_t>(k)].name, zoneFor(k), at(k));
+    f.quorum = std::make_unique<Quorum>(rules_, hosts[static_cast<std::size_t>(k)].name, zoneFor(k),
+                                        at(k));
     for (std::size_t s = 0; s < stores.size(); ++s)
-      f.stores[s] = {}, f.quorum->store(static_cast<int>(s), stores[s].zone, static_cast<int>(s / 3));
+      f.stores[s] = {},
+      f.quorum->store(static_cast<int>(s), stores[s].zone, static_cast<int>(s / 3));
     f.share.clear();
   }
   void zoneUp(const std::string& zone, bool up, bool cold = true) {
@@ -111,7 +118,8 @@
     for (std::size_t k = 0; k < fleet.size(); ++k) n += runs(static_cast<int>(k)) && so(fleet[k]);
     return n;
   }
-  // How many fronts that run send this zone less than a part of its share, by what they were told or found out.
+  // How many fronts that run send this zone less than a part of its share, by what they were told
+  // or found out.
   int away(const std::string& zone, double part = 0.1) const {
     return count([&](const Front& f) {
       int open = 0, there = 0;
@@ -185,8 +193,10 @@
   // Its part of what a cold store bears, by its own traffic.
   bool room(const Front& f, Front::Sight& sight, const Store& s) {
     if (!sight.cold) return true;
-    double rate = kMultiple * kHeadroom * s.warmth(now) * f.rate / static_cast<double>(stores.size());
-    sight.budget = std::min(sight.budget + rate * (now - sight.filled).seconds(), rate * kWindow.seconds() * 0.25);
+    double rate = kMultiple * kHeadroom * s.warmth(now) * f.rate /
+                  static_cast<double>(stores.size());
+    sight.budget = std::min(sight.budget + rate * (now - sight.filled).seconds(),
+                            rate * kWindow.seconds() * 0.25);
     sight.filled = now;
     if (s.warmth(now) >= 1) sight.cold = false;
     return sight.budget > 0;
@@ -200,12 +210,16 @@
       std::vector<std::pair<double, std::size_t>> fit;
       for (std::size_t s = 0; s < stores.size(); ++s) {
         double weight = together_ ? shareOf(f, stores[s].zone) : 1;
-        if (weight <= 0 || f.stores[s].until > now || f.stores[s].block > Duration{} || !room(f, f.stores[s], stores[s])) continue;
+        if (weight <= 0 || f.stores[s].until > now || f.stores[s].block > Duration{} ||
+            !room(f, f.stores[s], stores[s]))
+          continue;
         sum += weight, fit.emplace_back(sum, s);
       }
       if (fit.empty()) break;
       double at = part() * sum;
-      std::size_t s = std::find_if(fit.begin(), fit.end(), [&](const auto& e) { return e.first >= at; })->second;
+      std::size_t s = std::find_if(fit.begin(), fit.end(), [&](const auto& e) {
+                        return e.first >= at;
+                      })->second;
       Store& store = stores[s];
       if (f.stores[s].cold) f.stores[s].budget -= 1;
       if (!store.up || !reaches(k, static_cast<int>(s))) {
@@ -227,7 +241,8 @@
     for (Store& s : stores) {
       while (!s.came.empty() && now - s.came.front() > kWindow) s.came.pop_front();
       if (s.warmth(now) >= 1 || !s.up) continue;
-      double n = kMultiple * s.warmth(now) * s.can * kWindow.seconds(), bears = n + 3 * std::sqrt(n) + 3;
+      double n = kMultiple * s.warmth(now) * s.can * kWindow.seconds(),
+             bears = n + 3 * std::sqrt(n) + 3;
       s.peak = std::max(s.peak, static_cast<double>(s.came.size()) / bears);
       if (static_cast<double>(s.came.size()) > bears) ++s.falls, s.came.clear(), s.started = now;
     }
@@ -248,8 +263,10 @@
 }
 
 void tell(const char* how, const Fleet& f) {
-  std::fprintf(stderr, "%s: asked %d served %d late %d lost %d vain %d probes %d peak %.2f falls %d\n", how, f.counts.asked,
-               f.counts.served, f.counts.late, f.counts.lost, f.counts.vain, f.counts.probes, f.peak(), f.falls());
+  std::fprintf(stderr,
+               "%s: asked %d served %d late %d lost %d vain %d probes %d peak %.2f falls %d\n", how,
+               f.counts.asked, f.counts.served, f.counts.late, f.counts.lost, f.counts.vain,
+               f.counts.probes, f.peak(), f.falls());
 }
 
 // A zone dies, and comes back cold after twenty seconds: together against one by one.
@@ -271,26 +288,39 @@
     f.run(ms(10'000));
     if (together) falls = f.falls(), broken = f.broken, peak = f.peak();
     if (print) {
-      std::fprintf(stderr, "left after %.2f s, in full use %.1f s after it came back\n", left[together].seconds(), back[together].seconds());
+      std::fprintf(stderr, "left after %.2f s, in full use %.1f s after it came back\n",
+                   left[together].seconds(), back[together].seconds());
       tell(together ? "together" : "one by one", f);
     }
   }
   int vain = lost[true].late + lost[true].lost, alone = lost[false].late + lost[false].lost;
-  std::printf("%d fronts: nineteen in twenty have left %s; one by one %s; fewer late or lost: %s;\n"
-              "  cold stores overrun %d; used in full again %s; zones left against the rules %d\n",
-              fronts, upTo(left[true], ms(3000)).c_str(), upTo(left[false], ms(3000)).c_str(), vain < alone ? "yes" : "no", falls,
-              upTo(back[true], ms(30'000)).c_str(), broken);
-  if (print) std::fprintf(stderr, "late or lost: %d together, %d one by one; peak %.2f\n", vain, alone, peak);
+  std::printf(
+      "%d fronts: nineteen in twenty have left %s; one by one %s; fewer late or lost: %s;\n"
+      "  cold stores overrun %d; used in full again %s; zones left against the rules %d\n",
+      fronts, upTo(left[true], ms(3000)).c_str(), upTo(left[false], ms(3000)).c_str(),
+      vain < alone ? "yes" : "no", falls, upTo(back[true], ms(30'000)).c_str(), broken);
+  if (print)
+    std::fprintf(stderr, "late or lost: %d together, %d one by one; peak %.2f\n", vain, alone,
+                 peak);
 }
 
-void killed() { killedAt(30, 3, true); }
+void killed() {
+  killedAt(30, 3, true);
+}
 // By hand: a minute with sanitizers.
-void killedMore() { killedAt(100, 3, true); }
+void killedMore() {
+  killedAt(100, 3, true);
+}
 // By hand: a minute; 1,024 were not through after seven.
-void killedMost() { killedAt(350, 3, true); }
+void killedMost() {
+  killedAt(350, 3, true);
+}
 
-const Case kCases[] = {{"fleetKilled", killed}, {"fleetKilledMore", killedMore}, {"fleetKilledMost", killedMost}};
+const Case kCases[] = {
+    {"fleetKilled", killed}, {"fleetKilledMore", killedMore}, {"fleetKilledMost", killedMost}};
 
 }  // namespace
 
-int main(int argc, char** argv) { return runCase(kCases, argc, argv); }
+int main(int argc, char** argv) {
+  return runCase(kCases, argc, argv);
+}
