--- a/src/client/client_connections.cpp
+++ b/src/client/client_connections.cpp
@@ -90,16 +90,16 @@
 }
 
 void ClientConnections::exhausted() {
-  log::line("descriptors_gone", "sessions=%zu", sessions_.size());
+  log::line("descriptors_exhausted", "sessions=%zu", sessions_.size());
   evictIdle();
 }
 
 void ClientConnections::accepted(int fd, TimePoint waitedSince) {
   bool atCapacity = sessions_.size() >= limits_.sessions;
   if (atCapacity)
-    log::line("clients_full", "sessions=%zu idle=%zu", sessions_.size(), idle_.size());
+    log::line("client_limit_reached", "sessions=%zu idle=%zu", sessions_.size(), idle_.size());
   bool turnAway = atCapacity && !evictIdle();
-  if (turnAway) log::line("client_turned_away", "sessions=%zu", sessions_.size()), ++rejecting_;
+  if (turnAway) log::line("client_rejected", "sessions=%zu", sessions_.size()), ++rejecting_;
   auto s = std::make_unique<Session>(scheduler_, protocol_, fd,
                                      limits_.bytes / kUnreadPart + kMostAhead);
   s->unseenSince = waitedSince, s->oldestUnseen = limits_.linger;
@@ -191,7 +191,7 @@
     // Danger: hundreds who each send most of a long message would together take all memory there
     // is.
     if (s.in.size() > kMostAhead && held() > limits_.bytes) {
-      log::line("client_too_much", "bytes=%zu", held());
+      log::line("client_memory_limit", "bytes=%zu", held());
       s.talk->part(DisconnectReason::memoryLimit);
     }
     co_return true;
@@ -244,7 +244,7 @@
     set = co_await wait(s, s.socket.in, awaitingFirstRequest_, s.begun + limits_.silence);
   if (set) co_return true;
   bool greeted = s.talk->greeted();
-  log::line("client_silent", "what=%s", greeted ? "message" : "startup");
+  log::line("client_timeout", "what=%s", greeted ? "message" : "startup");
   s.talk->part(greeted ? DisconnectReason::messageTimeout : DisconnectReason::startupTimeout);
   co_return true;
 }
@@ -336,7 +336,7 @@
   try {
     co_await converse(s);
   } catch (const std::exception& e) {
-    log::line("fault", "what=\"%s\"", e.what());
+    log::line("task_failed", "what=\"%s\"", e.what());
     s.close(CloseReason::fault);
   }
   settle(s);
--- a/src/discovery/endpoint_watcher.cpp
+++ b/src/discovery/endpoint_watcher.cpp
@@ -202,11 +202,11 @@
   std::string why;
   if (!json::parse(body, value, why, mostBody_ * kValuesPart) ||
       !parseEndpointList(value, roster, why)) {
-    log::line("list_bad", "what=\"%s\"", why.c_str());
+    log::line("discovery_invalid_response", "what=\"%s\"", why.c_str());
     return false;
   }
   if (whole && !roster.full) {
-    log::line("list_bad", "what=\"changes where the whole list was asked for\"");
+    log::line("discovery_invalid_response", "what=\"changes where the whole list was asked for\"");
     return false;
   }
   // Danger: a call that was left may have had its answer already; that is not the word of the one
@@ -214,8 +214,8 @@
   if (&s != service_.get() && &s != before_.get()) return false;
   bool first = !std::exchange(s.heard, true);
   if (!roster.full && roster.version < s.version) {
-    log::line("list_back", "version=%lld held=%lld", static_cast<long long>(roster.version),
-              static_cast<long long>(s.version));
+    log::line("discovery_version_regressed", "version=%lld held=%lld",
+              static_cast<long long>(roster.version), static_cast<long long>(s.version));
     s.known = false;  // the service has started anew: the whole list is fetched
     return true;
   }
@@ -239,7 +239,7 @@
     bool up = co_await runtime::connected(*s.socket,
                                           std::min(until, scheduler_.now() + pace_.connect));
     if (!up) {
-      log::line("list_away", "what=\"no connection\"");
+      log::line("discovery_unreachable", "what=\"no connection\"");
       co_return false;
     }
   }
@@ -267,13 +267,14 @@
     bool set = false;
     if (got == runtime::Socket::Got::nothing) set = co_await s.socket->in.wait(until);
     if (!set) {
-      log::line("list_silent", "path=%s", path.c_str());
+      log::line("discovery_timeout", "path=%s", path.c_str());
       co_return false;
     }
   }
   if (response.whole() && !response.keepsOpen()) s.socket->close();
   if (!response.whole() || response.status() != 200) {
-    log::line("list_bad", "status=%d what=\"%s\"", response.status(), response.why().c_str());
+    log::line("discovery_invalid_response", "status=%d what=\"%s\"", response.status(),
+              response.why().c_str());
     co_return false;
   }
   body = response.takeBody();
--- a/src/protocols/cassandra/client_codec.cpp
+++ b/src/protocols/cassandra/client_codec.cpp
@@ -70,12 +70,12 @@
       came_ = came.at(used);  // where none is used, the frame stood in a segment that came before
     if (got == Framed::partial) return false;
     if (got == Framed::bad) {
-      log::line("client_garbled", "what=\"%s\"", framing_.why());
+      log::line("client_protocol_error", "what=\"%s\"", framing_.why());
       endWith(0, cql::kProtocolError, framing_.why());
       return true;
     }
     if (f.answer || !cql::askable(f.opcode)) {
-      log::line("client_garbled", "what=opcode");
+      log::line("client_protocol_error", "what=opcode");
       endWith(f.stream, cql::kProtocolError, "no request that is known");
     } else if (state_ != State::fresh && f.version != version_) {
       endWith(f.stream, cql::kProtocolError, "another version than the connection began with");
@@ -83,7 +83,7 @@
       endWith(f.stream, cql::kProtocolError, "a negative stream");
     } else if (open_.contains(f.stream)) {
       // Danger: an answer on this stream could be taken for either statement's.
-      log::line("client_garbled", "what=stream");
+      log::line("client_protocol_error", "what=stream");
       endWith(f.stream, cql::kProtocolError, "a stream that is still open");
     } else {
       handle(f);
--- a/src/protocols/cassandra/upstream_connection.cpp
+++ b/src/protocols/cassandra/upstream_connection.cpp
@@ -108,7 +108,7 @@
 }
 
 bool Connection::garbled(const char* what) {
-  log::line("store_garbled", "store=%d what=\"%s\"", store, what);
+  log::line("upstream_protocol_error", "store=%d what=\"%s\"", store, what);
   broken_ = true;
   return false;
 }
@@ -171,7 +171,8 @@
     if (!came || !f.answer || f.version != voice_.version()) co_return false;
     if (f.opcode == Opcode::error) {
       cql::Cursor c(f.body);
-      log::line("store_refused", "store=%d code=%04x", store, static_cast<unsigned>(c.fourBytes()));
+      log::line("upstream_rejected", "store=%d code=%04x", store,
+                static_cast<unsigned>(c.fourBytes()));
       co_return false;
     }
     if (!asked && g.storeCompression) framing_.compress();
@@ -436,7 +437,7 @@
     if (in_.empty() && in_.capacity() > kReadAtOnce) in_.shrink_to_fit();
     // Danger: answers that all stores send at once would together take all memory there is.
     if (in_.size() > kReadAtOnce && stores.held() > stores.limits().bytes) {
-      log::line("store_too_much", "store=%d bytes=%zu", store, stores.held());
+      log::line("upstream_memory_limit", "store=%d bytes=%zu", store, stores.held());
       broken_ = true;
       return false;
     }
--- a/src/protocols/postgres/client_codec.cpp
+++ b/src/protocols/postgres/client_codec.cpp
@@ -128,7 +128,7 @@
     if (f == pg::Framed::partial) return false;
     if (f == pg::Framed::bad) {
       used = 0;
-      log::line("client_garbled", "what=startup");
+      log::line("client_protocol_error", "what=startup");
       end("08P01", "the startup message can't be read");
     } else if (code == pg::kSslCode || code == pg::kGssCode) {
       say("N");
@@ -148,7 +148,7 @@
     pg::Framed f = pg::frame(bytes, kMostMessage, m);
     if (f == pg::Framed::partial) return false;
     if (f == pg::Framed::bad) {
-      log::line("client_garbled", "what=message");
+      log::line("client_protocol_error", "what=message");
       end("08P01", "a message whose length makes no sense");
       return true;
     }
@@ -168,7 +168,7 @@
       say(pg::error(false, "0A000", "only simple queries are spoken here") +
           (m.type == 'F' ? pg::ready() : std::string()));
     } else if (std::string_view("BEDCHdcfp").find(m.type) == std::string_view::npos) {
-      log::line("client_garbled", "what=type");
+      log::line("client_protocol_error", "what=type");
       end("08P01", "a message of an unknown type");
     }
     return true;
--- a/src/protocols/postgres/upstream_connection.cpp
+++ b/src/protocols/postgres/upstream_connection.cpp
@@ -116,7 +116,7 @@
       if (whole > in.capacity()) in.reserve(whole + kTail);
       // Danger: rows that all stores send at once would together take all memory there is.
       if (in.size() > kReadAtOnce && stores.held() > stores.limits().bytes) {
-        log::line("store_too_much", "store=%d bytes=%zu", store, stores.held());
+        log::line("upstream_memory_limit", "store=%d bytes=%zu", store, stores.held());
         garbled = true;
         co_return false;
       }
@@ -187,7 +187,7 @@
     bool refused = type == 'E' || (type == 'R' && m.payload != std::string_view("\0\0\0\0", 4));
     if (type == 'E') {
       std::string code(pg::errorField(m.payload, 'C'));
-      log::line("store_refused", "store=%d code=%s", store, code.c_str());
+      log::line("upstream_rejected", "store=%d code=%s", store, code.c_str());
     }
     bool known = type == 'R' || type == 'S' || type == 'K' || type == 'N' || type == 'Z';
     drop();
@@ -283,7 +283,7 @@
     if (garbled) break;
   }
   if (garbled) {
-    log::line("store_garbled", "store=%d", store);
+    log::line("upstream_protocol_error", "store=%d", store);
     // Danger: nothing of a spoilt answer is to be believed, least of all that the statement never
     // ran.
     j.role = Role::unknown, j.position.reset(), j.report = {};
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -167,7 +167,7 @@
 
 void Proxy::enter(Lifecycle p) {
   lifecycle_ = p;
-  log::line("phase", "name=%s phase=%s open=%zu sessions=%zu", config_.name.c_str(), nameOf(p),
+  log::line("lifecycle", "name=%s phase=%s open=%zu sessions=%zu", config_.name.c_str(), nameOf(p),
             statements_.openCount(), sessions());
 }
 
@@ -305,7 +305,7 @@
   auto count = [](std::uint64_t n) { return static_cast<unsigned long long>(n); };
   const pipeline::Responder::AnswerCounts& ends = responder_.answers();
   log::line(
-      "tally",
+      "counters",
       "taken=%llu open=%zu sessions=%zu store_connections=%zu stores=%zu gone=%zu completed=%llu "
       "rejected=%llu "
       "aborted=%llu executions=%llu probes=%llu connects=%llu answered=%llu client_gone=%llu "
@@ -339,7 +339,7 @@
     auto rule = static_cast<invariants::Rule>(k);
     add("violated_", invariants::nameOf(rule), invariants::violations(rule));
   }
-  if (!fields.empty()) log::line("tally_ends", "%s", fields.c_str());
+  if (!fields.empty()) log::line("close_counters", "%s", fields.c_str());
 }
 
 // `owed`: statements that may still be open or being written.
@@ -347,9 +347,9 @@
   auto missing = static_cast<long long>(counters_.missing(owed));
   if (missing == 0) return;
   auto count = [](std::uint64_t n) { return static_cast<unsigned long long>(n); };
-  log::line("answers_missing", "statements=%lld taken=%llu answered=%llu client_gone=%llu owed=%zu",
-            missing, count(counters_.taken), count(counters_.answered), count(counters_.gone),
-            owed);
+  log::line("responses_missing",
+            "statements=%lld taken=%llu answered=%llu client_gone=%llu owed=%zu", missing,
+            count(counters_.taken), count(counters_.answered), count(counters_.gone), owed);
 }
 
 runtime::Task<> Proxy::tally() {
@@ -386,14 +386,15 @@
   // Danger: statements whose answers are long would together take all memory there is.
   if (statements_.held() + pipeline::StatementTable::costOf(taken.payload->size()) >
       config_.memory / kStatementPart) {
-    log::line("memory_full", "bytes=%zu open=%zu", statements_.held(), statements_.openCount());
+    log::line("statement_memory_limit", "bytes=%zu open=%zu", statements_.held(),
+              statements_.openCount());
     sink.rejected(requestId, Duration{});
     return -1;
   }
   // Danger: a client that is still owed an answer may ask once more behind it; the process may be
   // killed before that has its own.
   if (!takes(taken.came)) {
-    log::line("too_late", "open=%zu", statements_.openCount());
+    log::line("rejected_draining", "open=%zu", statements_.openCount());
     sink.rejected(requestId, Duration{});
     return -1;
   }
@@ -426,8 +427,8 @@
 }
 
 void Proxy::listCame(const discovery::EndpointList& roster) {
-  log::line("list", "version=%lld full=%d entries=%zu", static_cast<long long>(roster.version),
-            roster.full, roster.members.size());
+  log::line("endpoints_updated", "version=%lld full=%d entries=%zu",
+            static_cast<long long>(roster.version), roster.full, roster.members.size());
   tellList(roster, true);
   listed_.set();
 }
@@ -464,7 +465,7 @@
     const char* state = m.listed == EndpointStatus::up         ? "up"
                         : m.listed == EndpointStatus::draining ? "draining"
                                                                : "gone";
-    log::line("member", "store=%d id=%s group=%lld state=%s primary=%d started_ms=%lld", e.store,
+    log::line("endpoint", "store=%d id=%s group=%lld state=%s primary=%d started_ms=%lld", e.store,
               m.id.c_str(), static_cast<long long>(m.group), state, m.primary,
               static_cast<long long>(m.startedMs));
   }
@@ -511,7 +512,7 @@
     auto [store, since] = entry;
     if (scheduler_.now() - since < config_.keepalive * kRemembered) return false;
     if (!stores_.unused(store) || statements_.names(store)) return false;
-    log::line("forgotten", "store=%d id=%s", store, storeIds_.id(store).c_str());
+    log::line("endpoint_removed", "store=%d id=%s", store, storeIds_.id(store).c_str());
     engine_.removeEndpoint(store, scheduler_.now());
     statements_.guard().forget(store);
     stores_.forget(store);
--- a/src/runtime/scheduler.cpp
+++ b/src/runtime/scheduler.cpp
@@ -46,7 +46,7 @@
   try {
     co_await task;
   } catch (const std::exception& e) {
-    log::line("fault", "what=\"%s\"", e.what());
+    log::line("task_failed", "what=\"%s\"", e.what());
   }
 }
 
--- a/src/upstream/connection_pools.cpp
+++ b/src/upstream/connection_pools.cpp
@@ -298,7 +298,7 @@
     bool up = co_await c.comeUp(scheduler_.now() + limits_.connectTimeout);
     co_return up;
   } catch (const std::exception& e) {
-    log::line("fault", "what=\"%s\"", e.what());
+    log::line("task_failed", "what=\"%s\"", e.what());
     co_return false;
   }
 }
@@ -313,7 +313,7 @@
     try {
       co_await c.serve();
     } catch (const std::exception& e) {
-      log::line("fault", "what=\"%s\"", e.what());
+      log::line("task_failed", "what=\"%s\"", e.what());
     }
   } else {
     // Those that it was made for. Danger: one that waited too long to be sent found the store away
--- a/tests/drive.h
+++ b/tests/drive.h
@@ -133,7 +133,8 @@
       cqlPort = static_cast<std::uint16_t>(
           std::atoi(log.c_str() + log.find("protocol=cassandra port=") + 24));
     }
-    if (awaitsList) until("the list is read", [&] { return logged(" list version="); });
+    if (awaitsList)
+      until("the list is read", [&] { return logged(" endpoints_updated version="); });
   }
   void configure(int listPort, const char* name = "t", std::size_t cutAt = std::string::npos) {
     std::string text = "{\"name\":\"" + std::string(name) +
@@ -282,7 +283,7 @@
     auto ended = [&] { return logged(""), waitpid(child_, &status, WNOHANG) == child_; };
     if (until("the front exits", ended)) child_ = -1;
     logged("");
-    std::size_t at = log.find(" answers_missing ");
+    std::size_t at = log.find(" responses_missing ");
     if (at != std::string::npos)
       std::printf("%s\n", log.substr(at + 1, log.find('\n', at) - at - 1).c_str());
     if (log.find("phase=ended") == std::string::npos) std::printf("the front told no end\n");
--- a/tests/front.cpp
+++ b/tests/front.cpp
@@ -143,22 +143,23 @@
     d.log.clear();
     d.toy.spoilList(raw);
     d.toy.setState(1, "up");
-    std::printf("a broken list is %s\n",
-                d.until("logged", [&] { return d.logged("list_bad"); }) ? "logged" : "?");
-    d.until("the next call", [&] { return d.logged(" list version="); });
+    std::printf(
+        "a broken list is %s\n",
+        d.until("logged", [&] { return d.logged("discovery_invalid_response"); }) ? "logged" : "?");
+    d.until("the next call", [&] { return d.logged(" endpoints_updated version="); });
     count("and the next call brings");
   }
 }
 
 void asked() {
   Drive d(2, 256, "subscribe", "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n");
-  std::printf("the first call failed: %s\n", d.logged("list_bad") ? "yes" : "no");
+  std::printf("the first call failed: %s\n", d.logged("discovery_invalid_response") ? "yes" : "no");
   d.toy.setState(1, "draining");
   d.until("told", [&] { return d.logged("version=2"); });
   d.log.clear();
   d.toy.spoilList("nonsense\r\n\r\n");
   d.toy.setState(1, "up");
-  d.until("the watch breaks", [&] { return d.logged("list_bad"); });
+  d.until("the watch breaks", [&] { return d.logged("discovery_invalid_response"); });
   bool told = d.until("told", [&] { return d.logged("version=3"); });
   std::printf("a broken watch is asked for anew: %s\n", told ? "yes" : "no");
   Client(d).asks("and a read", Client::read("a"));
@@ -304,8 +305,8 @@
   }
   d.signal(SIGTERM);
   d.exits();
-  d.logged("tally");
-  std::size_t at = d.log.rfind(" tally ");
+  d.logged("counters");
+  std::size_t at = d.log.rfind(" counters ");
   std::string line = at == std::string::npos ? "none" : d.log.substr(at, d.log.find('\n', at) - at);
   auto value = [&](const char* name) {
     std::size_t from = line.find(std::string(" ") + name + "=");
@@ -459,7 +460,7 @@
   std::printf("some were told that there is no memory: %s; ended: %d\n", refused > 0 ? "yes" : "no",
               closed);
   std::size_t most = 0;
-  for (std::size_t at = 0; (at = d.log.find("client_too_much bytes=", at)) != std::string::npos;
+  for (std::size_t at = 0; (at = d.log.find("client_memory_limit bytes=", at)) != std::string::npos;
        ++at)
     most = std::max<std::size_t>(most,
                                  static_cast<std::size_t>(std::atoi(d.log.c_str() + at + 22)));
--- a/tests/races.cpp
+++ b/tests/races.cpp
@@ -305,7 +305,7 @@
   Drive d(2);
   int port = d.listPort();
   d.toy.closeList();
-  d.until("it is noticed", [&] { return d.logged("list_away"); });
+  d.until("it is noticed", [&] { return d.logged("discovery_unreachable"); });
   d.pass(700);
   d.toy.setState(1, "draining");
   TimePoint since = d.s.now();
@@ -335,7 +335,7 @@
   Drive d(2);
   d.toy.spoilList("HTTP/1.0 200 OK\r\n\r\n{\"version\":9,\"full\":true,\"servers\":[]}");
   d.toy.setState(1, "draining");
-  d.until("refused", [&] { return d.logged("list_bad"); });
+  d.until("refused", [&] { return d.logged("discovery_invalid_response"); });
   d.until("the next call", [&] { return d.logged("state=draining"); });
   std::printf("an answer without length that is reset is taken for whole: %s\n",
               yes(d.logged("version=9")));
@@ -354,7 +354,9 @@
     d.toy.spoilList(many);
     d.toy.setState(1, "draining");
     c.asks("while the list's answer does not end", Client::read("a"));
-    d.until("given up", [&] { return d.logged("list_bad") || d.logged("list_silent"); });
+    d.until("given up", [&] {
+      return d.logged("discovery_invalid_response") || d.logged("discovery_timeout");
+    });
     std::printf("and the next call: %s\n",
                 yes(d.until("told", [&] { return d.logged("state=draining"); })));
   }
@@ -371,7 +373,7 @@
   std::printf("an answer without end: %s, ", c.get().c_str());
   std::printf("%s\n", d.s.now() - since < ms(10'000) ? "long before its client's time" : "late");
   c.asks("and the next", Client::read("b"));
-  std::printf("logged: %s\n", yes(d.logged("store_garbled")));
+  std::printf("logged: %s\n", yes(d.logged("upstream_protocol_error")));
 }
 
 // A connection that comes up late, or never.
@@ -528,10 +530,11 @@
   first.ask(Client::read("a"));
   int port = d.listPort();
   d.toy.closeList();
-  d.until("it is noticed", [&] { return d.logged("list_away"); });
+  d.until("it is noticed", [&] { return d.logged("discovery_unreachable"); });
   std::vector<std::unique_ptr<Client>> idle;
   for (int k = 0; k < 40; ++k) idle.push_back(std::make_unique<Client>(d));
-  std::printf("it says so: %s\n", yes(d.until("logged", [&] { return d.logged("clients_full"); })));
+  std::printf("it says so: %s\n",
+              yes(d.until("logged", [&] { return d.logged("client_limit_reached"); })));
   d.toy.closeIdle(0), d.toy.closeIdle(1);
   idle.back()->asks("all places taken, connections to stores closed", Client::read("b"));
   d.toy.setState(1, "draining");
--- a/tests/sizes.cpp
+++ b/tests/sizes.cpp
@@ -66,7 +66,7 @@
                   body);
   d.toy.setState(1, "draining");
   std::printf("a list of nothing but brackets is refused: %s\n",
-              yes(d.until("it is", [&] { return d.logged("list_bad"); })));
+              yes(d.until("it is", [&] { return d.logged("discovery_invalid_response"); })));
   std::printf("the next is taken: %s\n",
               yes(d.until("it is", [&] { return d.logged("state=draining"); })));
   std::fprintf(stderr, "at most %d KB\n", d.peakKb());
--- a/tests/soak/main.cpp
+++ b/tests/soak/main.cpp
@@ -89,8 +89,8 @@
   Verdict verdict = judge(readEvents(folder), judgedBy);
   tell(verdict);
   std::size_t own = countLines(folder, " invariant_violated ", true) +
-                    countLines(folder, " answers_missing ", true) +
-                    countLines(folder, " fault ", true);
+                    countLines(folder, " responses_missing ", true) +
+                    countLines(folder, " task_failed ", true);
   good = good && verdict.violations.empty() && own == 0 && verdict.served > 0;
   std::printf("seed %llu: %s\n", static_cast<unsigned long long>(seed), good ? "kept" : "BROKEN");
   std::fflush(stdout);
--- a/tests/start.sh
+++ b/tests/start.sh
@@ -7,7 +7,7 @@
 
 try() { # title, then the configuration's file
   echo "-- $1"
-  LB_CONFIG=$2 "$front" 2>&1 | grep -v -e " phase " -e " member " | sed -e "s#$file#FILE#" -e 's/^[0-9]* //'
+  LB_CONFIG=$2 "$front" 2>&1 | grep -v -e " lifecycle " -e " endpoint " | sed -e "s#$file#FILE#" -e 's/^[0-9]* //'
 }
 changed() { # title, then a sed command on the good configuration
   sed -e "$2" "$good" > "$file"
