--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -22,7 +22,7 @@
 };
 
 std::array<EventLimiter, kEvents> limiters;
-WallTime now_{};
+WallTime logTime{};
 
 EventLimiter& limiterOf(const char* event) {
   for (EventLimiter& m : limiters) {
@@ -42,12 +42,12 @@
 }
 
 void clock(WallTime now) {
-  now_ = now;
+  logTime = now;
 }
 
 void line(const char* event, const char* format, ...) {
   EventLimiter& m = limiterOf(event);
-  std::int64_t second = now_.us / 1'000'000;
+  std::int64_t second = logTime.us / 1'000'000;
   if (second != m.second) m.second = second, m.written = 0;
   if (m.written >= kPerSecond) {
     ++m.left;
@@ -64,18 +64,18 @@
     if (static_cast<unsigned char>(c) < ' ') c = '?';
   }
   if (m.left > 0)
-    std::fprintf(stderr, "%lld %s %s left_out=%llu\n", static_cast<long long>(now_.us / 1000),
+    std::fprintf(stderr, "%lld %s %s left_out=%llu\n", static_cast<long long>(logTime.us / 1000),
                  event, text, static_cast<unsigned long long>(m.left));
   else
-    std::fprintf(stderr, "%lld %s %s\n", static_cast<long long>(now_.us / 1000), event, text);
+    std::fprintf(stderr, "%lld %s %s\n", static_cast<long long>(logTime.us / 1000), event, text);
   m.left = 0;
 }
 
 void flushCounts() {
   for (EventLimiter& m : limiters) {
     if (m.event == nullptr || m.left == 0) continue;
-    std::fprintf(stderr, "%lld %s left_out=%llu\n", static_cast<long long>(now_.us / 1000), m.event,
-                 static_cast<unsigned long long>(m.left));
+    std::fprintf(stderr, "%lld %s left_out=%llu\n", static_cast<long long>(logTime.us / 1000),
+                 m.event, static_cast<unsigned long long>(m.left));
     m.left = 0;
   }
 }
--- a/src/simulator/adapter.cpp
+++ b/src/simulator/adapter.cpp
@@ -165,7 +165,7 @@
     std::int64_t clock = line_.integer(1, "clock");
     if (clock < lastClock_) throw Malformed("the clock went back");
     lastClock_ = clock;
-    now = TimePoint{clock};
+    now_ = TimePoint{clock};
     inBatch_ = true;
     return false;
   }
@@ -205,7 +205,7 @@
         report.position = in.origin + Duration{static_cast<std::int64_t>(value * 1e6)};
       if (field == "x1") report.primary = value > 0.5;
     }
-    in.engine().onProbeEnded(store, ending == AttemptOutcome::ok, report, now);
+    in.engine().onProbeEnded(store, ending == AttemptOutcome::ok, report, now_);
   } else if (name == "GONE") {
     line_.expect(2);
     Instance& in = instance();
@@ -228,7 +228,7 @@
     for (std::size_t k = 3; k <= line_.fields(); ++k) params.add(line_.raw(k));
     try {
       instances_[number] = std::make_unique<Instance>(number, params,
-                                                      line_.unsigned64(2, "nonce64"), now);
+                                                      line_.unsigned64(2, "nonce64"), now_);
     } catch (const std::invalid_argument& e) {
       throw Malformed(e.what());
     }
@@ -282,7 +282,7 @@
   Instance& in = instance();
   std::string how = line_.text(2, "how");
   line_.integer(3, "version");
-  if (how == "broken") return in.engine().onDiscoveryFailed(now);
+  if (how == "broken") return in.engine().onDiscoveryFailed(now_);
   if (how != "patch" && how != "whole" && how != "stale_copy")
     throw Malformed("unknown list kind '" + how + "'");
   std::size_t bank = static_cast<std::size_t>(line_.integer(4, "bank", 0, kSheets - 1));
@@ -297,7 +297,7 @@
     entry.primary = e.primary;
     entry.weight = e.weight;
     if (e.started > 0) entry.started = TimePoint{e.started};
-    in.engine().addEndpoint(entry, now);
+    in.engine().addEndpoint(entry, now_);
   }
   in.engine().endSnapshot(how != "stale_copy");
 }
@@ -321,7 +321,7 @@
   a.group = in.groups.add(line_.integer(10, "group_no", INT32_MIN, INT32_MAX));
   int statement = in.stmts.add(id);
   in.open(statement);
-  in.engine().onStatementArrived(statement, a, now);
+  in.engine().onStatementArrived(statement, a, now_);
 }
 
 void Adapter::outcome() {
@@ -348,7 +348,7 @@
       r.report.position = in.origin + Duration{static_cast<std::int64_t>(value * 1e6)};
   Instance::RequestCounters& account = in.account(statement);
   --account.out;
-  in.engine().onAttemptEnded(statement, r, now);
+  in.engine().onAttemptEnded(statement, r, now_);
   if (r.closed) account.closed = true;
   in.offerRelease(statement);
 }
@@ -359,7 +359,7 @@
     auto it = instances_.find(number);
     if (it == instances_.end()) continue;
     try {
-      it->second->decide(now, reply);
+      it->second->decide(now_, reply);
     } catch (const std::exception& e) {
       it->second->faulted(reply, e.what());
     }
--- a/src/simulator/adapter.h
+++ b/src/simulator/adapter.h
@@ -44,7 +44,7 @@
 
   Line line_;
   bool inBatch_ = false;
-  TimePoint now;
+  TimePoint now_;
   std::int64_t lastClock_ = 0;
   std::map<int, std::unique_ptr<Instance>> instances_;
   std::vector<std::vector<ListEntry>> sheets_;
--- a/tests/clients.cpp
+++ b/tests/client/client_connections_test.cpp
@@ -1,11 +1,12 @@
 // An exception in the middle of a connection's work: its statements end all the same, and nothing
 // of it is left. The peers are real, what is spoken on them is this test's.
+#include "client/client_connections.h"
+
 #include <csignal>
 #include <cstdio>
 #include <memory>
 #include <stdexcept>
 
-#include "client/client_connections.h"
 #include "trace.h"
 
 using namespace reedchute;
--- a/tests/guard.cpp
+++ b/tests/invariants/attempt_guard_test.cpp
@@ -1,10 +1,11 @@
 // The guard for what leaves for a store, and the checks that hold what has left against the rules:
 // each finds what it is there for.
+#include "invariants/attempt_guard.h"
+
 #include <cstdio>
 #include <memory>
 #include <string>
 
-#include "invariants/attempt_guard.h"
 #include "invariants/violations.h"
 #include "pipeline/statement_table.h"
 #include "trace.h"
--- a/tests/membership.cpp
+++ b/tests/membership/membership_test.cpp
@@ -5,7 +5,7 @@
 #include <cstring>
 #include <set>
 
-#include "rig/net.h"
+#include "gossip_network.h"
 #include "trace.h"
 
 using namespace reedchute;
--- a/tests/start.sh
+++ b/tests/proxy/start.sh
@@ -1,7 +1,7 @@
 # Starts the front with configurations that make no sense and compares what it says with the kept trace.
 front=$1
 here=$(dirname "$0")
-good="$here/../example/config.json"
+good="$here/../../example/config.json"
 file=$(mktemp)
 trap 'rm -f "$file"' EXIT
 
@@ -28,4 +28,4 @@
   changed "an unknown level" 's/"eventual"/"whenever"/'
   changed "too few sockets" 's/"sockets": 1024/"sockets": 20/'
   changed "an address that is not this machine's" 's/127.0.0.1:7432/192.0.2.1:7432/'
-} | diff "$here/traces/start.txt" -
+} | diff "$here/../traces/start.txt" -
--- a/tests/wire.sh
+++ b/tests/simulator/wire.sh
@@ -29,4 +29,4 @@
   say "input ends inside a batch" "TURN@5"
   say "a setting is missing" "TURN@5 SPAWN@3@7@classes.count=1"
   say "a setting makes no sense" "$start@obligations.cold_from=0 GO"
-} | diff "$here/traces/wire.txt" -
+} | diff "$here/../traces/wire.txt" -
--- a/tests/zones_fleet.cpp
+++ b/tests/zones/zones_fleet_test.cpp
@@ -10,7 +10,7 @@
 #include <cstring>
 #include <deque>
 
-#include "rig/net.h"
+#include "gossip_network.h"
 #include "trace.h"
 #include "zones/quorum.h"
 
--- a/tests/zones.cpp
+++ b/tests/zones/zones_test.cpp
@@ -7,7 +7,7 @@
 #include <cstdlib>
 #include <cstring>
 
-#include "rig/net.h"
+#include "gossip_network.h"
 #include "trace.h"
 #include "zones/quorum.h"
 
