--- a/bench/doors.cpp
+++ b/bench/doors.cpp
@@ -52,7 +52,7 @@
 runtime::Task<> postgres(runtime::Scheduler& s, std::uint16_t port, TimePoint until, Run& run,
                          int& left, int number) {
   runtime::Socket socket(s, runtime::startConnect(at(port)));
-  bool up = co_await runtime::connected(socket, until);
+  bool up = co_await runtime::awaitConnected(socket, until);
   bool good = up && co_await runtime::writeAll(socket, pg::startup("web", "orders"), until);
   std::string in;
   bool greeted = false;
@@ -85,10 +85,10 @@
     }
     if (!good) break;
     if (pg::frame(in, 1 << 20, m) == pg::Framed::whole) continue;
-    runtime::Socket::Got got = socket.read(in, 1 << 20);
-    if (got == runtime::Socket::Got::ended) break;
-    if (got == runtime::Socket::Got::nothing)
-      good = co_await socket.in.wait(until + Duration{3'000'000});
+    runtime::Socket::ReadStatus got = socket.read(in, 1 << 20);
+    if (got == runtime::Socket::ReadStatus::closed) break;
+    if (got == runtime::Socket::ReadStatus::noData)
+      good = co_await socket.readable.wait(until + Duration{3'000'000});
   }
   if (--left == 0) s.stop();
 }
@@ -98,7 +98,7 @@
                           int& left, int streams) {
   runtime::Socket socket(s, runtime::startConnect(at(port)));
   cql::Framing framing(1 << 20);
-  bool good = co_await runtime::connected(socket, until);
+  bool good = co_await runtime::awaitConnected(socket, until);
   std::string in, out, body;
   cql::addShort(body, 1), cql::addString(body, "CQL_VERSION"), cql::addString(body, "3.4.5");
   framing.put(out, false, 4, 0, 0, cql::Opcode::startup, body);
@@ -144,10 +144,10 @@
       continue;
     }
     if (started && open == 0) break;
-    runtime::Socket::Got got = socket.read(in, 1 << 20);
-    if (got == runtime::Socket::Got::ended) break;
-    if (got == runtime::Socket::Got::nothing)
-      good = co_await socket.in.wait(until + Duration{3'000'000});
+    runtime::Socket::ReadStatus got = socket.read(in, 1 << 20);
+    if (got == runtime::Socket::ReadStatus::closed) break;
+    if (got == runtime::Socket::ReadStatus::noData)
+      good = co_await socket.readable.wait(until + Duration{3'000'000});
   }
   if (--left == 0) s.stop();
 }
--- a/example/main.cpp
+++ b/example/main.cpp
@@ -39,7 +39,7 @@
 runtime::Task<> ask(runtime::Scheduler& s, std::string workload, std::string key, int& status) {
   TimePoint until = s.now() + Duration{10'000'000};
   runtime::Socket socket(s, runtime::startConnect(*runtime::parseAddress(kFront)));
-  bool up = co_await runtime::connected(socket, until);
+  bool up = co_await runtime::awaitConnected(socket, until);
   if (!up) {
     std::fprintf(stderr, "no front at %s\n", kFront);
     s.stop();
@@ -76,10 +76,10 @@
       in.erase(0, m.whole.size());
       continue;
     }
-    runtime::Socket::Got got = socket.read(in, 1 << 20);
-    if (got == runtime::Socket::Got::ended) break;
-    if (got == runtime::Socket::Got::some) continue;
-    bool set = co_await socket.in.wait(until);
+    runtime::Socket::ReadStatus got = socket.read(in, 1 << 20);
+    if (got == runtime::Socket::ReadStatus::closed) break;
+    if (got == runtime::Socket::ReadStatus::data) continue;
+    bool set = co_await socket.readable.wait(until);
     if (!set) break;
   }
   s.stop();
--- a/example/toy.cpp
+++ b/example/toy.cpp
@@ -67,8 +67,8 @@
 int Toy::addStore(bool primary, int group, std::uint16_t port) {
   auto store = std::make_unique<Store>();
   store->listener = std::make_unique<runtime::Descriptor>(scheduler_,
-                                                          runtime::listenOn(at(host_, port)));
-  store->port = static_cast<std::uint16_t>(runtime::portOf(store->listener->fd()));
+                                                          runtime::openListener(at(host_, port)));
+  store->port = static_cast<std::uint16_t>(runtime::localPort(store->listener->fd()));
   store->primary = primary;
   store->group = group;
   stores_.push_back(std::move(store));
@@ -147,7 +147,7 @@
   Store& s = *stores_[static_cast<std::size_t>(number)];
   s.startedMs = wallNow().us / 1000;
   s.listener = std::make_unique<runtime::Descriptor>(scheduler_,
-                                                     runtime::listenOn(loopback(s.port)));
+                                                     runtime::openListener(loopback(s.port)));
   acceptStore(number);
   s.prepared.clear();
   if (s.cqlPort) speakCql(number, s.cqlPort);
@@ -158,7 +158,7 @@
 void Toy::hold(int number, bool held) {
   Store& s = *stores_[static_cast<std::size_t>(number)];
   s.held = held, s.holdsBack = false;
-  for (runtime::Socket* c : s.connections) c->in.set();
+  for (runtime::Socket* c : s.connections) c->readable.set();
 }
 
 void Toy::closeIdle(int number, std::string_view last) {
@@ -175,12 +175,12 @@
 // ---- stores ----
 
 runtime::Task<> Toy::accept(runtime::Descriptor& listener, Server server) {
-  while (listener.open()) {
-    runtime::Accepted one = runtime::acceptOn(listener.fd());
+  while (listener.isOpen()) {
+    runtime::Accepted one = runtime::acceptConnection(listener.fd());
     if (one.status == runtime::AcceptStatus::accepted)
       scheduler_.spawn(server(std::make_unique<runtime::Socket>(scheduler_, one.fd)));
     else
-      co_await listener.in.wait();
+      co_await listener.readable.wait();
   }
 }
 
@@ -225,13 +225,13 @@
       }
     } else {
       store.idle.push_back(&s);
-      runtime::Socket::Got got = s.read(in, kMost);
-      if (got == runtime::Socket::Got::nothing) {
-        co_await s.in.wait();
+      runtime::Socket::ReadStatus got = s.read(in, kMost);
+      if (got == runtime::Socket::ReadStatus::noData) {
+        co_await s.readable.wait();
         got = s.read(in, kMost);
       }
       std::erase(store.idle, &s);
-      if (got == runtime::Socket::Got::ended) break;
+      if (got == runtime::Socket::ReadStatus::closed) break;
       continue;
     }
     bool sent = co_await runtime::writeAll(s, out, kForever);
@@ -310,14 +310,14 @@
   } else if (word == "break" || word == "die") {
     co_return false;
   } else if (word == "silent") {
-    while (s.open()) {
+    while (s.isOpen()) {
       std::string rest;
-      co_await s.in.wait();
-      if (s.read(rest, kMost) == runtime::Socket::Got::ended) break;
+      co_await s.readable.wait();
+      if (s.read(rest, kMost) == runtime::Socket::ReadStatus::closed) break;
     }
     co_return false;
   } else if (word == "endless") {
-    for (std::string many = pg::parameter("usage", std::string(1000, 'x')); s.open();) {
+    for (std::string many = pg::parameter("usage", std::string(1000, 'x')); s.isOpen();) {
       bool taken = co_await runtime::writeAll(s, many, kForever);
       if (!taken) break;
     }
@@ -367,10 +367,10 @@
 // ---- the list ----
 
 std::uint16_t Toy::serveList(std::uint16_t port) {
-  list_ = std::make_unique<runtime::Descriptor>(scheduler_, runtime::listenOn(loopback(port)));
+  list_ = std::make_unique<runtime::Descriptor>(scheduler_, runtime::openListener(loopback(port)));
   scheduler_.spawn(
       accept(*list_, [this](auto socket) { return serveListCall(std::move(socket)); }));
-  return static_cast<std::uint16_t>(runtime::portOf(list_->fd()));
+  return static_cast<std::uint16_t>(runtime::localPort(list_->fd()));
 }
 
 void Toy::closeList() {
@@ -399,9 +399,9 @@
   for (;;) {
     std::size_t end = in.find("\r\n\r\n");
     if (end == std::string::npos) {
-      runtime::Socket::Got got = s.read(in, kMost);
-      if (got == runtime::Socket::Got::ended) co_return;
-      if (got == runtime::Socket::Got::nothing) co_await s.in.wait();
+      runtime::Socket::ReadStatus got = s.read(in, kMost);
+      if (got == runtime::Socket::ReadStatus::closed) co_return;
+      if (got == runtime::Socket::ReadStatus::noData) co_await s.readable.wait();
       continue;
     }
     std::string head = in.substr(0, end);
@@ -440,7 +440,7 @@
     bool cut = spoilt && out.find("Content-Length") == std::string::npos &&
                out.rfind("HTTP/1.0 200", 0) == 0;
     if (never || listSilent_) {
-      while (s.read(in, kMost) != runtime::Socket::Got::ended) co_await s.in.wait();
+      while (s.read(in, kMost) != runtime::Socket::ReadStatus::closed) co_await s.readable.wait();
       co_return;
     }
     bool sent = co_await runtime::writeAll(s, out, kForever);
--- a/example/toy.h
+++ b/example/toy.h
@@ -127,7 +127,7 @@
   };
   Deed begin(int store, const std::string& id, std::string_view key, bool write,
              const std::string& mark, const std::string& text);
-  WallTime wallNow() const { return scheduler_.wall().wallOf(scheduler_.now()); }
+  WallTime wallNow() const { return scheduler_.wallClock().toWall(scheduler_.now()); }
   WallTime positionOf(const Store& s) const { return wallNow() - s.lag; }
 
   struct CqlLink;
--- a/example/toy_cql.cpp
+++ b/example/toy_cql.cpp
@@ -52,8 +52,8 @@
 void Toy::speakCql(int number, std::uint16_t port) {
   Store& s = *stores_[static_cast<std::size_t>(number)];
   sockaddr_in address = *runtime::parseAddress("127.0.0.1:" + std::to_string(port), true);
-  s.cqlListener = std::make_unique<runtime::Descriptor>(scheduler_, runtime::listenOn(address));
-  s.cqlPort = static_cast<std::uint16_t>(runtime::portOf(s.cqlListener->fd()));
+  s.cqlListener = std::make_unique<runtime::Descriptor>(scheduler_, runtime::openListener(address));
+  s.cqlPort = static_cast<std::uint16_t>(runtime::localPort(s.cqlListener->fd()));
   acceptCql(number);
 }
 
@@ -103,7 +103,7 @@
     word = "ok";
   }
   if (word == "die") kill(number);
-  if (!link->socket->open()) co_return;
+  if (!link->socket->isOpen()) co_return;
   std::string value = "value of " + deed.key;
   if (deed.misplaced) {
     turned("role");
@@ -282,16 +282,16 @@
   auto link = std::make_shared<CqlLink>(std::move(owned));
   runtime::Socket& s = *link->socket;
   store.connections.push_back(&s);
-  while (s.open()) {
+  while (s.isOpen()) {
     std::size_t used = 0;
     if (!store.held && takeCql(number, link, used)) {
       link->in.erase(0, used);
       continue;
     }
     link->in.erase(0, used);
-    runtime::Socket::Got got = s.read(link->in, kMost);
-    if (got == runtime::Socket::Got::ended) break;
-    if (got == runtime::Socket::Got::nothing) co_await s.in.wait();
+    runtime::Socket::ReadStatus got = s.read(link->in, kMost);
+    if (got == runtime::Socket::ReadStatus::closed) break;
+    if (got == runtime::Socket::ReadStatus::noData) co_await s.readable.wait();
   }
   std::erase(store.connections, &s);
   s.close();
--- a/src/client/acceptor.cpp
+++ b/src/client/acceptor.cpp
@@ -19,21 +19,21 @@
       backoff_(kShortestPause, longestPause) {}
 
 int Acceptor::listen(const sockaddr_in& address) {
-  listener_ = std::make_unique<runtime::Descriptor>(scheduler_, runtime::listenOn(address));
+  listener_ = std::make_unique<runtime::Descriptor>(scheduler_, runtime::openListener(address));
   waitedSince_ = scheduler_.now();
-  return runtime::portOf(listener_->fd());
+  return runtime::localPort(listener_->fd());
 }
 
 bool Acceptor::acceptOne() {
-  runtime::Accepted one = runtime::acceptOn(listener_->fd());
+  runtime::Accepted one = runtime::acceptConnection(listener_->fd());
   last_ = one.status;
   switch (one.status) {
     case runtime::AcceptStatus::accepted:
-      backoff_.succeeded();
+      backoff_.reset();
       host_.accepted(one.fd, waitedSince_);
       return true;
-    case runtime::AcceptStatus::noneWaits:
-      backoff_.succeeded();
+    case runtime::AcceptStatus::queueEmpty:
+      backoff_.reset();
       waitedSince_ = kNever;
       return false;
     default:
@@ -47,7 +47,7 @@
 // After a call that failed. Danger: an error tells of one connection or of one moment, and no edge
 // tells when the next call would succeed; and one that lasts would be called in a loop.
 TimePoint Acceptor::retryAt() {
-  TimePoint now = scheduler_.now(), next = now + backoff_.after(now);
+  TimePoint now = scheduler_.now(), next = now + backoff_.nextDelay(now);
   bool lasts = now - backoff_.failingSince() >= longestPause_;
   if (last_ == runtime::AcceptStatus::exhausted && lasts) host_.exhausted();
   return next;
@@ -55,15 +55,15 @@
 
 runtime::Task<> Acceptor::run() {
   int inARow = 0;
-  while (listener_->open()) {
+  while (listener_->isOpen()) {
     if (std::optional<TimePoint> until = host_.holdUntil()) {
       if (waitedSince_ == kNever) waitedSince_ = scheduler_.now();
-      co_await listener_->in.wait(*until);
+      co_await listener_->readable.wait(*until);
       continue;
     }
     bool more = acceptOne();
     if (!more) {
-      co_await listener_->in.wait();
+      co_await listener_->readable.wait();
       inARow = 0;
     } else if (last_ != runtime::AcceptStatus::accepted) {
       TimePoint next = retryAt();
@@ -77,10 +77,10 @@
 }
 
 runtime::Task<> Acceptor::drainAndClose() {
-  if (!listener_ || !listener_->open()) co_return;
+  if (!listener_ || !listener_->isOpen()) co_return;
   TimePoint until = scheduler_.now() + longestPause_ * kDrainPauses;
   int inARow = 0;
-  while (listener_->open() && scheduler_.now() < until && acceptOne()) {
+  while (listener_->isOpen() && scheduler_.now() < until && acceptOne()) {
     TimePoint next = scheduler_.now();
     if (last_ != runtime::AcceptStatus::accepted)
       next = retryAt();
--- a/src/client/acceptor.h
+++ b/src/client/acceptor.h
@@ -46,7 +46,7 @@
   std::unique_ptr<runtime::Descriptor> listener_;
   runtime::Backoff backoff_;
   TimePoint waitedSince_ = kNever;  // the queue was last seen empty before; kNever: it is
-  runtime::AcceptStatus last_ = runtime::AcceptStatus::noneWaits;
+  runtime::AcceptStatus last_ = runtime::AcceptStatus::queueEmpty;
 };
 
 }  // namespace reedchute::client
--- a/src/client/client_connections.cpp
+++ b/src/client/client_connections.cpp
@@ -44,7 +44,7 @@
 
 void ClientConnections::drain() {
   away_ = true;
-  for (Session* s : sessions_) s->socket.in.set();
+  for (Session* s : sessions_) s->socket.readable.set();
 }
 
 // Danger: those who connect by hundreds and say nothing would keep out whoever has something to
@@ -63,9 +63,10 @@
 // close would reset it, and a request that was read would have no answer.
 bool ClientConnections::closeLongest(std::list<Session*>& among) {
   auto silent = [&](Session* s) {
-    if (&among == &closing_ || s->more(s->in.size() + kMostAhead) != runtime::Socket::Got::some)
+    if (&among == &closing_ ||
+        s->more(s->in.size() + kMostAhead) != runtime::Socket::ReadStatus::data)
       return true;
-    s->socket.in.set();
+    s->socket.readable.set();
     return false;
   };
   auto it = std::find_if(among.begin(), among.end(), silent);
@@ -146,7 +147,7 @@
       std::optional<std::string_view> rest =
           s.socket.write(std::string_view(s.going).substr(s.going.size() - unsent));
       done = rest.has_value();
-      s.gone |= !done && s.socket.open();
+      s.gone |= !done && s.socket.isOpen();
       if (!done || rest->empty()) break;
       // Danger: a client may read slowly, and has asked to be answered within its own time. It is
       // given patience for each part that it takes, and time to the end of what it asked for; but
@@ -158,8 +159,8 @@
       }
       unsent = rest->size();
       TimePoint patient = std::min(until, now + limits_.patience);
-      done = co_await s.socket.out.wait(patient);
-      if (!done && patient < until) done = co_await wait(s, s.socket.out, closing_, until);
+      done = co_await s.socket.writable.wait(patient);
+      if (!done && patient < until) done = co_await wait(s, s.socket.writable, closing_, until);
       // One that didn't read in its time has gone, as far as its answers go.
       auto over = [&](TimePoint by) { return by <= scheduler_.now(); };
       s.gone |= !done && std::all_of(s.goes.begin(), s.goes.end(), over) &&
@@ -185,8 +186,8 @@
 }
 
 runtime::Task<bool> ClientConnections::readMore(Session& s) {
-  runtime::Socket::Got got = s.more(protocol_.mostMessage() + 1);
-  if (got == runtime::Socket::Got::some) {
+  runtime::Socket::ReadStatus got = s.more(protocol_.mostMessage() + 1);
+  if (got == runtime::Socket::ReadStatus::data) {
     s.restsSince = kNever;
     // Danger: hundreds who each send most of a long message would together take all memory there
     // is.
@@ -196,7 +197,7 @@
     }
     co_return true;
   }
-  if (got == runtime::Socket::Got::ended) co_return false;
+  if (got == runtime::Socket::ReadStatus::closed) co_return false;
   s.inARow = 0;
   bool good = false;
   if (atRest(s))
@@ -216,7 +217,7 @@
   if (s.asked && idle_.size() >= limits_.idleMost) closeLongest(idle_);
   TimePoint until = away_ ? s.restsSince + limits_.grace * kRest : now + limits_.idle;
   if (until > now) {
-    bool set = co_await wait(s, s.socket.in, s.asked ? idle_ : awaitingFirstRequest_, until);
+    bool set = co_await wait(s, s.socket.readable, s.asked ? idle_ : awaitingFirstRequest_, until);
     if (set) co_return true;
   }
   // Danger: clients that ask once and keep their connection for good pile up.
@@ -239,9 +240,9 @@
     s.begun = now;
   bool set = true;
   if (owed)
-    co_await s.socket.in.wait();
+    co_await s.socket.readable.wait();
   else
-    set = co_await wait(s, s.socket.in, awaitingFirstRequest_, s.begun + limits_.silence);
+    set = co_await wait(s, s.socket.readable, awaitingFirstRequest_, s.begun + limits_.silence);
   if (set) co_return true;
   bool greeted = s.talk->greeted();
   log::line("client_timeout", "what=%s", greeted ? "message" : "startup");
@@ -260,33 +261,33 @@
   while (s.talk->full() && s.out.empty()) {
     // What a client sends ahead is read later; that it leaves shows at once. Danger: one that sends
     // much at once and goes stands behind all that it sent.
-    if (!s.socket.open() || s.socket.peerEnded() ||
-        s.more(mostAhead(s)) == runtime::Socket::Got::ended) {
+    if (!s.socket.isOpen() || s.socket.hasPeerClosed() ||
+        s.more(mostAhead(s)) == runtime::Socket::ReadStatus::closed) {
       settle(s);
       s.close(CloseReason::client);
       co_return;
     }
-    co_await s.socket.in.wait();
+    co_await s.socket.readable.wait();
   }
 }
 
 // Danger: closing with unread bytes resets the connection and may take the last message with it.
 runtime::Task<> ClientConnections::endAfterLastWord(Session& s) {
   bool written = co_await flush(s);
-  s.socket.endWriting();
+  s.socket.shutdownWrite();
   TimePoint until = scheduler_.now() + limits_.linger;
   std::size_t drained = 0;
-  while (written && s.socket.open() && drained < kMostDrained) {
+  while (written && s.socket.isOpen() && drained < kMostDrained) {
     s.in.clear(), s.used = 0;
-    runtime::Socket::Got got = s.socket.read(s.in, kMostAhead);
+    runtime::Socket::ReadStatus got = s.socket.read(s.in, kMostAhead);
     drained += s.in.size();
-    if (got == runtime::Socket::Got::ended) break;
+    if (got == runtime::Socket::ReadStatus::closed) break;
     // Danger: one who goes on sending at full speed would have this thread for itself.
-    if (got == runtime::Socket::Got::some) {
+    if (got == runtime::Socket::ReadStatus::data) {
       co_await runtime::sleepUntil(scheduler_, scheduler_.now() + Duration{1});
       continue;
     }
-    bool set = co_await wait(s, s.socket.in, closing_, until);
+    bool set = co_await wait(s, s.socket.readable, closing_, until);
     if (!set) break;
   }
 }
@@ -297,17 +298,17 @@
 // over unread bytes brings.
 runtime::Task<> ClientConnections::endAtRest(Session& s) {
   bool written = co_await flush(s);
-  s.socket.endWriting();
+  s.socket.shutdownWrite();
   TimePoint until = scheduler_.now() + limits_.linger;
   bool waits = written;
-  while (waits && s.socket.open() && !s.socket.peerEnded())
-    waits = co_await wait(s, s.socket.in, closing_, until);
+  while (waits && s.socket.isOpen() && !s.socket.hasPeerClosed())
+    waits = co_await wait(s, s.socket.readable, closing_, until);
 }
 
 // The connection is over: what is still owed on it is wanted no more, or was this side's to give.
 void ClientConnections::settle(Session& s) {
   std::uint64_t gone = counters_.gone, unsaid = s.said.size() + s.goes.size() + s.talk->kept();
-  bool byClient = s.gone || s.garbled || s.socket.peerEnded();
+  bool byClient = s.gone || s.garbled || s.socket.hasPeerClosed();
   std::size_t unanswered = unsaid + s.talk->owed();
   if (unanswered > 0 && !byClient)
     invariants::violated(invariants::Rule::answer, "end=%s statements=%zu", nameOf(s.reason),
@@ -348,7 +349,7 @@
 runtime::Task<> ClientConnections::converse(Session& s) {
   bool good = true;
   // Danger: what a client asked that has gone meanwhile would still be sent on.
-  while (good && !s.ending && s.socket.open() && !s.socket.peerEnded()) {
+  while (good && !s.ending && s.socket.isOpen() && !s.socket.hasPeerClosed()) {
     std::size_t used = 0;
     if (s.talk->full()) {
       co_await answerOwed(s);
@@ -372,7 +373,7 @@
     }
     if (good && !s.ending && !s.out.empty()) good = co_await flush(s);
   }
-  if (!s.ending || !s.socket.open()) co_return;
+  if (!s.ending || !s.socket.isOpen()) co_return;
   if (s.reason == CloseReason::lastWord)
     co_await endAfterLastWord(s);
   else
--- a/src/client/session.cpp
+++ b/src/client/session.cpp
@@ -51,14 +51,14 @@
     out = std::move(bytes);
   else
     out += bytes;
-  socket.in.set();
+  socket.readable.set();
 }
 
 // Danger: the process may have stood still since this round's events were read, and its client may
 // have gone meanwhile.
 bool Session::clientGone() const {
-  if (!socket.open() || socket.peerEnded()) return true;
-  if (!scheduler.roundIsOld()) return false;
+  if (!socket.isOpen() || socket.hasPeerClosed()) return true;
+  if (!scheduler.isRoundStale()) return false;
   pollfd look{socket.fd(), POLLRDHUP, 0};
   return poll(&look, 1, 0) > 0 && (look.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
 }
@@ -71,7 +71,7 @@
   if (in.capacity() > kMostAhead) in.shrink_to_fit();
 }
 
-runtime::Socket::Got Session::more(std::size_t most) {
+runtime::Socket::ReadStatus Session::more(std::size_t most) {
   if (used > 0) in.erase(0, used), used = 0;
   // Danger: what stood unread for a while, as there was no room for it, came at any moment of that.
   std::size_t had = in.size();
@@ -79,14 +79,14 @@
   if (since == kNever) {
     since = socket.unreadSince();
   } else {
-    std::optional<Duration> ago = runtime::sinceLastBytes(socket.fd());
+    std::optional<Duration> ago = runtime::timeSinceLastReceive(socket.fd());
     since = std::max(since, now - ago.value_or(oldestUnseen));
   }
-  runtime::Socket::Got got = socket.read(in, most);
+  runtime::Socket::ReadStatus got = socket.read(in, most);
   // It may be read in pieces, of which the last came as early as the first.
-  if (socket.sawEmpty()) unseenSince = kNever;
+  if (socket.lastReadDrained()) unseenSince = kNever;
   arrivals.came(in.size() - had, since == kNever ? now : std::min(since, now));
-  gone |= got == runtime::Socket::Got::ended && socket.open();
+  gone |= got == runtime::Socket::ReadStatus::closed && socket.isOpen();
   return got;
 }
 
--- a/src/client/session.h
+++ b/src/client/session.h
@@ -60,7 +60,7 @@
   std::string_view left() const { return std::string_view(in).substr(used); }
   void drop(std::size_t n);
   // Reads on, at most until there are so many.
-  runtime::Socket::Got more(std::size_t most);
+  runtime::Socket::ReadStatus more(std::size_t most);
   std::size_t held() const { return in.capacity() + out.capacity() + going.capacity(); }
 
   runtime::Scheduler& scheduler;
--- a/src/codec/json/json.cpp
+++ b/src/codec/json/json.cpp
@@ -162,7 +162,7 @@
       state_ = State::value;
       return true;
     case State::comma: {
-      bool list = stack_.back().value.kind == Value::Kind::list;
+      bool list = stack_.back().value.kind == Value::Kind::array;
       if (c == ',') {
         state_ = list ? State::value : State::name;
         return true;
@@ -185,7 +185,7 @@
   if (c == '{' || c == '[') {
     if (stack_.size() >= kDeepest) return fail("too deep");
     stack_.emplace_back();
-    stack_.back().value.kind = c == '[' ? Value::Kind::list : Value::Kind::object;
+    stack_.back().value.kind = c == '[' ? Value::Kind::array : Value::Kind::object;
     state_ = c == '[' ? State::firstItem : State::firstName;
   } else if (c == '"') {
     nameNext_ = false, high_ = 0, state_ = State::text;
@@ -208,7 +208,7 @@
     return true;
   }
   Level& up = stack_.back();
-  if (up.value.kind == Value::Kind::list)
+  if (up.value.kind == Value::Kind::array)
     up.value.items.push_back(std::move(v));
   else
     up.value.members.emplace_back(std::move(up.name), std::move(v));
@@ -225,7 +225,7 @@
     return true;
   }
   Value v;
-  v.kind = Value::Kind::text;
+  v.kind = Value::Kind::string;
   v.text = std::move(token_);
   token_.clear();
   return closed(std::move(v));
@@ -245,7 +245,7 @@
   Value v;
   if (token_ == "true" || token_ == "false") {
     v.kind = Value::Kind::boolean;
-    v.truth = token_ == "true";
+    v.boolean = token_ == "true";
   } else if (token_ != "null") {
     return fail("an unknown word");
   }
--- a/src/codec/json/json.h
+++ b/src/codec/json/json.h
@@ -10,9 +10,9 @@
 namespace reedchute::json {
 
 struct Value {
-  enum class Kind { null, boolean, number, text, list, object };
+  enum class Kind { null, boolean, number, string, array, object };
   Kind kind = Kind::null;
-  bool truth = false;
+  bool boolean = false;
   double number = 0;
   std::string text;  // of a text; of a number, its digits as they came
   std::vector<Value> items;
@@ -27,7 +27,7 @@
   ~Value();
 
   const Value* find(std::string_view name) const;
-  bool isText() const { return kind == Kind::text; }
+  bool isString() const { return kind == Kind::string; }
   bool isNumber() const { return kind == Kind::number; }
 };
 
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -23,32 +23,32 @@
 const json::Value& need(const json::Value& in, const char* name, json::Value::Kind kind) {
   const json::Value* v = in.find(name);
   if (!v || v->kind != kind)
-    throw Malformed(std::string("the configuration has no proper '") + name + "'");
+    throw InvalidInput(std::string("the configuration has no proper '") + name + "'");
   return *v;
 }
 
 sockaddr_in addressIn(const json::Value& in, const char* name, bool zeroPort) {
-  auto address = runtime::parseAddress(need(in, name, json::Value::Kind::text).text, zeroPort);
-  if (!address) throw Malformed(std::string("the configuration's '") + name + "' is no address");
+  auto address = runtime::parseAddress(need(in, name, json::Value::Kind::string).text, zeroPort);
+  if (!address) throw InvalidInput(std::string("the configuration's '") + name + "' is no address");
   return *address;
 }
 
 }  // namespace
 
 Config loadConfig(const char* path) {
-  if (!path || !*path) throw Malformed("LB_CONFIG names no file");
+  if (!path || !*path) throw InvalidInput("LB_CONFIG names no file");
   std::ifstream file(path, std::ios::binary);
   if (!file && passes(std::error_code(errno, std::generic_category())))
     throw std::system_error(errno, std::generic_category(),
                             std::string("the configuration can't be opened: ") + path);
-  if (!file) throw Malformed(std::string("the configuration can't be opened: ") + path);
+  if (!file) throw InvalidInput(std::string("the configuration can't be opened: ") + path);
   Config g = parseConfig({std::istreambuf_iterator<char>(file), {}});
   g.path = path;
   return g;
 }
 
 void addSettings(Config& g, const std::string& path) {
-  config::Block file = config::readFile(path);
+  config::Block file = config::readBlockFile(path);
   config::Section all(path, file);
   std::vector<config::Section> doors = all.blocks("cassandra");
   std::vector<config::Section> ledgers = all.blocks("ledger");
@@ -59,9 +59,9 @@
   if (doors.empty()) return;
   g.cassandra = protocols::cassandra::parseConfig(doors.front());
   for (const protocols::cassandra::Mapping& m : g.cassandra->mappings)
-    if (placeOf(g.names.workloads, m.workload) < 0)
-      throw Malformed(path + ":" + std::to_string(m.line) + ": 'workload' names '" + m.workload +
-                      "', which the platform's settings don't have");
+    if (indexOf(g.names.workloads, m.workload) < 0)
+      throw InvalidInput(path + ":" + std::to_string(m.line) + ": 'workload' names '" + m.workload +
+                         "', which the platform's settings don't have");
   g.chart.emplace(*g.cassandra, g.terms, g.names);
 }
 
@@ -79,23 +79,23 @@
   using Kind = json::Value::Kind;
   json::Value config;
   std::string why;
-  if (!json::parse(text, config, why)) throw Malformed("the configuration is no JSON: " + why);
-  if (config.kind != Kind::object) throw Malformed("the configuration is no JSON object");
+  if (!json::parse(text, config, why)) throw InvalidInput("the configuration is no JSON: " + why);
+  if (config.kind != Kind::object) throw InvalidInput("the configuration is no JSON object");
   Config g;
-  g.name = need(config, "name", Kind::text).text;
+  g.name = need(config, "name", Kind::string).text;
   g.listen = addressIn(config, "listen", true);
   g.discovery = addressIn(config, "discovery", false);
-  g.discoveryHost = need(config, "discovery", Kind::text).text;
-  const std::string& seed = need(config, "seed", Kind::text).text;
+  g.discoveryHost = need(config, "discovery", Kind::string).text;
+  const std::string& seed = need(config, "seed", Kind::string).text;
   auto seedValue = parseNumber<std::uint64_t>(seed, 16);
   if (!seedValue) badValue("seed", seed);
   if (!discovery::parseEndpointList(need(config, "known", Kind::object), g.known, why))
-    throw Malformed("the known list makes no sense: " + why);
+    throw InvalidInput("the known list makes no sense: " + why);
   g.settings.add("", need(config, "settings", Kind::object));
   g.terms = engineSettingsFrom(g.settings, *seedValue, g.names);
   g.keepalive = Duration{g.settings.integer("limits.keepalive")};
   if (g.keepalive <= g.terms.connectTimeout || g.terms.connectTimeout <= Duration{})
-    throw Malformed("limits.keepalive must be above limits.connect_timeout, and that above 0");
+    throw InvalidInput("limits.keepalive must be above limits.connect_timeout, and that above 0");
   // The smaller of what the platform states and what the process may really hold.
   rlimit limit{};
   getrlimit(RLIMIT_NOFILE, &limit);
@@ -108,8 +108,8 @@
       g.memory =
           static_cast<std::size_t>(std::clamp(mb->number * 1048576, 0.0, double{kMostMemory}));
   }
-  if (g.memory < kLeastMemory) throw Malformed("less than 16 MB of memory is allowed");
-  if (g.sockets < 64) throw Malformed("fewer than 64 sockets are allowed");
+  if (g.memory < kLeastMemory) throw InvalidInput("less than 16 MB of memory is allowed");
+  if (g.sockets < 64) throw InvalidInput("fewer than 64 sockets are allowed");
   return g;
 }
 
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -33,12 +33,12 @@
   std::optional<ledger::FeedGiven> ledger;
 };
 
-// Reads the file at `path`; throws Malformed with one plain line where it is missing or makes no
+// Reads the file at `path`; throws InvalidInput with one plain line where it is missing or makes no
 // sense, and std::system_error where it can't be read at this moment.
 Config loadConfig(const char* path);
 Config parseConfig(const std::string& text);
 
-// Adds what our own settings say, from a file in HCL; throws Malformed with file and line.
+// Adds what our own settings say, from a file in HCL; throws InvalidInput with file and line.
 void addSettings(Config& config, const std::string& path);
 
 // The fields in which they differ and which only a restart takes up.
--- a/src/config/engine_settings.cpp
+++ b/src/config/engine_settings.cpp
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-int placeOf(const std::vector<std::string>& names, std::string_view name) {
+int indexOf(const std::vector<std::string>& names, std::string_view name) {
   auto it = std::find(names.begin(), names.end(), name);
   return it == names.end() ? -1 : static_cast<int>(it - names.begin());
 }
@@ -33,7 +33,7 @@
                            bounds = p.list("extra.lag_allowed");
   std::int64_t count = p.integer("classes.count");
   if (count < 1 || count > 10'000 || levels.size() != static_cast<std::size_t>(count))
-    throw Malformed("extra.read_level must name a level for each of the classes");
+    throw InvalidInput("extra.read_level must name a level for each of the classes");
   for (std::size_t k = 0; k < static_cast<std::size_t>(count); ++k) {
     std::string at = "classes." + std::to_string(k) + ".";
     names.workloads.push_back(p.need(at + "name"));
@@ -42,7 +42,7 @@
     if (k < bounds.size())
       w.bound = Duration{static_cast<std::int64_t>(numberFrom(bounds[k], "extra.lag_allowed"))};
     w.effect = meaning(kEffects, p.need(at + "repeat"), "classes[].repeat");
-    names.marked.push_back(w.effect == Effect::deduplicated);
+    names.deduplicated.push_back(w.effect == Effect::deduplicated);
     if (w.effect == Effect::deduplicated) {
       w.scope = meaning(kScopes, p.need(at + "key_scope"), "classes[].key_scope");
       w.window = Duration{p.integer(at + "repeat_window")};
--- a/src/config/engine_settings.h
+++ b/src/config/engine_settings.h
@@ -21,18 +21,18 @@
 T meaning(const Words<T>& words, std::string_view word, const char* what) {
   for (const auto& [name, value] : words)
     if (name == word) return value;
-  throw Malformed(std::string("unknown ") + what + ": '" + std::string(word.substr(0, 60)) + "'");
+  throw InvalidInput(std::string("unknown ") + what + ": '" + std::string(word.substr(0, 60)) +
+                     "'");
 }
 
 // Names that the settings list; an index into a list is what the module knows.
 struct Names {
   std::vector<std::string> workloads, tenants, zones;
-  std::vector<int> standsFor;  // of rows beyond these: the one that a row was made from
-  std::vector<char>
-      marked;  // the workloads whose statements carry a mark by which repeats are dropped
+  std::vector<int> templateOf;     // of rows beyond these: the one that a row was made from
+  std::vector<char> deduplicated;  // whether a workload's statements carry an idempotency key
 };
 
-int placeOf(const std::vector<std::string>& names, std::string_view name);
+int indexOf(const std::vector<std::string>& names, std::string_view name);
 
 EngineSettings engineSettingsFrom(const PlatformSettings& p, std::uint64_t seed, Names& names);
 
--- a/src/config/hcl_settings.cpp
+++ b/src/config/hcl_settings.cpp
@@ -46,7 +46,7 @@
 // What a program writes to either output, and its exit.
 std::string outputOf(const std::string& program, const std::string& argument, int& status) {
   int fds[2];
-  if (pipe(fds) < 0) throw Malformed("no pipe to read settings by");
+  if (pipe(fds) < 0) throw InvalidInput("no pipe to read settings by");
   posix_spawn_file_actions_t actions;
   posix_spawn_file_actions_init(&actions);
   posix_spawn_file_actions_adddup2(&actions, fds[1], 1);
@@ -65,7 +65,7 @@
        failed == 0 && ((n = read(fds[0], part, sizeof part)) > 0 || (n < 0 && errno == EINTR));)
     if (n > 0 && text.size() < kMostFile) text.append(part, static_cast<std::size_t>(n));
   close(fds[0]);
-  if (failed) throw Malformed("settings can't be read without " + program);
+  if (failed) throw InvalidInput("settings can't be read without " + program);
   while (waitpid(child, &status, 0) < 0 && errno == EINTR) {
   }
   return text;
@@ -73,23 +73,23 @@
 
 }  // namespace
 
-Block fromJson(const std::string& path, const std::string& text) {
+Block parseBlock(const std::string& path, const std::string& text) {
   json::Value v;
   std::string why;
   if (!json::parse(text, v, why))
-    throw Malformed(path + ":0: what the reader of settings wrote is no JSON: " + why);
+    throw InvalidInput(path + ":0: what the reader of settings wrote is no JSON: " + why);
   return blockFrom(v);
 }
 
-Block readFile(const std::string& path) {
+Block readBlockFile(const std::string& path) {
   int status = 0;
   std::string text = outputOf(readerBeside(), path, status);
   if (!WIFEXITED(status) || WEXITSTATUS(status) != 0) {
     // The first error is enough, and stands in one line.
     text.resize(std::min(text.find('\n'), text.size()));
-    throw Malformed(text.empty() ? path + ":0: the reader of settings failed" : text);
+    throw InvalidInput(text.empty() ? path + ":0: the reader of settings failed" : text);
   }
-  return fromJson(path, text);
+  return parseBlock(path, text);
 }
 
 const Attribute* Section::find(std::string_view name) const {
@@ -100,8 +100,8 @@
 
 void Section::fail(std::string_view name, std::string_view why) const {
   const Attribute* a = find(name);
-  throw Malformed(file_ + ":" + std::to_string(a ? a->line : block_.line) + ": '" +
-                  std::string(name) + "' " + std::string(why));
+  throw InvalidInput(file_ + ":" + std::to_string(a ? a->line : block_.line) + ": '" +
+                     std::string(name) + "' " + std::string(why));
 }
 
 const Attribute& Section::need(std::string_view name) {
@@ -113,7 +113,8 @@
 
 std::string Section::text(std::string_view name) {
   const Attribute& a = need(name);
-  if (!a.value.isText()) fail(name, std::string("must be a text and is ") + kindName(a.value.kind));
+  if (!a.value.isString())
+    fail(name, std::string("must be a text and is ") + kindName(a.value.kind));
   return a.value.text;
 }
 
@@ -139,13 +140,13 @@
   return has(name) ? number(name, least, most) : otherwise;
 }
 
-bool Section::truth(std::string_view name, bool otherwise) {
+bool Section::boolean(std::string_view name, bool otherwise) {
   asked_.emplace(name);
   const Attribute* a = find(name);
   if (!a) return otherwise;
   if (a->value.kind != json::Value::Kind::boolean)
     fail(name, std::string("must be true or false and is ") + kindName(a->value.kind));
-  return a->value.truth;
+  return a->value.boolean;
 }
 
 std::vector<std::string> Section::texts(std::string_view name) {
@@ -153,10 +154,10 @@
   std::vector<std::string> all;
   const Attribute* a = find(name);
   if (!a) return all;
-  if (a->value.kind != json::Value::Kind::list)
+  if (a->value.kind != json::Value::Kind::array)
     fail(name, std::string("must be a list and is ") + kindName(a->value.kind));
   for (const json::Value& v : a->value.items) {
-    if (!v.isText()) fail(name, std::string("must hold texts and holds ") + kindName(v.kind));
+    if (!v.isString()) fail(name, std::string("must hold texts and holds ") + kindName(v.kind));
     all.push_back(v.text);
   }
   return all;
@@ -167,7 +168,7 @@
   std::vector<std::int64_t> all;
   const Attribute* a = find(name);
   if (!a) return all;
-  if (a->value.kind != json::Value::Kind::list)
+  if (a->value.kind != json::Value::Kind::array)
     fail(name, std::string("must be a list and is ") + kindName(a->value.kind));
   for (const json::Value& v : a->value.items) {
     if (!v.isNumber() || v.number != std::floor(v.number)) fail(name, "must hold whole numbers");
@@ -187,12 +188,12 @@
 void Section::done() const {
   for (const Attribute& a : block_.attributes)
     if (!asked_.contains(a.name))
-      throw Malformed(file_ + ":" + std::to_string(a.line) + ": '" + a.name +
-                      "' is no setting of this block");
+      throw InvalidInput(file_ + ":" + std::to_string(a.line) + ": '" + a.name +
+                         "' is no setting of this block");
   for (const Block& b : block_.blocks)
     if (!asked_.contains(b.type))
-      throw Malformed(file_ + ":" + std::to_string(b.line) + ": '" + b.type +
-                      "' is no block that is known here");
+      throw InvalidInput(file_ + ":" + std::to_string(b.line) + ": '" + b.type +
+                         "' is no block that is known here");
 }
 
 }  // namespace reedchute::config
--- a/src/config/hcl_settings.h
+++ b/src/config/hcl_settings.h
@@ -1,6 +1,6 @@
 // Settings of our own, in HCL, beside the platform's JSON. The file is read by HashiCorp's library
 // in a program of its own, reedchute-hcl, which stands beside the one that runs; here its sections
-// are checked against what each part asks for. Every error is a Malformed whose text begins with
+// are checked against what each part asks for. Every error is a InvalidInput whose text begins with
 // file:line.
 #pragma once
 
@@ -29,9 +29,9 @@
 };
 
 // The whole file as a block without a type. Waits for the reading program.
-Block readFile(const std::string& path);
+Block readBlockFile(const std::string& path);
 // The same from the reading program's output.
-Block fromJson(const std::string& path, const std::string& text);
+Block parseBlock(const std::string& path, const std::string& text);
 
 // One block as it is taken apart. What was asked for by no one is an error of done().
 class Section {
@@ -45,7 +45,7 @@
   std::int64_t number(std::string_view name, std::int64_t least, std::int64_t most);
   std::int64_t number(std::string_view name, std::int64_t least, std::int64_t most,
                       std::int64_t otherwise);
-  bool truth(std::string_view name, bool otherwise);
+  bool boolean(std::string_view name, bool otherwise);
   std::vector<std::string> texts(std::string_view name);  // none where it isn't there
   std::vector<std::int64_t> numbers(std::string_view name);
   std::vector<Section> blocks(std::string_view type);
--- a/src/config/platform_settings.cpp
+++ b/src/config/platform_settings.cpp
@@ -9,9 +9,9 @@
   using Kind = json::Value::Kind;
   switch (v.kind) {
     case Kind::boolean:
-      return v.truth ? "true" : "false";
+      return v.boolean ? "true" : "false";
     case Kind::number:
-    case Kind::text:
+    case Kind::string:
       return v.text;
     default:
       return "-";
@@ -21,8 +21,8 @@
 }  // namespace
 
 void badValue(const char* what, std::string_view text) {
-  throw Malformed(std::string("bad value for ") + what + ": '" + std::string(text.substr(0, 60)) +
-                  "'");
+  throw InvalidInput(std::string("bad value for ") + what + ": '" +
+                     std::string(text.substr(0, 60)) + "'");
 }
 
 double numberFrom(std::string_view text, const char* what) {
@@ -42,12 +42,12 @@
   if (value.kind == Kind::object) {
     for (const auto& [name, member] : value.members)
       add(path.empty() ? name : path + "." + name, member);
-  } else if (value.kind == Kind::list && !value.items.empty() &&
+  } else if (value.kind == Kind::array && !value.items.empty() &&
              value.items[0].kind == Kind::object) {
     set(path + ".count", std::to_string(value.items.size()));
     for (std::size_t k = 0; k < value.items.size(); ++k)
       add(path + "." + std::to_string(k), value.items[k]);
-  } else if (value.kind == Kind::list) {
+  } else if (value.kind == Kind::array) {
     std::string joined;
     for (const json::Value& item : value.items) joined += (joined.empty() ? "" : ",") + plain(item);
     set(path, std::move(joined));
@@ -63,7 +63,7 @@
 
 const std::string& PlatformSettings::need(const std::string& path) const {
   const std::string* value = find(path);
-  if (!value || value->empty()) throw Malformed("the setting " + path + " is missing");
+  if (!value || value->empty()) throw InvalidInput("the setting " + path + " is missing");
   return *value;
 }
 
--- a/src/config/platform_settings.h
+++ b/src/config/platform_settings.h
@@ -15,7 +15,7 @@
 namespace reedchute {
 
 // What is wrong with an input; ends the program with one plain line.
-struct Malformed : std::runtime_error {
+struct InvalidInput : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
--- a/src/ctl/main.cpp
+++ b/src/ctl/main.cpp
@@ -28,7 +28,7 @@
 
 std::string keyFrom(const std::string& path) {
   std::string key = keyInFile(path);
-  if (key.empty()) throw Malformed(path + ": no key in it");
+  if (key.empty()) throw InvalidInput(path + ": no key in it");
   return key;
 }
 
@@ -203,7 +203,7 @@
   }
   std::tm t{};
   const char* end = strptime(a.period.c_str(), "%Y-%m-%dT%H:%MZ", &t);
-  if (!end || *end) throw Malformed("--period must be as show tells it: 2026-12-01T00:00Z");
+  if (!end || *end) throw InvalidInput("--period must be as show tells it: 2026-12-01T00:00Z");
   Period p{timegm(&t)};
   wire::Correction c;
   c.set_id(a.id), c.set_tenant(a.tenant), c.set_statements(a.statements), c.set_bytes_in(a.bytesIn);
@@ -264,7 +264,7 @@
 }
 
 int check(const std::string& path) {
-  config::Block file = config::readFile(path);
+  config::Block file = config::readBlockFile(path);
   config::Section all(path, file);
   for (config::Section s : all.blocks("cassandra")) protocols::cassandra::parseConfig(std::move(s));
   for (config::Section s : all.blocks("ledger")) feedFrom(std::move(s), "check");
--- a/src/discovery/endpoint_watcher.cpp
+++ b/src/discovery/endpoint_watcher.cpp
@@ -17,7 +17,7 @@
 const char* readMember(const json::Value& v, Endpoint& m) {
   auto text = [&](const char* name, std::string& to) {
     const json::Value* f = v.find(name);
-    if (!f || !f->isText()) return false;
+    if (!f || !f->isString()) return false;
     to = f->text;
     return true;
   };
@@ -67,13 +67,13 @@
   const json::Value *version = from.find("version"), *full = from.find("full"),
                     *list = from.find("servers");
   if (!version || !version->isNumber() || !full || full->kind != json::Value::Kind::boolean ||
-      !list || list->kind != json::Value::Kind::list) {
+      !list || list->kind != json::Value::Kind::array) {
     why = "no list with version, full and servers";
     return false;
   }
   EndpointList r;
   r.version = static_cast<std::int64_t>(std::clamp(version->number, -1e15, 1e15));
-  r.full = full->truth;
+  r.full = full->boolean;
   std::set<std::string> ids;
   for (const json::Value& entry : list->items) {
     Endpoint m;
@@ -228,16 +228,16 @@
 
 runtime::Task<bool> EndpointWatcher::exchange(Service& s, const std::string& path, TimePoint until,
                                               std::string& body) {
-  if (s.socket && s.socket->open()) {
+  if (s.socket && s.socket->isOpen()) {
     // A kept connection that the service has closed meanwhile is noticed before it is used.
     s.in.clear();
-    if (s.socket->read(s.in, mostBody_) != runtime::Socket::Got::nothing) s.socket->close();
+    if (s.socket->read(s.in, mostBody_) != runtime::Socket::ReadStatus::noData) s.socket->close();
   }
-  if (!s.socket || !s.socket->open()) {
+  if (!s.socket || !s.socket->isOpen()) {
     s.in.clear();
     s.socket.emplace(scheduler_, runtime::startConnect(s.address));
-    bool up = co_await runtime::connected(*s.socket,
-                                          std::min(until, scheduler_.now() + pace_.connect));
+    bool up = co_await runtime::awaitConnected(*s.socket,
+                                               std::min(until, scheduler_.now() + pace_.connect));
     if (!up) {
       log::line("discovery_unreachable", "what=\"no connection\"");
       co_return false;
@@ -258,14 +258,14 @@
       inARow = 0;
       co_await runtime::sleepUntil(scheduler_, scheduler_.now() + Duration{1});
     }
-    runtime::Socket::Got got = s.socket->read(s.in, kMostInARow);
-    if (got == runtime::Socket::Got::some && scheduler_.now() < until) continue;
-    if (got == runtime::Socket::Got::ended) {
+    runtime::Socket::ReadStatus got = s.socket->read(s.in, kMostInARow);
+    if (got == runtime::Socket::ReadStatus::data && scheduler_.now() < until) continue;
+    if (got == runtime::Socket::ReadStatus::closed) {
       response.ended(s.socket->wasReset());
       break;
     }
     bool set = false;
-    if (got == runtime::Socket::Got::nothing) set = co_await s.socket->in.wait(until);
+    if (got == runtime::Socket::ReadStatus::noData) set = co_await s.socket->readable.wait(until);
     if (!set) {
       log::line("discovery_timeout", "path=%s", path.c_str());
       co_return false;
--- a/src/ledger/feed.cpp
+++ b/src/ledger/feed.cpp
@@ -14,7 +14,7 @@
 constexpr double kTolerance = 2.0;  // seconds by which the two clocks may differ at a look
 constexpr std::size_t kLeastFree = 4096;
 
-TimePoint wall() {
+TimePoint wallClock() {
   return TimePoint{std::chrono::duration_cast<std::chrono::microseconds>(
                        std::chrono::system_clock::now().time_since_epoch())
                        .count()};
@@ -73,7 +73,7 @@
       mapped_(std::make_unique<Mapped>(given.folder + "/ring", given.ringBytes)),
       periods_(given.every, Duration{static_cast<std::int64_t>(kTolerance * 1e6)}, Duration{}) {
   for (const Workload& w : terms.workloads) windows_.push_back(w.window);
-  for (int of : names.standsFor)
+  for (int of : names.templateOf)
     workloads_.push_back(of < 0 ? std::string() : names.workloads[static_cast<std::size_t>(of)]);
   Keeper::Shape shape;
   shape.instance = given.instance, shape.birth = birthNow();
@@ -98,7 +98,7 @@
 void Feed::run() {
   std::vector<Finding> found;
   try {
-    found = keeper_->open(wall());
+    found = keeper_->open(wallClock());
   } catch (const DiskError& e) {
     return publish(FeedState::Is::closed, e.what());
   }
@@ -121,7 +121,7 @@
     std::this_thread::sleep_for(std::chrono::milliseconds(last ? 0 : 2));
     try {
       for (std::uint64_t gone = ring_->goneTo();; gone = ring_->goneTo()) {
-        keeper_->drain(*ring_, lost_.load(), wall());
+        keeper_->drain(*ring_, lost_.load(), wallClock());
         if (ring_->putTo() <= ring_->goneTo() || ring_->goneTo() == gone) break;
       }
       if (last || steady() - synced >= given_.sync) {
@@ -150,7 +150,7 @@
     ++lost_;
     return;
   }
-  Periods::Moment now = periods_.now({wall(), steady()});
+  Periods::Moment now = periods_.now({wallClock(), steady()});
   if (now.jumped) ++jumps_;
   Answered a;
   a.tenant = m.tenant;
--- a/src/ledger/settings.h
+++ b/src/ledger/settings.h
@@ -9,7 +9,7 @@
 // A key as it stands in a file, without the end of its line; empty where there is none.
 std::string keyInFile(const std::string& path);
 
-// Throws Malformed, with file, line and key. Reads the key files.
+// Throws InvalidInput, with file, line and key. Reads the key files.
 FeedGiven feedFrom(config::Section s, const std::string& instance);
 
 }  // namespace reedchute::ledger
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -2,6 +2,7 @@
 
 #include <fcntl.h>
 #include <sys/stat.h>
+#include <unistd.h>
 
 #include <array>
 #include <cstdarg>
@@ -11,72 +12,88 @@
 namespace reedchute::log {
 namespace {
 
-constexpr int kEvents = 64;     // distinct names; beyond them lines share the last place
-constexpr int kPerSecond = 10;  // lines a second of one event
+constexpr int kMaxEvents = 64;               // distinct names; the rest share the last limiter
+constexpr int kMaxLinesPerSecond = 10;       // of one event
+constexpr std::size_t kMaxLineLength = 480;  // bytes of fields
 
 struct EventLimiter {
   const char* event = nullptr;
   std::int64_t second = 0;
   int written = 0;
-  std::uint64_t left = 0;
+  std::uint64_t suppressed = 0;
+
+  // Counts one line in `now`, a time in seconds: as written, or as suppressed.
+  bool admit(std::int64_t now) {
+    if (now != second) {
+      second = now;
+      written = 0;
+    }
+    bool mayWrite = written < kMaxLinesPerSecond;
+    if (mayWrite)
+      ++written;
+    else
+      ++suppressed;
+    return mayWrite;
+  }
 };
 
-std::array<EventLimiter, kEvents> limiters;
+std::array<EventLimiter, kMaxEvents> limiters;
 WallTime logTime{};
 
 EventLimiter& limiterOf(const char* event) {
-  for (EventLimiter& m : limiters) {
-    if (m.event == nullptr) m.event = event;
-    if (std::strcmp(m.event, event) == 0) return m;
+  for (EventLimiter& limiter : limiters) {
+    if (limiter.event == nullptr) limiter.event = event;
+    if (std::strcmp(limiter.event, event) == 0) return limiter;
   }
   return limiters.back();
 }
 
+long long logTimeMs() {
+  return logTime.us / 1000;
+}
+
+void replaceControlCharacters(char* text) {
+  for (; *text != '\0'; ++text)
+    if (static_cast<unsigned char>(*text) < ' ') *text = '?';
+}
+
 }  // namespace
 
-void neverBlock() {
-  struct stat s {};
+void setNonBlocking() {
+  struct stat status {};
+  if (fstat(STDERR_FILENO, &status) < 0) return;
   // A terminal or file stays as it is: its flags may be shared with other programs.
-  if (fstat(2, &s) == 0 && (S_ISFIFO(s.st_mode) || S_ISSOCK(s.st_mode)))
-    fcntl(2, F_SETFL, fcntl(2, F_GETFL) | O_NONBLOCK);
+  if (!S_ISFIFO(status.st_mode) && !S_ISSOCK(status.st_mode)) return;
+  fcntl(STDERR_FILENO, F_SETFL, fcntl(STDERR_FILENO, F_GETFL) | O_NONBLOCK);
 }
 
-void clock(WallTime now) {
+void setTime(WallTime now) {
   logTime = now;
 }
 
 void line(const char* event, const char* format, ...) {
-  EventLimiter& m = limiterOf(event);
-  std::int64_t second = logTime.us / 1'000'000;
-  if (second != m.second) m.second = second, m.written = 0;
-  if (m.written >= kPerSecond) {
-    ++m.left;
-    return;
-  }
-  ++m.written;
-  char text[480];
+  EventLimiter& limiter = limiterOf(event);
+  if (!limiter.admit(logTime.us / 1'000'000)) return;
+  char text[kMaxLineLength];
   va_list args;
   va_start(args, format);
   std::vsnprintf(text, sizeof text, format, args);
   va_end(args);
-  for (char& c : text) {
-    if (c == '\0') break;
-    if (static_cast<unsigned char>(c) < ' ') c = '?';
-  }
-  if (m.left > 0)
-    std::fprintf(stderr, "%lld %s %s left_out=%llu\n", static_cast<long long>(logTime.us / 1000),
-                 event, text, static_cast<unsigned long long>(m.left));
+  replaceControlCharacters(text);
+  if (limiter.suppressed > 0)
+    std::fprintf(stderr, "%lld %s %s left_out=%llu\n", logTimeMs(), event, text,
+                 static_cast<unsigned long long>(limiter.suppressed));
   else
-    std::fprintf(stderr, "%lld %s %s\n", static_cast<long long>(logTime.us / 1000), event, text);
-  m.left = 0;
+    std::fprintf(stderr, "%lld %s %s\n", logTimeMs(), event, text);
+  limiter.suppressed = 0;
 }
 
-void flushCounts() {
-  for (EventLimiter& m : limiters) {
-    if (m.event == nullptr || m.left == 0) continue;
-    std::fprintf(stderr, "%lld %s left_out=%llu\n", static_cast<long long>(logTime.us / 1000),
-                 m.event, static_cast<unsigned long long>(m.left));
-    m.left = 0;
+void flushSuppressed() {
+  for (EventLimiter& limiter : limiters) {
+    if (limiter.event == nullptr || limiter.suppressed == 0) continue;
+    std::fprintf(stderr, "%lld %s left_out=%llu\n", logTimeMs(), limiter.event,
+                 static_cast<unsigned long long>(limiter.suppressed));
+    limiter.suppressed = 0;
   }
 }
 
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -1,4 +1,5 @@
-// The one way to the log: a line an event, rate-limited by the name of the event.
+// The one way to the log: a line an event on standard error, rate-limited by the event's name. For
+// one thread.
 #pragma once
 
 #include <cstdint>
@@ -8,19 +9,18 @@
 
 namespace reedchute::log {
 
-// Lines that a full pipe can't take are lost from now on. Danger: whoever reads the log may stand
-// still, and the front would stand still with it.
-void neverBlock();
+// From now on lines that a full pipe can't take are lost, so that a reader of the log that stands
+// still doesn't block the process.
+void setNonBlocking();
 
-// The clock that lines are stamped and limited by; set once a round.
-void clock(WallTime now);
+// Sets the time by which lines are stamped and limited. Called once a round.
+void setTime(WallTime now);
 
-// Writes "<ms> <event> <fields>" to standard error. Of one event only so many lines a second are
-// written; what was left out is counted on the next one. `event` must be a literal: the limit goes
-// by its text.
+// Writes "<ms> <event> <fields>". Only so many lines a second are written of one event; the next
+// line tells how many were suppressed. `event` must be a literal, as its text is kept by pointer.
 [[gnu::format(printf, 2, 3)]] void line(const char* event, const char* format, ...);
 
-// A line for each event of which something was left out since its last line.
-void flushCounts();
+// Writes a line for each event of which lines were suppressed since its last line.
+void flushSuppressed();
 
 }  // namespace reedchute::log
--- a/src/membership/transport.cpp
+++ b/src/membership/transport.cpp
@@ -66,7 +66,7 @@
     if (taken == kAtOnce)
       co_await runtime::sleepUntil(scheduler_, scheduler_.now());
     else
-      co_await socket_.in.wait();
+      co_await socket_.readable.wait();
   }
 }
 
--- a/src/membership/transport.h
+++ b/src/membership/transport.h
@@ -28,7 +28,7 @@
   runtime::Task<> tick();
   // Sends what the gossip has ready.
   void flush();
-  int port() const { return runtime::portOf(socket_.fd()); }
+  int port() const { return runtime::localPort(socket_.fd()); }
   std::uint64_t unsent() const { return unsent_; }
 
  private:
--- a/src/pipeline/statement_table.cpp
+++ b/src/pipeline/statement_table.cpp
@@ -34,7 +34,7 @@
 
 void StatementTable::touch() {
   touched_ = true;
-  scheduler_.again();
+  scheduler_.requestAnotherRound();
 }
 
 void StatementTable::close(int statement) {
@@ -142,7 +142,7 @@
   if (job.statement < 0 && job.unplaced) return engine_.onProbeNotSent(job.store, now);
   auto pointOf = [&](std::optional<WallTime> position) -> std::optional<TimePoint> {
     if (!position) return std::nullopt;
-    return scheduler_.wall().pointOf(*position);
+    return scheduler_.wallClock().toSteady(*position);
   };
   Report report{pointOf(job.report.position), job.report.primary};
   if (job.statement < 0) {
--- a/src/protocols/cassandra/client_codec.cpp
+++ b/src/protocols/cassandra/client_codec.cpp
@@ -278,7 +278,7 @@
           cql::errorBody(cql::kBootstrapping, "shutting down: ask another"));
       return line_.endForLeaving();
     }
-    Outcome o = door_.takeIn.read(f, keyspace_, door_.scheduler.now(), door_.scheduler.wall());
+    Outcome o = door_.takeIn.read(f, keyspace_, door_.scheduler.now(), door_.scheduler.wallClock());
     if (!o.useKeyspace.empty()) keyspace_ = o.useKeyspace;
     if (!o.statement) return put(0, f.stream, o.opcode, o.body);
     o.statement->came = came_;
--- a/src/protocols/cassandra/settings.cpp
+++ b/src/protocols/cassandra/settings.cpp
@@ -78,8 +78,8 @@
   g.mostBody = static_cast<std::size_t>(s.number("message_kb", 16, 65'536, 256)) * 1024;
   g.batchMost = static_cast<std::size_t>(s.number("batch_statements", 1, 65'535, 1000));
   g.timeout = Duration{s.number("timeout_ms", 1, 86'400'000, 5000) * 1000};
-  g.storesDropMarks = s.truth("stores_drop_marks", false);
-  g.probes = s.truth("probes", false);
+  g.storesDropMarks = s.boolean("stores_drop_marks", false);
+  g.probes = s.boolean("probes", false);
   for (config::Section store : s.blocks("store")) {
     g.storePort = static_cast<std::uint16_t>(store.number("port", 1, 65'535, 9042));
     g.storeUser = store.text("user", "");
--- a/src/protocols/cassandra/settings.h
+++ b/src/protocols/cassandra/settings.h
@@ -6,7 +6,8 @@
 
 namespace reedchute::protocols::cassandra {
 
-// Throws Malformed, with file, line and key, where something is missing, unknown or makes no sense.
+// Throws InvalidInput, with file, line and key, where something is missing, unknown or makes no
+// sense.
 Config parseConfig(config::Section s);
 
 }  // namespace reedchute::protocols::cassandra
--- a/src/protocols/cassandra/statement_decoder.cpp
+++ b/src/protocols/cassandra/statement_decoder.cpp
@@ -209,7 +209,7 @@
     if (name == "session") r.received.arrival.session = sessionOf(value);
     if (name == "tenant") {
       r.received.tenant = value.substr(0, request::kMostTenant);
-      r.received.arrival.tenant = placeOf(names_.tenants, value);
+      r.received.arrival.tenant = indexOf(names_.tenants, value);
       if (r.received.arrival.tenant < 0 && !names_.tenants.empty())
         return r.refuse(cql::kInvalid, "an unknown tenant");
     }
@@ -264,7 +264,7 @@
                        : placed.timeout ? *placed.timeout
                                         : config_.timeout;
   // A commit's time is rounded up and may lie ahead of this clock; it is a write all the same.
-  auto since = [&](WallTime position) { return r.now - r.wall.pointOf(position); };
+  auto since = [&](WallTime position) { return r.now - r.wall.toSteady(position); };
   if (r.afterMs) a.sinceWrite = since(WallTime{*r.afterMs * 1000});
   if (r.told.pagePosition) {
     Duration page = since(*r.told.pagePosition);
--- a/src/protocols/cassandra/table_mapping.cpp
+++ b/src/protocols/cassandra/table_mapping.cpp
@@ -14,7 +14,7 @@
       storesDropMarks_(config.storesDropMarks) {
   auto twin = [&](const Workload& w, int of) {
     terms.workloads.push_back(w);
-    names.standsFor.push_back(of);
+    names.templateOf.push_back(of);
     return static_cast<int>(terms.workloads.size()) - 1;
   };
   for (std::size_t k = 0; k < workloads_.size(); ++k) {
@@ -85,7 +85,7 @@
     return std::string("no workload is set up for a ") + nameOf(told.kind) + " of " +
            std::string(told.keyspace) + "." + std::string(told.table);
   std::string_view workload = told.workload.empty() ? std::string_view(m->workload) : told.workload;
-  into.workload = placeOf(names_, workload);
+  into.workload = indexOf(names_, workload);
   if (into.workload < 0) return "an unknown workload";
   if (auto why = placeGroup(told, m, groups, into)) return why;
   const Workload& w = workloads_[static_cast<std::size_t>(into.workload)];
--- a/src/protocols/cassandra/upstream_connection.cpp
+++ b/src/protocols/cassandra/upstream_connection.cpp
@@ -41,17 +41,17 @@
 
   void take(UpstreamRequest* job) override {
     incoming_.push_back(job);
-    socket_.in.set();
+    socket_.readable.set();
   }
   // Danger: the module may be asking; nothing ends before this connection's own turn.
-  void cancel(UpstreamRequest*) override { socket_.in.set(); }
+  void cancel(UpstreamRequest*) override { socket_.readable.set(); }
   void close() override { socket_.close(); }
   void retire() override {
     if (retired_) return;
     retired_ = true;
     retiredAt_ = scheduler().now();
     stores.unready(*this);
-    socket_.in.set();
+    socket_.readable.set();
   }
   std::size_t jobs() const override { return streams_.taken() + incoming_.size(); }
   std::size_t held() const override {
@@ -65,7 +65,7 @@
  private:
   runtime::Scheduler& scheduler() { return stores.scheduler(); }
   WallTime newest() {
-    return scheduler().wall().wallOf(scheduler().now()) + stores.limits().connectTimeout;
+    return scheduler().wallClock().toWall(scheduler().now()) + stores.limits().connectTimeout;
   }
   bool read(TimePoint now);
   void begin(int stream);
@@ -127,13 +127,13 @@
       written_ += rest.size() - left->size();
       rest = *left;
       if (rest.empty()) break;
-      bool able = co_await socket_.out.wait(scheduler().now() + stores.limits().keepalive);
+      bool able = co_await socket_.writable.wait(scheduler().now() + stores.limits().keepalive);
       if (!able) broken_ = true;
     }
   }
   going_ = {};
   writing_ = false;
-  socket_.in.set();
+  socket_.readable.set();
   writerEnds_.set();
 }
 
@@ -145,16 +145,16 @@
     used_ = used;
     if (got == Framed::whole) co_return true;
     if (got == Framed::bad) co_return garbled(framing_.why());
-    runtime::Socket::Got more = socket_.read(in_, in_.size() + kReadAtOnce);
-    if (more == runtime::Socket::Got::some) continue;
-    if (more == runtime::Socket::Got::ended) co_return false;
-    bool set = co_await socket_.in.wait(until);
+    runtime::Socket::ReadStatus more = socket_.read(in_, in_.size() + kReadAtOnce);
+    if (more == runtime::Socket::ReadStatus::data) continue;
+    if (more == runtime::Socket::ReadStatus::closed) co_return false;
+    bool set = co_await socket_.readable.wait(until);
     if (!set) co_return false;
   }
 }
 
 runtime::Task<bool> Connection::comeUp(TimePoint until) {
-  bool up = co_await runtime::connected(socket_, until);
+  bool up = co_await runtime::awaitConnected(socket_, until);
   if (!up) co_return false;
   const Config& g = voice_.config();
   std::string body;
@@ -234,7 +234,7 @@
     std::vector<std::string> ids;
     for (const PreparedRef& text : s->needs)
       ids.push_back(voice_.known(store).prepared.find(text->id)->id);
-    here.job->toldMs = here.job->leftMs(scheduler().instant());
+    here.job->toldMs = here.job->leftMs(scheduler().steadyNow());
     put(stream, s->flags, s->opcode, worded(*s, here.job->toldMs, ids));
   } else {
     put(stream, 0, Opcode::options, {});
@@ -441,9 +441,9 @@
       broken_ = true;
       return false;
     }
-    runtime::Socket::Got more = socket_.read(in_, in_.size() + kReadAtOnce);
-    if (more == runtime::Socket::Got::ended) return false;
-    if (more == runtime::Socket::Got::nothing) {
+    runtime::Socket::ReadStatus more = socket_.read(in_, in_.size() + kReadAtOnce);
+    if (more == runtime::Socket::ReadStatus::closed) return false;
+    if (more == runtime::Socket::ReadStatus::noData) {
       if (in_.empty()) partSince_ = kNever;
       // Danger: a length that promises more than ever comes would hold all jobs behind it.
       if (!in_.empty() && partSince_ == kNever) partSince_ = now;
@@ -461,7 +461,7 @@
 runtime::Task<> Connection::serve() {
   bool alive = true;
   idleSince = heardAt_ = scheduler().now();
-  while (alive && socket_.open()) {
+  while (alive && socket_.isOpen()) {
     TimePoint now = scheduler().now();
     bool had = streams_.jobs() > 0;
     alive = read(now) && !broken_;
@@ -509,7 +509,7 @@
     if (std::exchange(more_, false))
       co_await runtime::sleepUntil(scheduler(), now + Duration{1});
     else
-      co_await socket_.in.wait(until);
+      co_await socket_.readable.wait(until);
   }
 }
 
--- a/src/protocols/postgres/client_codec.cpp
+++ b/src/protocols/postgres/client_codec.cpp
@@ -183,7 +183,8 @@
     request::ReceivedStatement taken;
     taken.version = door_.version;
     taken.came = came;
-    if (auto reply = door_.takeIn.read(text, door_.scheduler.now(), door_.scheduler.wall(), taken))
+    if (auto reply = door_.takeIn.read(text, door_.scheduler.now(), door_.scheduler.wallClock(),
+                                       taken))
       return say(std::move(*reply));
     bool write = door_.takeIn.writes(taken.arrival.workload);
     // Danger: a read that overtakes the write before it would not see it, nor a write the one
--- a/src/protocols/postgres/statement_decoder.cpp
+++ b/src/protocols/postgres/statement_decoder.cpp
@@ -56,14 +56,14 @@
       return refusal("22023", "a field of the comment can't be read");
   }
   Arrival& a = taken.arrival;
-  a.workload = placeOf(names_.workloads, f.workload);
+  a.workload = indexOf(names_.workloads, f.workload);
   if (a.workload < 0) return refusal("22023", "an unknown workload");
   a.group = groups_.find(*f.group);
   if (a.group < 0) return refusal("22023", "an unknown group");
   // Danger: of two open statements with one id, the later would pass for the earlier wherever ids
   // are told apart.
   if (openIds_.contains(std::string(f.id))) return refusal("22023", "an id that is open already");
-  if (names_.marked[static_cast<std::size_t>(a.workload)] && f.mark.empty())
+  if (names_.deduplicated[static_cast<std::size_t>(a.workload)] && f.mark.empty())
     return refusal("22023", "no k where the workload needs one");
   if (f.afterMs && (*f.afterMs < 0 || *f.afterMs > kLatestMs))
     return refusal("22023", "a position that makes no sense");
@@ -72,14 +72,14 @@
   a.session = sessionOf(f.key);
   a.repeated = f.repeated;
   // A commit's time is rounded up and may lie ahead of this clock; it is a write all the same.
-  if (f.afterMs) a.sinceWrite = now - wall.pointOf(WallTime{*f.afterMs * 1000});
+  if (f.afterMs) a.sinceWrite = now - wall.toSteady(WallTime{*f.afterMs * 1000});
   auto query = std::make_unique<Query>();
   query->text = text;
   query->waitAt = f.waitAt, query->waitSize = f.waitSize;
   taken.id = f.id;
   taken.tenant = f.tenant.substr(0, request::kMostTenant);
   taken.mark = request::markOf(taken.tenant, *f.group, f.mark);
-  a.tenant = placeOf(names_.tenants, taken.tenant);
+  a.tenant = indexOf(names_.tenants, taken.tenant);
   taken.payload = std::move(query);
   return std::nullopt;
 }
--- a/src/protocols/postgres/upstream_connection.cpp
+++ b/src/protocols/postgres/upstream_connection.cpp
@@ -47,11 +47,11 @@
 
   void take(UpstreamRequest* j) override {
     job = j;
-    socket.in.set();
+    socket.readable.set();
   }
   // Danger: an answer may have come already, and with it what its store is; unread it would be lost
   // with the connection. While it is written the job is only stopped.
-  void cancel(UpstreamRequest*) override { writing ? socket.close() : socket.in.set(); }
+  void cancel(UpstreamRequest*) override { writing ? socket.close() : socket.readable.set(); }
   void close() override { socket.close(); }
   std::size_t jobs() const override { return job != nullptr; }
   std::size_t held() const override { return in.capacity(); }
@@ -89,10 +89,10 @@
   bool quiet() {
     // Danger: the end may stand right behind what came last, and its event may not have been seen
     // yet; a statement that is written then is lost. So it is read up to where nothing is left.
-    for (runtime::Socket::Got got = runtime::Socket::Got::some;
-         got != runtime::Socket::Got::nothing;) {
+    for (runtime::Socket::ReadStatus got = runtime::Socket::ReadStatus::data;
+         got != runtime::Socket::ReadStatus::noData;) {
       got = socket.read(in, kReadAtOnce);
-      if (got == runtime::Socket::Got::ended) return false;
+      if (got == runtime::Socket::ReadStatus::closed) return false;
       pg::Message m;
       while (take(m) == Seen::good && (m.type == 'S' || m.type == 'N')) drop();
       if (!in.empty()) return false;
@@ -120,13 +120,13 @@
         garbled = true;
         co_return false;
       }
-      runtime::Socket::Got got = socket.read(in, std::max(in.size() + kReadAtOnce, whole));
-      if (got == runtime::Socket::Got::some) continue;
-      if (got == runtime::Socket::Got::ended || (job && job->cancelled)) co_return false;
+      runtime::Socket::ReadStatus got = socket.read(in, std::max(in.size() + kReadAtOnce, whole));
+      if (got == runtime::Socket::ReadStatus::data) continue;
+      if (got == runtime::Socket::ReadStatus::closed || (job && job->cancelled)) co_return false;
       // Danger: a length that promises more than ever comes would hold the job for all of its time.
       TimePoint stalls = scheduler().now() + stores.limits().connectTimeout;
       bool waits = (begun || in.size() > kept) && stalls < until;
-      bool set = co_await socket.in.wait(waits ? stalls : until);
+      bool set = co_await socket.readable.wait(waits ? stalls : until);
       if (!set) {
         (waits ? garbled : timedOut) = true;
         co_return false;
@@ -137,7 +137,7 @@
   // A commit's time is rounded up, and clocks are read at different moments: a little ahead is no
   // untruth.
   WallTime newest() {
-    return scheduler().wall().wallOf(scheduler().now()) + stores.limits().connectTimeout;
+    return scheduler().wallClock().toWall(scheduler().now()) + stores.limits().connectTimeout;
   }
 
   runtime::Socket socket;
@@ -173,7 +173,7 @@
 }
 
 runtime::Task<bool> Connection::comeUp(TimePoint until) {
-  bool up = co_await runtime::connected(socket, until);
+  bool up = co_await runtime::awaitConnected(socket, until);
   if (!up) co_return false;
   std::string hello = pg::startup(kUser, kDatabase);
   bool sent = co_await runtime::writeAll(socket, hello, until);
@@ -208,7 +208,7 @@
     // window a second effect.
     TimePoint wholeBy = std::min(std::min(j.until, j.sendBy), j.leftAt + kLongestWrite);
     written = co_await runtime::writeAll(socket, *rest, wholeBy);
-    if (written) j.wholeAt = scheduler().instant();
+    if (written) j.wholeAt = scheduler().steadyNow();
     writing = false;
   }
   if (!written) {
@@ -301,7 +301,7 @@
 }
 
 runtime::Task<> Connection::serve() {
-  while (socket.open()) {
+  while (socket.isOpen()) {
     if (!job) job = stores.nextFor(*this);
     if (!job) {
       idleSince = scheduler().now();
@@ -311,7 +311,7 @@
       TimePoint until = idleSince + stores.limits().keepalive - stores.limits().connectTimeout;
       bool alive = true;
       while (alive && !job) {
-        bool set = co_await socket.in.wait(until);
+        bool set = co_await socket.readable.wait(until);
         if (job) break;
         alive = set && quiet();
       }
@@ -326,7 +326,7 @@
       break;
     }
     UpstreamRequest* j = job;
-    std::string words = wordsOf(*j, stores.scheduler().instant());
+    std::string words = wordsOf(*j, stores.scheduler().steadyNow());
     // Danger: the process may stand still anywhere; as little as can be lies between this look at
     // the time and the write.
     if (!stores.leaves(*j)) {
--- a/src/proxy/main.cpp
+++ b/src/proxy/main.cpp
@@ -35,7 +35,7 @@
   app.add_option("--settings", settings, "our own settings, in HCL (docs/cql-operators.md)");
   CLI11_PARSE(app, argc, argv);
   reedchute::proxy::Proxy::holdSignals();
-  reedchute::log::neverBlock();
+  reedchute::log::setNonBlocking();
   try {
     reedchute::proxy::Config config = reedchute::proxy::retryAtStart(
         [] { return reedchute::proxy::loadConfig(std::getenv("LB_CONFIG")); });
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -10,6 +10,7 @@
 #include "invariants/violations.h"
 #include "log/log.h"
 #include "proxy/startup.h"
+#include "runtime/system_error.h"
 
 namespace reedchute::proxy {
 namespace {
@@ -143,7 +144,7 @@
       told_(scheduler_),
       listed_(scheduler_) {
   router_.list(&list_);
-  scheduler_.onStep(config_.terms.tick, [this](Duration ahead) { clockStepped(ahead); });
+  scheduler_.onClockStep(config_.terms.tick, [this](Duration ahead) { clockStepped(ahead); });
   if (config_.ledger) {
     ledger_ = std::make_unique<ledger::Feed>(*config_.ledger, config_.names, config_.terms);
     responder_.meter(ledger_.get());
@@ -151,7 +152,7 @@
   std::size_t places = clientPlaces(config_), reserved = 0;
   for (const auto& p : protocols_) reserved += p->connections();
   if (reserved * 2 > places)
-    throw Malformed("the doors' connections need more than half of the places for clients");
+    throw InvalidInput("the doors' connections need more than half of the places for clients");
   for (const auto& p : protocols_)
     clients_.push_back(std::make_unique<client::ClientConnections>(
         scheduler_, p->door(), counters_,
@@ -208,7 +209,7 @@
   tellEnds();
   tellMissing(0);
   enter(Lifecycle::ended);
-  log::flushCounts();
+  log::flushSuppressed();
 }
 
 // Danger: what the list's agent has counts as told from the first moment, and the list known from
@@ -233,7 +234,7 @@
       // Danger: no edge comes for a signal that stands there already.
       continue;
     } else {
-      co_await signals.in.wait();
+      co_await signals.readable.wait();
     }
   }
 }
@@ -246,9 +247,9 @@
     runtime::Backoff backoff(config_.terms.tick * kReloadFirst, config_.terms.connectTimeout);
     TimePoint until = scheduler_.now() + kReloadTried;
     while (!reload() && scheduler_.now() < until) {
-      TimePoint next = scheduler_.now() + backoff.after(scheduler_.now());
+      TimePoint next = scheduler_.now() + backoff.nextDelay(scheduler_.now());
       bool signalled = co_await reloads_.wait(next);
-      if (signalled) until = scheduler_.now() + kReloadTried, backoff.succeeded();
+      if (signalled) until = scheduler_.now() + kReloadTried, backoff.reset();
     }
   }
 }
@@ -361,7 +362,7 @@
     for (const auto& c : clients_) owed += c->saying();
     tellMissing(owed);
     if (ledger_) tellLedger();
-    log::flushCounts();
+    log::flushSuppressed();
   }
 }
 
@@ -451,7 +452,7 @@
     else
       gone_.erase(e.store);
     e.group = groups_.add(m.group);
-    e.zone = placeOf(config_.names.zones, m.zone);
+    e.zone = indexOf(config_.names.zones, m.zone);
     e.listed = m.listed;
     e.primary = m.primary;
     e.weight = m.weight;
@@ -483,7 +484,7 @@
 // than now.
 TimePoint Proxy::startOf(int store, WallTime told) {
   Start& known = starts_[store];
-  TimePoint at = std::min(scheduler_.wall().pointOf(told), scheduler_.now());
+  TimePoint at = std::min(scheduler_.wallClock().toSteady(told), scheduler_.now());
   if (told > known.told) known = {told, std::max(at, known.at + Duration{1})};
   return known.at;
 }
--- a/src/runtime/backoff.h
+++ b/src/runtime/backoff.h
@@ -1,5 +1,5 @@
-// Pauses between the tries of something that fails: each twice the last, up to a bound. No I/O, no
-// clock.
+// Delays between the retries of something that fails, doubled each time up to a bound. No I/O, no
+// clock of its own.
 #pragma once
 
 #include <algorithm>
@@ -10,21 +10,27 @@
 
 class Backoff {
  public:
-  Backoff(Duration first, Duration most) : first_(first), most_(most), next_(first) {}
+  Backoff(Duration first, Duration longest) : first_(first), longest_(longest), next_(first) {}
 
-  // The pause before the next try, after one that failed at `now`.
-  Duration after(TimePoint now) {
+  // The delay before the next try, after one that failed at `now`.
+  Duration nextDelay(TimePoint now) {
     if (failingSince_ == kNever) failingSince_ = now;
-    Duration pause = next_;
-    next_ = std::min(next_ * 2, most_);
-    return pause;
+    Duration delay = next_;
+    next_ = std::min(next_ * 2, longest_);
+    return delay;
   }
-  void succeeded() { next_ = first_, failingSince_ = kNever; }
-  // When the first of the tries failed that have failed since the last success; kNever: none has.
+  // To be called when a try has succeeded.
+  void reset() {
+    next_ = first_;
+    failingSince_ = kNever;
+  }
+  // When the first try failed since the last success; kNever if none has.
   TimePoint failingSince() const { return failingSince_; }
 
  private:
-  Duration first_, most_, next_;
+  Duration first_;
+  Duration longest_;
+  Duration next_;
   TimePoint failingSince_ = kNever;
 };
 
--- a/src/runtime/socket.h
+++ b/src/runtime/socket.h
@@ -1,4 +1,4 @@
-// TCP sockets for coroutines: nothing here blocks but a co_await.
+// TCP sockets for coroutines. No function blocks; coroutines wait by co_await.
 #pragma once
 
 #include <netinet/in.h>
@@ -7,72 +7,75 @@
 #include <string>
 #include <string_view>
 
+#include "runtime/descriptor.h"
 #include "runtime/scheduler.h"
 
 namespace reedchute::runtime {
 
-// "127.0.0.1:5432"; nothing where it is no IPv4 address with a port. Port 0, to listen on a port of
-// the system's choice, only where that is asked for.
-std::optional<sockaddr_in> parseAddress(std::string_view text, bool zeroPort = false);
+// Parses an IPv4 address with a port, such as "127.0.0.1:5432". Port 0, with which a listener gets
+// a port of the system's choice, is accepted only if `allowsPortZero`.
+std::optional<sockaddr_in> parseAddress(std::string_view text, bool allowsPortZero = false);
 
 bool sameAddress(const sockaddr_in& a, const sockaddr_in& b);
 
-// A listening descriptor. Throws std::runtime_error, naming the address, where it can't be had.
-int listenOn(const sockaddr_in& address);
+// Returns a listening descriptor. Throws std::system_error.
+int openListener(const sockaddr_in& address);
 
-// The port that it was given.
-int portOf(int listener);
+// The port that a socket is bound to, or -1.
+int localPort(int fd);
 
 enum class AcceptStatus {
   accepted,
-  noneWaits,  // the queue is empty, or the listener is closed
-  failed,  // as one connection in the queue did, or for a reason of this moment: the next call may
-           // succeed
-  exhausted,  // no descriptor or no memory is left
+  queueEmpty,  // or the listener is closed
+  failed,      // for a reason of this moment or of this connection: the next call may succeed
+  exhausted,   // no descriptor or no memory is left
 };
 struct Accepted {
-  AcceptStatus status = AcceptStatus::noneWaits;
+  AcceptStatus status = AcceptStatus::queueEmpty;
   int fd = -1;
-  int error = 0;  // the call's errno, where it failed
+  int error = 0;  // errno, if the call failed
 };
 
-// The next connection that waits to be accepted.
-Accepted acceptOn(int listener);
+// Accepts the next waiting connection.
+Accepted acceptConnection(int listener);
 
-// How long ago the last bytes came on a connection, whether they were read or not, as the kernel
-// has noted it; nothing where it doesn't tell.
-std::optional<Duration> sinceLastBytes(int fd);
+// The time since the kernel last received bytes on a connection, whether they were read or not;
+// nothing if the kernel doesn't tell.
+std::optional<Duration> timeSinceLastReceive(int fd);
 
 class Socket : public Descriptor {
  public:
   using Descriptor::Descriptor;
 
-  enum class Got { some, nothing, ended };
-  // Appends what has come to `into`, at most until it holds `most` bytes. `ended`: nothing more
-  // will come. Where the kernel lacks memory nothing comes for now, and `in` is set in a moment.
-  Got read(std::string& into, std::size_t most);
-  // Did the last read find that nothing was left? A short one alone doesn't tell.
-  bool sawEmpty() const { return sawEmpty_; }
-  // Did it end by a reset? Then what came may lack its end.
+  enum class ReadStatus { data, noData, closed };
+  // Appends the received bytes to `into`, until it holds `limit` bytes at most. `closed`: nothing
+  // more will come. If the kernel lacks memory, the result is noData and `readable` is set after a
+  // short pause.
+  ReadStatus read(std::string& into, std::size_t limit);
+  // Whether the last read emptied the kernel's buffer. A short read alone doesn't tell.
+  bool lastReadDrained() const { return lastReadDrained_; }
+  // Whether the connection ended by a reset, so that the received bytes may lack their end.
   bool wasReset() const { return wasReset_; }
   // Writes what the kernel takes now and returns the rest; nothing once the connection is broken.
-  // Where the kernel lacks memory `out` is set in a moment.
+  // If the kernel lacks memory, `writable` is set after a short pause.
   std::optional<std::string_view> write(std::string_view bytes);
   // Ends the sending side only.
-  void endWriting();
+  void shutdownWrite();
 
  private:
-  bool wasReset_ = false, sawEmpty_ = false;
+  bool wasReset_ = false;
+  bool lastReadDrained_ = false;
 };
 
-// Writes all; false where the connection broke or the time came before the kernel had taken the
-// last byte.
-Task<bool> writeAll(Socket& s, std::string_view bytes, TimePoint until);
+// Writes all of `bytes`; false if the connection broke or `until` came before the kernel had taken
+// the last byte.
+Task<bool> writeAll(Socket& socket, std::string_view bytes, TimePoint until);
 
-// Starts a connection; the descriptor, or -1.
-int startConnect(const sockaddr_in& to, bool* lacking = nullptr);
+// Starts to connect and returns the descriptor, or -1. `*lacksResources` tells whether it failed
+// for want of descriptors, ports or memory on this machine.
+int startConnect(const sockaddr_in& to, bool* lacksResources = nullptr);
 
-// Waits for a started connection; false where it was refused or the time came first.
-Task<bool> connected(Socket& s, TimePoint until);
+// Waits until a started connection is established; false if it was refused or `until` came first.
+Task<bool> awaitConnected(Socket& socket, TimePoint until);
 
 }  // namespace reedchute::runtime
--- a/src/runtime/wall_clock.cpp
+++ b/src/runtime/wall_clock.cpp
@@ -1,43 +1,44 @@
 #include "runtime/wall_clock.h"
 
-#include <time.h>
-
 #include <algorithm>
+#include <ctime>
 
 namespace reedchute::runtime {
 namespace {
 
-std::int64_t read(clockid_t clock) {
-  timespec t{};
-  clock_gettime(clock, &t);
-  return t.tv_sec * 1'000'000LL + t.tv_nsec / 1000;
+std::int64_t readUs(clockid_t clock) {
+  timespec time{};
+  clock_gettime(clock, &time);
+  return time.tv_sec * 1'000'000LL + time.tv_nsec / 1000;
 }
 
 }  // namespace
 
 TimePoint monotonicNow() {
-  return TimePoint{read(CLOCK_MONOTONIC)};
+  return TimePoint{readUs(CLOCK_MONOTONIC)};
 }
 
 WallClock::WallClock() {
-  offset_ = Duration{read(CLOCK_REALTIME) - read(CLOCK_MONOTONIC)};
-  look();
-  believed_ = offset_;
+  offset_ = Duration{readUs(CLOCK_REALTIME) - readUs(CLOCK_MONOTONIC)};
+  refresh();
+  reportedOffset_ = offset_;
 }
 
-// Danger: a process may stand still between two readings, and the wall clock would seem to have
-// been set. Read in the middle, it shows between which two the offset lies; where it may have
-// stayed as it was, it has.
-TimePoint WallClock::look() {
-  Duration before{read(CLOCK_MONOTONIC)}, wall{read(CLOCK_REALTIME)}, after{read(CLOCK_MONOTONIC)};
+// The process may be held up between two readings, which would look as if the wall clock had been
+// set. The wall clock is therefore read between two readings of the monotonic clock, which bound
+// the offset; within these bounds it counts as unchanged.
+TimePoint WallClock::refresh() {
+  Duration before{readUs(CLOCK_MONOTONIC)};
+  Duration wall{readUs(CLOCK_REALTIME)};
+  Duration after{readUs(CLOCK_MONOTONIC)};
   offset_ = std::clamp(offset_, wall - after, wall - before);
   return TimePoint{} + after;
 }
 
-Duration WallClock::stepped(Duration least) {
-  Duration ahead = offset_ - believed_;
+Duration WallClock::takeStep(Duration least) {
+  Duration ahead = offset_ - reportedOffset_;
   if (ahead < least && ahead > Duration{} - least) return {};
-  believed_ = offset_;
+  reportedOffset_ = offset_;
   return ahead;
 }
 
--- a/src/runtime/wall_clock.h
+++ b/src/runtime/wall_clock.h
@@ -1,5 +1,5 @@
-// Where the wall clock stands beside the monotonic one, by which all is timed. The one place that
-// brings moments from one to the other.
+// The offset of the wall clock from the monotonic clock, by which everything is timed. The one
+// place that converts times from one to the other.
 #pragma once
 
 #include "base/time.h"
@@ -11,21 +11,21 @@
 class WallClock {
  public:
   WallClock();
-  // One that stands at this, until somebody looks.
-  explicit WallClock(Duration offset) : offset_(offset), believed_(offset) {}
+  // A clock with a fixed offset until refresh() is called.
+  explicit WallClock(Duration offset) : offset_(offset), reportedOffset_(offset) {}
 
-  // Looks at both clocks, and returns the monotonic one's time. Moments are brought over by this
-  // look until the next.
-  TimePoint look();
-  // By how much the wall clock was set ahead (or back: below zero) of where it was believed when
-  // this last said so; nothing while that is less than `least`.
-  Duration stepped(Duration least);
+  // Reads both clocks and returns the monotonic time. Conversions use this reading until the next.
+  TimePoint refresh();
+  // By how much the wall clock was set since the last step that this function reported: positive
+  // when it was set ahead, negative when it was set back. Zero while that is less than `least`.
+  Duration takeStep(Duration least);
 
-  TimePoint pointOf(WallTime moment) const { return TimePoint{} + (moment - WallTime{} - offset_); }
-  WallTime wallOf(TimePoint point) const { return WallTime{} + (point - TimePoint{} + offset_); }
+  TimePoint toSteady(WallTime time) const { return TimePoint{} + (time - WallTime{} - offset_); }
+  WallTime toWall(TimePoint time) const { return WallTime{} + (time - TimePoint{} + offset_); }
 
  private:
-  Duration offset_, believed_;  // what the wall clock shows more than the monotonic one
+  Duration offset_;  // wall clock minus monotonic clock
+  Duration reportedOffset_;
 };
 
 }  // namespace reedchute::runtime
--- a/src/simulator/adapter.cpp
+++ b/src/simulator/adapter.cpp
@@ -36,7 +36,7 @@
     case 410:
       return AttemptOutcome::neverSent;
     default:
-      throw Malformed("unknown ending: " + std::to_string(code));
+      throw InvalidInput("unknown ending: " + std::to_string(code));
   }
 }
 
@@ -150,7 +150,7 @@
   int number = static_cast<int>(line_.integer(1, "i", 0, INT32_MAX));
   auto it = instances_.find(number);
   if (it == instances_.end())
-    throw Malformed("instance " + std::to_string(number) + " was never started");
+    throw InvalidInput("instance " + std::to_string(number) + " was never started");
   if (std::find(touched_.begin(), touched_.end(), number) == touched_.end())
     touched_.push_back(number);
   return *it->second;
@@ -160,10 +160,10 @@
   line_.split(text);
   std::string_view name = line_.name();
   if (!inBatch_) {
-    if (name != "TURN") throw Malformed("a line outside a batch");
+    if (name != "TURN") throw InvalidInput("a line outside a batch");
     line_.expect(1);
     std::int64_t clock = line_.integer(1, "clock");
-    if (clock < lastClock_) throw Malformed("the clock went back");
+    if (clock < lastClock_) throw InvalidInput("the clock went back");
     lastClock_ = clock;
     now_ = TimePoint{clock};
     inBatch_ = true;
@@ -196,7 +196,7 @@
     Instance& in = instance();
     int store = in.stores.find(line_.text(3, "store"));
     if (store < 0)
-      throw Malformed("a store that no list has named: '" + line_.text(3, "store") + "'");
+      throw InvalidInput("a store that no list has named: '" + line_.text(3, "store") + "'");
     AttemptOutcome ending = endingOf(line_.integer(2, "ending"));
     line_.integer(4, "delay_seen");
     Report report;
@@ -223,14 +223,14 @@
     if (line_.fields() < 3) line_.expect(3);
     int number = static_cast<int>(line_.integer(1, "i", 0, INT32_MAX));
     if (instances_.count(number))
-      throw Malformed("instance " + std::to_string(number) + " runs already");
+      throw InvalidInput("instance " + std::to_string(number) + " runs already");
     PlatformSettings params;
     for (std::size_t k = 3; k <= line_.fields(); ++k) params.add(line_.raw(k));
     try {
       instances_[number] = std::make_unique<Instance>(number, params,
                                                       line_.unsigned64(2, "nonce64"), now_);
     } catch (const std::invalid_argument& e) {
-      throw Malformed(e.what());
+      throw InvalidInput(e.what());
     }
     instance();
   } else if (name == "KILL") {
@@ -244,7 +244,7 @@
     Instance& in = instance();
     int statement = in.stmts.find(line_.unsigned64(2, "req"));
     if (statement < 0)
-      throw Malformed("a statement that is not known: " + std::string(line_.raw(2)));
+      throw InvalidInput("a statement that is not known: " + std::string(line_.raw(2)));
     line_.text(3, "store");
     line_.integer(4, "seq_no");
     line_.integer(5, "delay_seen");
@@ -255,15 +255,15 @@
     line_.integer(2, "origin_peer");
     for (char c : line_.raw(3))
       if (!std::isxdigit(static_cast<unsigned char>(c)) && c != '-')
-        throw Malformed("bad value for data");
+        throw InvalidInput("bad value for data");
     instance();
   } else {
-    throw Malformed("unknown message '" + std::string(name.substr(0, 40)) + "'");
+    throw InvalidInput("unknown message '" + std::string(name.substr(0, 40)) + "'");
   }
 }
 
 void Adapter::listLine() {
-  if (line_.name() != "M") throw Malformed("an entry of the list is missing");
+  if (line_.name() != "M") throw InvalidInput("an entry of the list is missing");
   line_.expect(8);
   ListEntry e;
   e.store = line_.text(1, "store");
@@ -284,15 +284,15 @@
   line_.integer(3, "version");
   if (how == "broken") return in.engine().onDiscoveryFailed(now_);
   if (how != "patch" && how != "whole" && how != "stale_copy")
-    throw Malformed("unknown list kind '" + how + "'");
+    throw InvalidInput("unknown list kind '" + how + "'");
   std::size_t bank = static_cast<std::size_t>(line_.integer(4, "bank", 0, kSheets - 1));
-  if (!sheetKnown_[bank]) throw Malformed("list " + std::to_string(bank) + " was never set up");
+  if (!sheetKnown_[bank]) throw InvalidInput("list " + std::to_string(bank) + " was never set up");
   in.engine().beginSnapshot(how != "patch");
   for (const ListEntry& e : sheets_[bank]) {
     EndpointInfo entry;
     entry.store = in.stores.add(e.store);
     entry.group = in.groups.add(e.group);
-    entry.zone = placeOf(in.names.zones, e.zone);
+    entry.zone = indexOf(in.names.zones, e.zone);
     entry.listed = e.listed;
     entry.primary = e.primary;
     entry.weight = e.weight;
@@ -306,18 +306,20 @@
   line_.expect(10);
   Instance& in = instance();
   std::uint64_t id = line_.unsigned64(2, "req");
-  if (id >= (1ULL << 52)) throw Malformed("bad value for req: '" + std::string(line_.raw(2)) + "'");
-  if (in.stmts.find(id) >= 0) throw Malformed("a statement came in twice: " + std::to_string(id));
+  if (id >= (1ULL << 52))
+    throw InvalidInput("bad value for req: '" + std::string(line_.raw(2)) + "'");
+  if (in.stmts.find(id) >= 0)
+    throw InvalidInput("a statement came in twice: " + std::to_string(id));
   Arrival a;
   line_.maybeNumber(3, "expected");
   if (auto ms = line_.maybeNumber(4, "last_write_ms"); ms && *ms > 0)
     a.sinceWrite = Duration{static_cast<std::int64_t>(*ms * 1000)};
-  a.workload = placeOf(in.names.workloads, line_.raw(5));
-  if (a.workload < 0) throw Malformed("unknown lane '" + std::string(line_.raw(5)) + "'");
+  a.workload = indexOf(in.names.workloads, line_.raw(5));
+  if (a.workload < 0) throw InvalidInput("unknown lane '" + std::string(line_.raw(5)) + "'");
   a.repeated = line_.maybeInteger(6, "bitmap").value_or(0) & 2;
   a.giveUpAt = TimePoint{line_.integer(7, "give_up_at")};
   a.session = line_.hex(8, "session");
-  a.tenant = placeOf(in.names.tenants, line_.raw(9));
+  a.tenant = indexOf(in.names.tenants, line_.raw(9));
   a.group = in.groups.add(line_.integer(10, "group_no", INT32_MIN, INT32_MAX));
   int statement = in.stmts.add(id);
   in.open(statement);
@@ -330,11 +332,11 @@
   std::uint64_t id = line_.unsigned64(2, "req");
   int statement = in.stmts.find(id);
   if (statement < 0)
-    throw Malformed("an outcome of a statement that is not known: " + std::to_string(id));
+    throw InvalidInput("an outcome of a statement that is not known: " + std::to_string(id));
   AttemptResult r;
   r.attempt = static_cast<int>(line_.integer(3, "seq_no", 0, INT32_MAX));
   if (r.attempt >= in.account(statement).sent)
-    throw Malformed("an outcome of an execution that was never sent");
+    throw InvalidInput("an outcome of an execution that was never sent");
   line_.text(4, "store");
   std::int64_t mark = line_.maybeInteger(5, "mark").value_or(0);
   r.elapsed = Duration{line_.integer(6, "delay_seen")};
--- a/src/simulator/frame.cpp
+++ b/src/simulator/frame.cpp
@@ -14,8 +14,8 @@
 
 void Line::expect(std::size_t count) const {
   if (fields() != count)
-    throw Malformed(std::string(name()) + " takes " + std::to_string(count) + " values, not " +
-                    std::to_string(fields()));
+    throw InvalidInput(std::string(name()) + " takes " + std::to_string(count) + " values, not " +
+                       std::to_string(fields()));
 }
 
 std::string Line::text(std::size_t k, const char* what) const {
--- a/src/simulator/frame.h
+++ b/src/simulator/frame.h
@@ -13,7 +13,7 @@
 
 namespace reedchute::simulator {
 
-// One line, split at its tabs. Every reader throws Malformed, naming the field.
+// One line, split at its tabs. Every reader throws InvalidInput, naming the field.
 class Line {
  public:
   void split(std::string_view text);
--- a/src/simulator/main.cpp
+++ b/src/simulator/main.cpp
@@ -17,7 +17,7 @@
       std::cout << reply;
       std::cout.flush();
     }
-    if (adapter.insideBatch()) throw reedchute::Malformed("the input ended inside a batch");
+    if (adapter.insideBatch()) throw reedchute::InvalidInput("the input ended inside a batch");
   } catch (const std::exception& e) {
     std::fprintf(stderr, "reedchute_wirehost: line %ld: %s\n", number, e.what());
     return 1;
--- a/src/upstream/connection_pools.cpp
+++ b/src/upstream/connection_pools.cpp
@@ -238,12 +238,12 @@
   // Danger: a process that used up its part of a core stands still for most of a tenth of a second
   // in the middle of a round; a bounded read that is judged by the round's beginning would leave
   // stale.
-  TimePoint now = scheduler_.instant();
+  TimePoint now = scheduler_.steadyNow();
   return !j.cancelled && j.until > now && j.sendBy > now && owner_.wanted(j);
 }
 
 bool ConnectionPools::leaves(UpstreamRequest& j) {
-  TimePoint now = scheduler_.instant();
+  TimePoint now = scheduler_.steadyNow();
   if (!owner_.mayLeave(j, now)) return false;
   j.leftAt = now;
   return true;
--- a/tests/client/client_connections_test.cpp
+++ b/tests/client/client_connections_test.cpp
@@ -22,7 +22,8 @@
 
 // Passes until something is so, or for so long that it never will be.
 bool comes(runtime::Scheduler& s, const std::function<bool()>& so) {
-  for (TimePoint end = s.now() + ms(5000); !so() && s.now() < end;) s.pass(s.now() + ms(2), [] {});
+  for (TimePoint end = s.now() + ms(5000); !so() && s.now() < end;)
+    s.runOnce(s.now() + ms(2), [] {});
   return so();
 }
 
@@ -58,7 +59,7 @@
   socket.write("x");
   bool over = comes(s, [&] { return clients.sessions() == 0; });
   std::string in;
-  bool ended = comes(s, [&] { return socket.read(in, 10) == runtime::Socket::Got::ended; });
+  bool ended = comes(s, [&] { return socket.read(in, 10) == runtime::Socket::ReadStatus::closed; });
   std::printf("its session is over: %s, its client sees the end: %s\n", over ? "yes" : "no",
               ended ? "yes" : "no");
 }
--- a/tests/codec/parsers_test.cpp
+++ b/tests/codec/parsers_test.cpp
@@ -26,12 +26,12 @@
     case Kind::null:
       return "null";
     case Kind::boolean:
-      return v.truth ? "true" : "false";
+      return v.boolean ? "true" : "false";
     case Kind::number:
       return v.text;
-    case Kind::text:
+    case Kind::string:
       return "'" + v.text + "'";
-    case Kind::list:
+    case Kind::array:
       for (const json::Value& item : v.items) s += (s.empty() ? "" : " ") + shown(item);
       return "[" + s + "]";
     default:
--- a/tests/protocols/cassandra_test.cpp
+++ b/tests/protocols/cassandra_test.cpp
@@ -38,8 +38,8 @@
 const Names kNames{.workloads = {"any", "near", "mine", "write", "once"},
                    .tenants = {"coop"},
                    .zones = {},
-                   .standsFor = {},
-                   .marked = {}};
+                   .templateOf = {},
+                   .deduplicated = {}};
 
 std::string rowName(const EngineSettings& t, int row) {
   static constexpr const char* kLevels[] = {"any", "bounded", "session", "fresh", "write"};
@@ -367,7 +367,7 @@
         "\"body\":{\"attributes\":[" +
         attributes + "],\"blocks\":[" + blocks + "]}}]}";
     try {
-      config::Block file = config::fromJson("f.hcl", text);
+      config::Block file = config::parseBlock("f.hcl", text);
       config::Section all("f.hcl", file);
       Config g = parseConfig(all.blocks("cassandra").front());
       all.done();
--- a/tests/protocols/postgres_upstream_test.cpp
+++ b/tests/protocols/postgres_upstream_test.cpp
@@ -47,9 +47,9 @@
       : voice(std::move(in)),
         probe(probes),
         stores(s, *this, {ms(5000), ms(60'000), 8, 1 << 20, 1 << 20}),
-        listener(s, runtime::listenOn(here(0))) {
+        listener(s, runtime::openListener(here(0))) {
     request::ProtocolVersion version = stores.add(*voice);
-    stores.place(0, version, here(static_cast<std::uint16_t>(runtime::portOf(listener.fd()))));
+    stores.place(0, version, here(static_cast<std::uint16_t>(runtime::localPort(listener.fd()))));
     query.text = "SELECT 1 /* id=1,c=any,cluster=7,d=900 */";
     query.waitAt = query.text.find("900"), query.waitSize = 3;
     spoken = version;
@@ -65,7 +65,7 @@
   }
   std::unique_ptr<Socket> accepted() {
     for (;;) {
-      runtime::Accepted one = runtime::acceptOn(listener.fd());
+      runtime::Accepted one = runtime::acceptConnection(listener.fd());
       if (one.status == runtime::AcceptStatus::accepted) return std::make_unique<Socket>(s, one.fd);
       pass();
     }
@@ -74,7 +74,7 @@
     return *runtime::parseAddress("127.0.0.1:" + std::to_string(port), true);
   }
   void pass() {
-    s.pass(s.now() + ms(2), [] {});
+    s.runOnce(s.now() + ms(2), [] {});
   }
   // Waits until so much has come from the front, and forgets it.
   void comes(std::string_view what) {
@@ -155,12 +155,11 @@
     p.peer->write(row() + pg::message('C', std::string("SELECT 1\0", 9)) + pg::ready());
     p.ends();
     p.done = false;
-    p.s.pass(p.s.now(), [&] {
+    p.s.runOnce(p.s.now(), [&] {
       p.peer->write(bytes);
       p.peer->close();
-      while (
-          test::Drive::faced(static_cast<std::uint16_t>(runtime::portOf(p.listener.fd()))).ended ==
-          0)
+      while (test::Drive::faced(static_cast<std::uint16_t>(runtime::localPort(p.listener.fd())))
+                 .ended == 0)
         continue;
       p.give();
     });
@@ -197,7 +196,7 @@
   Faulty(upstream::ConnectionPools& owner, int of, request::ProtocolVersion in, int fd, bool early)
       : UpstreamConnection(owner, of, in), socket_(owner.scheduler(), fd), early_(early) {}
   runtime::Task<bool> comeUp(TimePoint until) override {
-    bool up = co_await runtime::connected(socket_, until);
+    bool up = co_await runtime::awaitConnected(socket_, until);
     if (early_) throw std::runtime_error("as it comes up");
     co_return up;
   }
@@ -268,7 +267,7 @@
   p.ends();
   std::printf("in time: %s\n", p.s.now() < by + ms(5000) ? "yes" : "no");
   std::string in;
-  while (p.peer->read(in, 128 << 20) != Socket::Got::ended) p.pass();
+  while (p.peer->read(in, 128 << 20) != Socket::ReadStatus::closed) p.pass();
   std::printf("its store has all of it: %s\n", in.size() >= p.query.text.size() ? "yes" : "no");
 }
 
@@ -281,7 +280,7 @@
   std::printf("its store reads nothing for 0.4 s: ");
   for (TimePoint until = p.s.now() + ms(400); p.s.now() < until;) p.pass();
   std::string in;
-  while (!p.done || p.peer->read(in, 128 << 20) == Socket::Got::some)
+  while (!p.done || p.peer->read(in, 128 << 20) == Socket::ReadStatus::data)
     p.peer->read(in, 128 << 20), p.pass();
   std::printf("its store has all of it: %s\n", in.size() >= p.query.text.size() ? "yes" : "no");
 }
@@ -294,7 +293,7 @@
   p.peer->close();
   int times = 1;
   for (TimePoint until = p.s.now() + ms(3000); !p.done && p.s.now() < until; p.pass()) {
-    runtime::Accepted one = runtime::acceptOn(p.listener.fd());
+    runtime::Accepted one = runtime::acceptConnection(p.listener.fd());
     if (one.status != runtime::AcceptStatus::accepted) continue;
     Socket next(p.s, one.fd);
     next.write(pg::greeting());
--- a/tests/proxy/crossing_events_test.cpp
+++ b/tests/proxy/crossing_events_test.cpp
@@ -47,7 +47,7 @@
   auto turn = [&](Busy& b) {
     if (b.over) return;
     Client& c = *b.client;
-    bool ended = c.socket->read(c.in, 1 << 20) == runtime::Socket::Got::ended;
+    bool ended = c.socket->read(c.in, 1 << 20) == runtime::Socket::ReadStatus::closed;
     std::string words = test::inWords(c.in);
     bool last = words.find("FATAL") != std::string::npos;
     if (last || words.find("ready") != std::string::npos) answered += b.waits, b.waits = false;
--- a/tests/proxy/proxy_test.cpp
+++ b/tests/proxy/proxy_test.cpp
@@ -43,7 +43,7 @@
   std::printf("byte by byte, the query right behind the startup: %s\n", split.get(2).c_str());
   Client ssl(d, false);
   ssl.send(std::string("\0\0\0\x08\x04\xd2\x16\x2f", 8));
-  d.until("N", [&] { return ssl.socket->read(ssl.in, 100) == Socket::Got::some; });
+  d.until("N", [&] { return ssl.socket->read(ssl.in, 100) == Socket::ReadStatus::data; });
   std::printf("asked for TLS: %s\n", std::exchange(ssl.in, {}).c_str());
   ssl.send(pg::startup("web", "orders") + pg::query(""));
   std::printf("then: %s\n", ssl.get(2).c_str());
@@ -249,7 +249,7 @@
   int closed = 0;
   for (auto& c : many) {
     std::string in;
-    closed += c->socket->read(in, 10) == Socket::Got::ended;
+    closed += c->socket->read(in, 10) == Socket::ReadStatus::closed;
   }
   std::printf("60 idle connections: %s were closed, the last one serves: %s\n",
               closed > 0 ? "some" : "none", many.back()->ask(Client::read("a")).c_str());
@@ -411,7 +411,7 @@
   int kept = 0;
   for (auto& c : once) {
     std::string in;
-    kept += c->socket->read(in, 1) != Socket::Got::ended;
+    kept += c->socket->read(in, 1) != Socket::ReadStatus::closed;
   }
   std::printf("of 14 that have asked once and stay, at 64 descriptors, %d are kept\n", kept);
   Client huge(d);
--- a/tests/runtime/runtime_test.cpp
+++ b/tests/runtime/runtime_test.cpp
@@ -19,7 +19,7 @@
 
 void passes(
     Scheduler& s, int n, const std::function<void()>& ends = [] {}) {
-  for (int k = 0; k < n; ++k) s.pass(s.now() + Duration{20'000}, ends);
+  for (int k = 0; k < n; ++k) s.runOnce(s.now() + Duration{20'000}, ends);
 }
 
 void pair(int (&fds)[2]) {
@@ -69,13 +69,13 @@
   bool woken = false;
   for (;;) {
     std::string in;
-    Socket::Got got = d->read(in, 100);
-    if (got == Socket::Got::some) woken = false;
-    if (got == Socket::Got::some) std::printf("%s reads '%s'\n", name, in.c_str());
-    if (got == Socket::Got::ended) break;
-    if (got != Socket::Got::nothing) continue;
+    Socket::ReadStatus got = d->read(in, 100);
+    if (got == Socket::ReadStatus::data) woken = false;
+    if (got == Socket::ReadStatus::data) std::printf("%s reads '%s'\n", name, in.c_str());
+    if (got == Socket::ReadStatus::closed) break;
+    if (got != Socket::ReadStatus::noData) continue;
     if (woken) std::printf("%s woke for nothing\n", name);
-    co_await d->in.wait();
+    co_await d->readable.wait();
     woken = true;
   }
   std::printf("%s ended\n", name);
@@ -91,7 +91,7 @@
   auto b = std::make_shared<Socket>(s, two[0]);
   std::shared_ptr<Socket> c;
   auto closer = [&](std::shared_ptr<Socket> own, std::shared_ptr<Socket> other) -> Task<> {
-    co_await own->in.wait();
+    co_await own->readable.wait();
     std::printf("the first wakes and closes the second\n");
     int number = other->fd();
     other->close();
@@ -103,7 +103,7 @@
   s.spawn(reads(b, "the second"));
   passes(s, 1);
   s.spawn(closer(a, b));
-  a->in.wait().await_ready(), b->in.wait().await_ready();  // the edges of their birth
+  a->readable.wait().await_ready(), b->readable.wait().await_ready();  // the edges of their birth
   passes(s, 1);
   send(one[1], "x", 1, 0);
   send(two[1], "for the second", 14, 0);
@@ -151,13 +151,13 @@
   int n = 0;
   Event e(s);
   s.spawn(waits(e, "woken by the round's end, in the same round", kForever));
-  s.pass(s.now(), [&] { e.set(); });
+  s.runOnce(s.now(), [&] { e.set(); });
   std::printf("round over\n");
-  s.again();
-  s.pass(kForever, [&] { ++n; });
+  s.requestAnotherRound();
+  s.runOnce(kForever, [&] { ++n; });
   std::printf("asked for another: %d at once\n", n);
   TimePoint before = s.now();
-  for (int k = 0; k < 1000; ++k) s.pass(s.now(), [] {});
+  for (int k = 0; k < 1000; ++k) s.runOnce(s.now(), [] {});
   std::printf("the clock went back: %s\n", s.now() < before ? "yes" : "no");
 }
 
@@ -170,7 +170,7 @@
   std::printf("after closing: %s\n", after ? "written" : "broken");
   sockaddr_in nowhere = *parseAddress("127.0.0.1:1");
   Socket refused(s, startConnect(nowhere));
-  bool up = co_await connected(refused, s.now() + Duration{1'000'000});
+  bool up = co_await awaitConnected(refused, s.now() + Duration{1'000'000});
   std::printf("a port where nobody listens: %s\n", up ? "connected" : "refused");
   for (const char* text :
        {"127.0.0.1:80", "127.0.0.1:0", "127.0.0.1", "127.0.0.1:99999", "host:80", ":80", ""})
--- a/tests/support/cql_client.h
+++ b/tests/support/cql_client.h
@@ -43,7 +43,7 @@
 
   // Reads what has come.
   void read() {
-    ended = ended || socket->read(in, 8 << 20) == runtime::Socket::Got::ended;
+    ended = ended || socket->read(in, 8 << 20) == runtime::Socket::ReadStatus::closed;
     for (;;) {
       cql::Frame f;
       std::size_t used = 0;
--- a/tests/support/drive.h
+++ b/tests/support/drive.h
@@ -88,8 +88,8 @@
     settings.replace(settings.find("automatic"), 9, mode_);
     settings.replace(settings.find("15000000"), 8, keepalive_);
     if (logStands_) {  // the port can't be read from the log then: one that was free a moment ago
-      int probe = runtime::listenOn(*runtime::parseAddress("127.0.0.1:0", true));
-      port = static_cast<std::uint16_t>(runtime::portOf(probe));
+      int probe = runtime::openListener(*runtime::parseAddress("127.0.0.1:0", true));
+      port = static_cast<std::uint16_t>(runtime::localPort(probe));
       close(probe);
     }
     for (const auto& [from, to] : edits) {
@@ -158,13 +158,13 @@
         if (std::getenv("SHOW_LOG")) std::fprintf(stderr, "%s", log.c_str());
         return false;
       }
-      s.pass(s.now() + Duration{2000}, [] {});
+      s.runOnce(s.now() + Duration{2000}, [] {});
     }
     return true;
   }
   void pass(int ms) {
     for (TimePoint end = s.now() + Duration{ms * 1000}; s.now() < end;)
-      s.pass(s.now() + Duration{2000}, [] {});
+      s.runOnce(s.now() + Duration{2000}, [] {});
   }
   void signal(int number) { kill(child_, number); }
   // Does the front stand still?
--- a/tests/support/pg_client.h
+++ b/tests/support/pg_client.h
@@ -71,7 +71,7 @@
   std::string get(int readies = 1) {
     std::string said;
     d.until("an answer", [&] {
-      ended = ended || socket->read(in, 1 << 22) == Socket::Got::ended;
+      ended = ended || socket->read(in, 1 << 22) == Socket::ReadStatus::closed;
       std::string more = inWords(in);
       for (std::size_t k = 0; (k = more.find("ready", k)) != std::string::npos; ++k) --readies;
       if (!more.empty()) said += (said.empty() ? "" : ", ") + more;
