--- a/src/log/log.h
+++ b/src/log/log.h
@@ -20,6 +20,11 @@
 // line tells how many were suppressed. `event` must be a literal, as its text is kept by pointer.
 [[gnu::format(printf, 2, 3)]] void line(const char* event, const char* format, ...);
 
+// For the %llu of a format.
+inline unsigned long long printable(std::uint64_t count) {
+  return count;
+}
+
 // Writes a line for each event of which lines were suppressed since its last line.
 void flushSuppressed();
 
--- /dev/null
+++ b/src/proxy/counters_log.cpp
@@ -0,0 +1,96 @@
+#include "proxy/counters_log.h"
+
+#include <cstdint>
+#include <string>
+
+#include "invariants/violations.h"
+#include "log/log.h"
+
+namespace reedchute::proxy {
+namespace {
+
+// Fields of a log line, of the counters that aren't 0.
+class NonZeroFields {
+ public:
+  void add(const char* prefix, const char* name, std::uint64_t count) {
+    if (count == 0) return;
+    if (!text_.empty()) text_ += ' ';
+    text_.append(prefix).append(name).append("=").append(std::to_string(count));
+  }
+  const std::string& text() const { return text_; }
+
+ private:
+  std::string text_;
+};
+
+}  // namespace
+
+std::size_t sessionCount(const ClientGroups& clients) {
+  std::size_t total = 0;
+  for (const auto& group : clients) total += group->sessions();
+  return total;
+}
+
+void CountersLog::write() const {
+  writeTotals();
+  writeCauses();
+  std::size_t pending = sources_.statements.openCount();
+  for (const auto& group : sources_.clients) pending += group->saying();
+  writeMissing(pending);
+}
+
+void CountersLog::writeFinal() const {
+  writeTotals();
+  writeCauses();
+  writeMissing(0);
+}
+
+void CountersLog::writeTotals() const {
+  const request::RequestCounters& requests = sources_.requests;
+  const pipeline::Responder::AnswerCounts& answers = sources_.responder.answers();
+  log::line(
+      "counters",
+      "taken=%llu open=%zu sessions=%zu store_connections=%zu stores=%zu gone=%zu completed=%llu "
+      "rejected=%llu "
+      "aborted=%llu executions=%llu probes=%llu connects=%llu answered=%llu client_gone=%llu "
+      "late=%llu",
+      log::printable(requests.taken), sources_.statements.openCount(), sessionCount(sources_.clients),
+      sources_.pools.connections(), sources_.ids.stores.size(), sources_.endpoints.absentCount(),
+      log::printable(answers.completed), log::printable(answers.rejected), log::printable(answers.aborted),
+      log::printable(sources_.dispatcher.executions()), log::printable(sources_.dispatcher.probes()),
+      log::printable(sources_.pools.opened()), log::printable(requests.answered), log::printable(requests.gone),
+      log::printable(requests.late));
+}
+
+// Why client connections were closed, why attempts were refused, and which invariants were
+// violated.
+void CountersLog::writeCauses() const {
+  NonZeroFields fields;
+  for (int k = 1; k < static_cast<int>(client::CloseReason::count); ++k) {
+    auto reason = static_cast<client::CloseReason>(k);
+    std::uint64_t total = 0;
+    for (const auto& group : sources_.clients) total += group->ended(reason);
+    fields.add("ended_", client::nameOf(reason), total);
+  }
+  for (int k = 1; k < static_cast<int>(invariants::Refusal::count); ++k) {
+    auto refusal = static_cast<invariants::Refusal>(k);
+    fields.add("attempt_", invariants::nameOf(refusal), sources_.statements.refused(refusal));
+  }
+  for (int k = 0; k < static_cast<int>(invariants::Rule::count); ++k) {
+    auto rule = static_cast<invariants::Rule>(k);
+    fields.add("violated_", invariants::nameOf(rule), invariants::violations(rule));
+  }
+  if (!fields.text().empty()) log::line("close_counters", "%s", fields.text().c_str());
+}
+
+void CountersLog::writeMissing(std::size_t pending) const {
+  const request::RequestCounters& requests = sources_.requests;
+  auto missing = static_cast<long long>(requests.missing(pending));
+  if (missing == 0) return;
+  log::line("responses_missing",
+            "statements=%lld taken=%llu answered=%llu client_gone=%llu owed=%zu", missing,
+            log::printable(requests.taken), log::printable(requests.answered), log::printable(requests.gone),
+            pending);
+}
+
+}  // namespace reedchute::proxy
--- /dev/null
+++ b/src/proxy/endpoint_registry.cpp
@@ -0,0 +1,118 @@
+#include "proxy/endpoint_registry.h"
+
+#include <algorithm>
+
+#include "log/log.h"
+
+namespace reedchute::proxy {
+namespace {
+
+constexpr double kSweepInterval = 0.5;    // keepalives
+constexpr double kAbsentRetention = 2.0;  // keepalives
+
+const char* nameOf(EndpointStatus status) {
+  switch (status) {
+    case EndpointStatus::up:
+      return "up";
+    case EndpointStatus::draining:
+      return "draining";
+    default:
+      return "gone";
+  }
+}
+
+}  // namespace
+
+void EndpointRegistry::apply(const discovery::EndpointList& list, bool polled) {
+  TimePoint now = scheduler_.now();
+  engine_.beginSnapshot(list.full);
+  // A store that a full list leaves out is absent; applyEntry() takes back those that it names.
+  if (list.full) ids_.stores.each([&](int store) { absentSince_.try_emplace(store, now); });
+  for (const discovery::Endpoint& endpoint : list.members) applyEntry(endpoint, now);
+  engine_.endSnapshot(polled);
+  withdrawUnlisted(list, now);
+  statements_.touch();
+}
+
+void EndpointRegistry::applyEntry(const discovery::Endpoint& endpoint, TimePoint now) {
+  EndpointInfo info;
+  info.store = ids_.stores.add(endpoint.id);
+  if (endpoint.listed == EndpointStatus::gone)
+    absentSince_.try_emplace(info.store, now);
+  else
+    absentSince_.erase(info.store);
+  info.group = ids_.groups.add(endpoint.group);
+  info.zone = indexOf(config_.names.zones, endpoint.zone);
+  info.listed = endpoint.listed;
+  info.primary = endpoint.primary;
+  info.weight = endpoint.weight;
+  if (endpoint.startedMs > 0)
+    info.started = startTimeOf(info.store, WallTime{endpoint.startedMs * 1000});
+  placeInPools(info.store, endpoint);
+  engine_.addEndpoint(info, now);
+  statements_.guard().listed(info.store, info.group, info.zone, info.listed, now);
+  log::line("endpoint", "store=%d id=%s group=%lld state=%s primary=%d started_ms=%lld",
+            info.store, endpoint.id.c_str(), static_cast<long long>(endpoint.group),
+            nameOf(endpoint.listed), endpoint.primary,
+            static_cast<long long>(endpoint.startedMs));
+}
+
+void EndpointRegistry::placeInPools(int store, const discovery::Endpoint& endpoint) {
+  for (const auto& protocol : protocols_) {
+    std::optional<sockaddr_in> address = protocol->upstreamAddress(endpoint);
+    if (!address) continue;
+    for (request::ProtocolVersion version : protocol->versions())
+      pools_.place(store, version, *address);
+  }
+}
+
+void EndpointRegistry::withdrawUnlisted(const discovery::EndpointList& list, TimePoint now) {
+  for (const discovery::Endpoint& endpoint : list.members)
+    if (endpoint.listed != EndpointStatus::up) pools_.withdraw(ids_.stores.find(endpoint.id));
+  if (!config_.engineSettings.goneBinds) return;
+  for (const auto& [store, since] : absentSince_) {
+    statements_.guard().dropped(store, now);
+    pools_.withdraw(store);
+    pools_.release(store);
+  }
+}
+
+// A start time is converted once: converted again after the wall clock was set, it would look like
+// another start, and a later start might seem to lie before it. A start never lies in the future.
+TimePoint EndpointRegistry::startTimeOf(int store, WallTime reported) {
+  StartTime& known = startTimes_[store];
+  TimePoint time = std::min(scheduler_.wallClock().toSteady(reported), scheduler_.now());
+  if (reported > known.reported) known = {reported, std::max(time, known.time + Duration{1})};
+  return known.time;
+}
+
+// The list may drop a running store by mistake, so its state is kept for a while; but not for ever,
+// as it would pile up where stores are always new.
+runtime::Task<> EndpointRegistry::removeExpired() {
+  for (;;) {
+    co_await runtime::sleepUntil(scheduler_,
+                                 scheduler_.now() + config_.keepalive * kSweepInterval);
+    if (!config_.engineSettings.goneBinds) continue;
+    std::erase_if(absentSince_, [&](const auto& entry) {
+      if (!mayRemove(entry.first, entry.second)) return false;
+      remove(entry.first);
+      return true;
+    });
+  }
+}
+
+bool EndpointRegistry::mayRemove(int store, TimePoint absentSince) const {
+  if (scheduler_.now() - absentSince < config_.keepalive * kAbsentRetention) return false;
+  return pools_.unused(store) && !statements_.names(store);
+}
+
+void EndpointRegistry::remove(int store) {
+  log::line("endpoint_removed", "store=%d id=%s", store, ids_.stores.id(store).c_str());
+  engine_.removeEndpoint(store, scheduler_.now());
+  statements_.guard().forget(store);
+  pools_.forget(store);
+  ids_.stores.release(store);
+  startTimes_.erase(store);
+}
+
+}  // namespace reedchute::proxy
--- /dev/null
+++ b/src/proxy/endpoint_registry.h
@@ -0,0 +1,68 @@
+// Applies endpoint lists: gives stores and groups their indices, passes each entry on to the
+// decision engine, the attempt guard and the connection pools, and removes stores that have been
+// absent for long.
+#pragma once
+
+#include <cstdint>
+#include <map>
+#include <memory>
+#include <string>
+#include <vector>
+
+#include "base/id_index.h"
+#include "config/config.h"
+#include "discovery/endpoint_watcher.h"
+#include "pipeline/statement_table.h"
+#include "proxy/protocols.h"
+#include "upstream/connection_pools.h"
+
+namespace reedchute::proxy {
+
+class EndpointRegistry {
+ public:
+  // `ids` gets the indices. Everything is borrowed and has to outlive the registry.
+  EndpointRegistry(runtime::Scheduler& scheduler, const config::Config& config, EndpointIds& ids,
+                   DecisionEngine& engine, pipeline::StatementTable& statements,
+                   upstream::ConnectionPools& pools,
+                   const Protocols& protocols)
+      : scheduler_(scheduler),
+        config_(config),
+        ids_(ids),
+        engine_(engine),
+        statements_(statements),
+        pools_(pools),
+        protocols_(protocols) {}
+
+  // `polled`: whether the list comes from the discovery service, rather than from the configuration.
+  void apply(const discovery::EndpointList& list, bool polled);
+  // Removes absent stores periodically, for as long as the process runs.
+  runtime::Task<> removeExpired();
+
+  // Stores that the endpoint list has dropped and that are not removed yet.
+  std::size_t absentCount() const { return absentSince_.size(); }
+
+ private:
+  struct StartTime {
+    WallTime reported;
+    TimePoint time = kNever;
+  };
+
+  void applyEntry(const discovery::Endpoint& endpoint, TimePoint now);
+  void placeInPools(int store, const discovery::Endpoint& endpoint);
+  void withdrawUnlisted(const discovery::EndpointList& list, TimePoint now);
+  TimePoint startTimeOf(int store, WallTime reported);
+  bool mayRemove(int store, TimePoint absentSince) const;
+  void remove(int store);
+
+  runtime::Scheduler& scheduler_;
+  const config::Config& config_;
+  EndpointIds& ids_;
+  DecisionEngine& engine_;
+  pipeline::StatementTable& statements_;
+  upstream::ConnectionPools& pools_;
+  const Protocols& protocols_;
+  std::map<int, TimePoint> absentSince_;  // by store
+  std::map<int, StartTime> startTimes_;   // by store
+};
+
+}  // namespace reedchute::proxy
--- /dev/null
+++ b/src/proxy/ledger_log.h
@@ -0,0 +1,27 @@
+// Writes the ledger's state to the proxy's log: changes soon after they happen, figures with the
+// other counters.
+#pragma once
+
+#include "ledger/feed.h"
+#include "runtime/event.h"
+
+namespace reedchute::proxy {
+
+class LedgerLog {
+ public:
+  LedgerLog(runtime::Scheduler& scheduler, const ledger::Feed& ledger, Duration interval)
+      : scheduler_(scheduler), ledger_(ledger), interval_(interval) {}
+
+  void write();
+  // Writes whenever the state has changed, looking once an `interval`, for as long as the process
+  // runs.
+  runtime::Task<> run();
+
+ private:
+  runtime::Scheduler& scheduler_;
+  const ledger::Feed& ledger_;
+  Duration interval_;
+  ledger::FeedState written_;
+};
+
+}  // namespace reedchute::proxy
--- a/src/proxy/main.cpp
+++ b/src/proxy/main.cpp
@@ -1,5 +1,5 @@
-// reedchute: the front on sockets. What it is told comes from the file that LB_CONFIG names, and
-// from our own settings where --settings names a file of them.
+// The reedchute program. Its configuration is the file that LB_CONFIG names; further settings come
+// from the HCL file that --settings names.
 #include <sys/syscall.h>
 #include <unistd.h>
 
@@ -12,13 +12,13 @@
 
 #include "log/log.h"
 #include "proxy/proxy.h"
-#include "proxy/startup.h"
+#include "proxy/signals.h"
+#include "proxy/startup_retry.h"
 
 namespace {
 
-// Danger: the libraries take milliseconds to begin, and a signal that comes meanwhile would end the
-// process. What stands in this section runs before them; the C library's own functions can't be
-// relied on yet.
+// The libraries take milliseconds to begin, and a signal that comes meanwhile would end the
+// process. What stands in this section runs before them and can't rely on the C library yet.
 void holdSignalsEarly(int, char**, char**) {
   std::uint64_t signals = 0;
   for (int number : {SIGTERM, SIGINT, SIGHUP}) signals |= std::uint64_t{1} << (number - 1);
@@ -27,24 +27,33 @@
 __attribute__((section(".preinit_array"),
                used)) void (*const kHoldSignalsBeforeMain)(int, char**, char**) = &holdSignalsEarly;
 
-}  // namespace
+void serve(const std::string& settingsPath) {
+  using namespace reedchute;
+  config::Config config =
+      proxy::retryAtStart([] { return config::loadConfig(std::getenv("LB_CONFIG")); });
+  if (!settingsPath.empty()) config::addSettings(config, settingsPath);
+  proxy::Proxy proxy(std::move(config));
+  proxy.run();
+}
 
-int main(int argc, char** argv) {
+int runProgram(int argc, char** argv) {
   CLI::App app("A proxy before a primary and its replicas.", "reedchute");
-  std::string settings;
-  app.add_option("--settings", settings, "our own settings, in HCL (docs/cql-operators.md)");
+  std::string settingsPath;
+  app.add_option("--settings", settingsPath, "our own settings, in HCL (docs/cql-operators.md)");
   CLI11_PARSE(app, argc, argv);
-  reedchute::proxy::Proxy::holdSignals();
+  reedchute::proxy::holdSignals();
   reedchute::log::setNonBlocking();
+  serve(settingsPath);
+  return 0;
+}
+
+}  // namespace
+
+int main(int argc, char** argv) {
   try {
-    reedchute::proxy::Config config = reedchute::proxy::retryAtStart(
-        [] { return reedchute::proxy::loadConfig(std::getenv("LB_CONFIG")); });
-    if (!settings.empty()) reedchute::proxy::addSettings(config, settings);
-    reedchute::proxy::Proxy front(std::move(config));
-    front.run();
-  } catch (const std::exception& e) {
-    std::fprintf(stderr, "reedchute: %s\n", e.what());
+    return runProgram(argc, argv);
+  } catch (const std::exception& error) {
+    std::fprintf(stderr, "reedchute: %s\n", error.what());
     return 1;
   }
-  return 0;
 }
--- a/src/proxy/protocols.cpp
+++ b/src/proxy/protocols.cpp
@@ -11,91 +11,97 @@
 namespace reedchute::proxy {
 namespace {
 
-// Of the memory: for the statements that one client has in hand, and for answers that wait for
-// those before them.
-constexpr std::size_t kPipelinePart = 16, kKeptPart = 16;
-// Of the memory: for the texts that clients have prepared, and for what stores have prepared, all
-// together.
-constexpr std::size_t kPreparedPart = 32, kStoresPreparedPart = 8;
+// Memory, as divisors of what is allowed.
+constexpr std::size_t kPipelineDivisor = 16;       // statements of one client at a time
+constexpr std::size_t kOrderedDivisor = 16;        // responses that wait for earlier ones
+constexpr std::size_t kClientPreparedDivisor = 32;  // texts that clients have prepared
+constexpr std::size_t kStorePreparedDivisor = 8;   // what stores have prepared, all together
 
 class Postgres : public Protocol {
  public:
-  Postgres(Config& config, const ProtocolContext& g)
+  Postgres(config::Config& config, const ProtocolContext& context)
       : config_(config),
-        speech_(g.stores.add(voice_)),
-        door_(g.scheduler, g.handler,
-              protocols::postgres::TakeIn(config.terms, config.names, g.groups, g.openIds), speech_,
-              {std::max<std::size_t>(
-                   1, config.memory / kPipelinePart / pipeline::StatementTable::costOf(0)),
-               config.memory / kKeptPart}) {}
+        version_(context.pools.add(upstreamProtocol_)),
+        clientProtocol_(context.scheduler, context.handler,
+                        protocols::postgres::TakeIn(config.engineSettings, config.names,
+                                                    context.endpointIds.groups, context.openIds),
+                        version_,
+                        {pipelineDepth(config.maxMemory), config.maxMemory / kOrderedDivisor}) {}
 
   const char* name() const override { return "postgres"; }
-  client::ClientProtocol& door() override { return door_; }
-  sockaddr_in listen() const override { return config_.listen; }
-  std::vector<request::ProtocolVersion> versions() const override { return {speech_}; }
-  bool probes() const override { return !config_.cassandra || !config_.cassandra->probes; }
-  std::optional<sockaddr_in> addressOf(const discovery::Endpoint& m) const override {
-    return m.address;
+  client::ClientProtocol& clientProtocol() override { return clientProtocol_; }
+  sockaddr_in listenAddress() const override { return config_.listenAddress; }
+  std::vector<request::ProtocolVersion> versions() const override { return {version_}; }
+  bool isForProbes() const override { return !config_.cassandra || !config_.cassandra->probes; }
+  std::optional<sockaddr_in> upstreamAddress(const discovery::Endpoint& endpoint) const override {
+    return endpoint.address;
   }
 
  private:
-  const Config& config_;
-  protocols::postgres::UpstreamProtocol voice_;
-  request::ProtocolVersion speech_;
-  protocols::postgres::ClientProtocol door_;
+  static std::size_t pipelineDepth(std::size_t memory) {
+    std::size_t smallest = pipeline::StatementTable::costOf(0);
+    return std::max<std::size_t>(1, memory / kPipelineDivisor / smallest);
+  }
+
+  const config::Config& config_;
+  protocols::postgres::UpstreamProtocol upstreamProtocol_;
+  request::ProtocolVersion version_;
+  protocols::postgres::ClientProtocol clientProtocol_;
 };
 
 class Cassandra : public Protocol, public protocols::cassandra::Fleet {
  public:
-  Cassandra(Config& config, const ProtocolContext& g)
+  Cassandra(config::Config& config, const ProtocolContext& context)
       : config_(*config.cassandra),
-        storeIds_(g.storeIds),
-        texts_(config.memory / kPreparedPart),
-        room_(config.memory / kStoresPreparedPart),
-        four_(config_, 4, room_),
-        five_(config_, 5, room_),
-        speeches_{g.stores.add(four_), g.stores.add(five_)},
-        door_(g.scheduler, g.handler, *this, config_,
-              protocols::cassandra::TakeIn(config_, config.names, g.groups, g.openIds,
-                                           *config.chart, texts_),
-              texts_, speeches_[0], speeches_[1]) {}
+        storeIds_(context.endpointIds.stores),
+        preparedTexts_(config.maxMemory / kClientPreparedDivisor),
+        storePrepared_(config.maxMemory / kStorePreparedDivisor),
+        upstreamV4_(config_, 4, storePrepared_),
+        upstreamV5_(config_, 5, storePrepared_),
+        versions_{context.pools.add(upstreamV4_), context.pools.add(upstreamV5_)},
+        clientProtocol_(
+            context.scheduler, context.handler, *this, config_,
+            protocols::cassandra::TakeIn(config_, config.names, context.endpointIds.groups,
+                                         context.openIds, *config.tableMapping, preparedTexts_),
+            preparedTexts_, versions_[0], versions_[1]) {}
 
   const char* name() const override { return "cassandra"; }
-  client::ClientProtocol& door() override { return door_; }
-  sockaddr_in listen() const override { return config_.listen; }
-  void listening(int port) override {
+  client::ClientProtocol& clientProtocol() override { return clientProtocol_; }
+  sockaddr_in listenAddress() const override { return config_.listen; }
+  void onListening(int port) override {
     config_.listen.sin_port = htons(static_cast<std::uint16_t>(port));
   }
-  std::size_t connections() const override { return config_.connections; }
-  std::vector<request::ProtocolVersion> versions() const override { return speeches_; }
-  bool probes() const override { return config_.probes; }
-  std::optional<sockaddr_in> addressOf(const discovery::Endpoint& m) const override {
-    for (const auto& [protocol, address] : m.others)
+  std::size_t reservedConnections() const override { return config_.connections; }
+  std::vector<request::ProtocolVersion> versions() const override { return versions_; }
+  bool isForProbes() const override { return config_.probes; }
+  std::optional<sockaddr_in> upstreamAddress(const discovery::Endpoint& endpoint) const override {
+    for (const auto& [protocol, address] : endpoint.others)
       if (protocol == "cassandra") return address;
-    sockaddr_in address = m.address;
+    sockaddr_in address = endpoint.address;
     address.sin_port = htons(config_.storePort);
     return address;
   }
-  void leaving() override { door_.leaving(); }
+  void onDraining() override { clientProtocol_.leaving(); }
   const std::string& storeId(int store) const override { return storeIds_.id(store); }
 
  private:
   protocols::cassandra::Config& config_;
   const IdIndex<std::string>& storeIds_;
-  protocols::cassandra::PreparedTexts texts_;
-  protocols::cassandra::StorePrepared::Room room_;
-  protocols::cassandra::UpstreamProtocol four_, five_;
-  std::vector<request::ProtocolVersion> speeches_;
-  protocols::cassandra::ClientProtocol door_;
+  protocols::cassandra::PreparedTexts preparedTexts_;
+  protocols::cassandra::StorePrepared::Room storePrepared_;
+  protocols::cassandra::UpstreamProtocol upstreamV4_;
+  protocols::cassandra::UpstreamProtocol upstreamV5_;
+  std::vector<request::ProtocolVersion> versions_;
+  protocols::cassandra::ClientProtocol clientProtocol_;
 };
 
 }  // namespace
 
-std::vector<std::unique_ptr<Protocol>> protocolsOf(Config& config, const ProtocolContext& ground) {
-  std::vector<std::unique_ptr<Protocol>> all;
-  all.push_back(std::make_unique<Postgres>(config, ground));
-  if (config.cassandra) all.push_back(std::make_unique<Cassandra>(config, ground));
-  return all;
+Protocols createProtocols(config::Config& config, const ProtocolContext& context) {
+  Protocols protocols;
+  protocols.push_back(std::make_unique<Postgres>(config, context));
+  if (config.cassandra) protocols.push_back(std::make_unique<Cassandra>(config, context));
+  return protocols;
 }
 
 }  // namespace reedchute::proxy
--- a/src/proxy/protocols.h
+++ b/src/proxy/protocols.h
@@ -1,8 +1,9 @@
-// The table of the protocols that the front speaks. Each has its folder under src/doors; another
-// one is a folder and a row more.
+// The client protocols that the proxy speaks. Each has its folder under src/protocols; another one
+// is a folder and a class in protocols.cpp.
 #pragma once
 
 #include <memory>
+#include <optional>
 #include <string>
 #include <vector>
 
@@ -14,13 +15,18 @@
 
 namespace reedchute::proxy {
 
-// What a protocol's unit stands on.
+// The indices of stores and groups, by the names that the endpoint list has for them.
+struct EndpointIds {
+  IdIndex<std::string> stores;
+  IdIndex<std::int64_t> groups;
+};
+
+// What a protocol works with. Everything is borrowed and has to outlive it.
 struct ProtocolContext {
   runtime::Scheduler& scheduler;
   request::StatementHandler& handler;
-  upstream::ConnectionPools& stores;
-  const IdIndex<std::string>& storeIds;
-  const IdIndex<std::int64_t>& groups;
+  upstream::ConnectionPools& pools;
+  const EndpointIds& endpointIds;
   const request::OpenIds& openIds;
 };
 
@@ -28,20 +34,25 @@
  public:
   virtual ~Protocol() = default;
   virtual const char* name() const = 0;
-  virtual client::ClientProtocol& door() = 0;
-  virtual sockaddr_in listen() const = 0;
-  virtual void listening(int /*port*/) {}
-  virtual std::size_t connections() const {
-    return 0;
-  }  // that its clients may hold; 0: what the others leave
+  virtual client::ClientProtocol& clientProtocol() = 0;
+  virtual sockaddr_in listenAddress() const = 0;
+  // Called with the port that the listener got.
+  virtual void onListening(int /*port*/) {}
+  // Client connections that are reserved for it; 0: it shares what the others leave.
+  virtual std::size_t reservedConnections() const { return 0; }
   virtual std::vector<request::ProtocolVersion> versions() const = 0;
-  virtual bool probes() const = 0;  // is it the one in which stores are probed?
-  // Where a store is spoken to in it.
-  virtual std::optional<sockaddr_in> addressOf(const discovery::Endpoint& m) const = 0;
-  virtual void leaving() {}  // clients are to go elsewhere from now on
+  // Whether stores are probed in this protocol.
+  virtual bool isForProbes() const = 0;
+  // Where a store is reached in this protocol.
+  virtual std::optional<sockaddr_in> upstreamAddress(
+      const discovery::Endpoint& endpoint) const = 0;
+  // Called when the process begins to drain; clients should be told to go elsewhere.
+  virtual void onDraining() {}
 };
 
-// By the given settings; the first is PostgreSQL. Adds its versions to the stores' table.
-std::vector<std::unique_ptr<Protocol>> protocolsOf(Config& config, const ProtocolContext& ground);
+using Protocols = std::vector<std::unique_ptr<Protocol>>;
+
+// Creates the configured protocols, PostgreSQL first, and adds their versions to the pools.
+Protocols createProtocols(config::Config& config, const ProtocolContext& context);
 
 }  // namespace reedchute::proxy
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -1,101 +1,77 @@
-// The front: one object whose phases lead from the start to the exit. It owns the module, the
-// stages and the peers, and ties them together.
+// The proxy process: creates all parts, connects them, and leads them from the start to the exit.
+// What a part does is in the part's own header.
 #pragma once
 
-#include <csignal>
-#include <map>
+#include <memory>
 #include <optional>
 
-#include "base/id_index.h"
 #include "client/client_connections.h"
 #include "config/config.h"
+#include "decision/engine.h"
 #include "discovery/endpoint_watcher.h"
+#include "ledger/feed.h"
 #include "pipeline/admission.h"
 #include "pipeline/dispatcher.h"
 #include "pipeline/responder.h"
 #include "pipeline/router.h"
 #include "pipeline/statement_table.h"
+#include "proxy/config_reloader.h"
+#include "proxy/counters_log.h"
+#include "proxy/endpoint_registry.h"
+#include "proxy/ledger_log.h"
+#include "proxy/lifecycle.h"
 #include "proxy/protocols.h"
+#include "proxy/signals.h"
+#include "proxy/statement_intake.h"
 #include "upstream/connection_pools.h"
 
 namespace reedchute::proxy {
 
-enum class Lifecycle {
-  starting,  // the known list is told to the module, nothing listens yet
-  serving,
-  draining,      // told to end: still serving whoever comes, as clients hear of it late
-  shuttingDown,  // no new clients; idle ones are sent away, what was taken gets its answer
-  ended,
-};
-
-const char* nameOf(Lifecycle p);
-
-class Proxy : public request::StatementHandler, public discovery::EndpointListener {
+class Proxy : private discovery::EndpointListener {
  public:
-  explicit Proxy(Config config);
-
-  // From now on signals wait until run() takes them; to be called before it.
-  static void holdSignals();
+  // Throws InvalidInput if the configuration can't be served. holdSignals() has to be called first.
+  explicit Proxy(config::Config config);
 
-  // Serves until it is told to end, and returns when all that was taken has its answer.
+  // Serves until a signal asks for the shutdown, and returns when every statement that was taken
+  // has its response.
   void run();
-  Lifecycle phase() const { return lifecycle_; }
 
-  int admit(request::ReceivedStatement taken, request::ResponseSink& sink, int requestId) override;
-  void left(int statement) override;
-  bool roomy() const override;
-  bool takes(TimePoint came) const override { return came <= takenUntil_; }
-  void listCame(const discovery::EndpointList& roster) override;
+ private:
+  void listCame(const discovery::EndpointList& list) override;
   void listFailed() override;
 
- private:
-  void enter(Lifecycle p);
-  std::size_t sessions() const;
-  void tellList(const discovery::EndpointList& roster, bool asked);
-  void forgetGone();
-  void clockStepped(Duration ahead);
-  TimePoint startOf(int store, WallTime told);
-  runtime::Task<> watchSignals(int fd);
-  runtime::Task<> open();
-  runtime::Task<> watchReloads();
-  bool reload();
-  runtime::Task<> leave();
-  runtime::Task<> tally();
-  void tellTally();
-  void tellEnds() const;
-  void tellMissing(std::size_t owed) const;
-  void tellLedger();
-  runtime::Task<> watchLedger();
-  runtime::Task<> sweep();
+  void createClients();
+  void enter(Lifecycle phase);
+  void spawnTasks();
+  void listen();
+  void onClockStep(Duration ahead);
+  runtime::Task<> serveOnceListed();
+  runtime::Task<> shutDownOnSignal();
+  runtime::Task<> logCounters();
 
-  Config config_;
+  config::Config config_;
   Lifecycle lifecycle_ = Lifecycle::starting;
   runtime::Scheduler scheduler_;
-  IdIndex<std::string> storeIds_;
-  std::map<int, TimePoint> gone_;  // stores that the list has dropped, and since when
-  struct Start {
-    WallTime told;
-    TimePoint at = kNever;
-  };
-  std::map<int, Start> starts_;  // by store: as it was told first, and what it was taken for
-  IdIndex<std::int64_t> groups_;
-  runtime::Event reloads_;  // a signal to read the configuration has come
+  EndpointIds endpointIds_;
   DecisionEngine engine_;
-  std::unique_ptr<ledger::Feed> ledger_;
+  std::unique_ptr<ledger::Feed> ledger_;  // null where none is configured
   pipeline::Responder responder_;
   pipeline::StatementTable statements_;
-  upstream::ConnectionPools stores_;
-  std::vector<std::unique_ptr<Protocol>> protocols_;
+  pipeline::Admission admission_;
+  StatementIntake intake_;
+  upstream::ConnectionPools pools_;
+  Protocols protocols_;
   pipeline::Dispatcher dispatcher_;
   pipeline::Router router_;
-  pipeline::Admission admission_;
-  std::vector<std::unique_ptr<client::ClientConnections>> clients_;  // by protocol
-  discovery::EndpointWatcher list_;
-  TimePoint takenUntil_ = kForever;  // statements, once it was told to end
-  runtime::Event told_;              // a signal to end has come
-  runtime::Event listed_;            // the list has come
-  request::RequestCounters counters_;
-  ledger::FeedState ledgerWas_;
+  EndpointRegistry endpoints_;
+  ClientGroups clients_;
+  discovery::EndpointWatcher endpointWatcher_;
+  ConfigReloader reloader_;
+  CountersLog countersLog_;
+  std::optional<LedgerLog> ledgerLog_;
+  runtime::Event shutdownRequested_;
+  runtime::Event firstListReceived_;
+  std::optional<SignalWatcher> signalWatcher_;
 };
 
 }  // namespace reedchute::proxy
--- /dev/null
+++ b/src/proxy/statement_intake.h
@@ -0,0 +1,50 @@
+// Where the clients' connections bring their statements: refuses those that the process has no
+// memory for, that came too late in the shutdown, or that the ledger can't record, and hands the
+// others to admission.
+#pragma once
+
+#include "config/config.h"
+#include "ledger/feed.h"
+#include "pipeline/admission.h"
+#include "pipeline/statement_table.h"
+#include "request/request.h"
+#include "runtime/scheduler.h"
+
+namespace reedchute::proxy {
+
+class StatementIntake : public request::StatementHandler {
+ public:
+  // `ledger` may be null. Everything is borrowed and has to outlive the intake.
+  StatementIntake(const runtime::Scheduler& scheduler, const config::Config& config,
+                  pipeline::StatementTable& statements, pipeline::Admission& admission,
+                  const ledger::Feed* ledger)
+      : scheduler_(scheduler),
+        config_(config),
+        statements_(statements),
+        admission_(admission),
+        ledger_(ledger) {}
+
+  int admit(request::ReceivedStatement received, request::ResponseSink& sink,
+            int requestId) override;
+  void left(int statement) override;
+  bool roomy() const override;
+  bool takes(TimePoint came) const override { return came <= acceptsUntil_; }
+
+  // Statements that arrive later than this are refused.
+  void closeAt(TimePoint time) { acceptsUntil_ = time; }
+
+  // What became of all statements; the clients' connections count their part here.
+  request::RequestCounters& counters() { return counters_; }
+  const request::RequestCounters& counters() const { return counters_; }
+
+ private:
+  const runtime::Scheduler& scheduler_;
+  const config::Config& config_;
+  pipeline::StatementTable& statements_;
+  pipeline::Admission& admission_;
+  const ledger::Feed* ledger_;
+  TimePoint acceptsUntil_ = kForever;
+  request::RequestCounters counters_;
+};
+
+}  // namespace reedchute::proxy
--- a/src/runtime/system_error.h
+++ b/src/runtime/system_error.h
@@ -1,4 +1,4 @@
-// Errors of system calls as exceptions.
+// Errors of system calls.
 #pragma once
 
 #include <cerrno>
@@ -11,4 +11,21 @@
   throw std::system_error(errno, std::generic_category(), what);
 }
 
+// Whether the call that failed with this error may succeed when it is made again.
+inline bool isTransientError(const std::error_code& code) {
+  switch (code.value()) {
+    case EADDRINUSE:
+    case EAGAIN:
+    case EINTR:
+    case EIO:
+    case EMFILE:
+    case ENFILE:
+    case ENOBUFS:
+    case ENOMEM:
+      return true;
+    default:
+      return false;
+  }
+}
+
 }  // namespace reedchute::runtime
