--- a/bench/rounds.cpp
+++ b/bench/rounds.cpp
@@ -69,16 +69,16 @@
     Workload any, near, write;
     any.slo = near.slo = write.slo = Duration{500'000};
     any.effect = near.effect = Effect::idempotent;
-    near.level = Level::bounded, near.bound = Duration{400'000};
+    near.level = Level::bounded, near.stalenessBound = Duration{400'000};
     write.level = Level::write, write.effect = Effect::deduplicated,
-    write.window = Duration{3'000'000};
+    write.deduplicationWindow = Duration{3'000'000};
     EngineSettings t;
-    t.seed = 7, t.fronts = play.fronts, t.maxAttempts = 6, t.tick = kTick,
+    t.seed = 7, t.proxyCount = play.fronts, t.maxAttempts = 6, t.tick = kTick,
     t.workloads = {any, near, write};
-    t.secondCopies = t.mayCancel = t.mayProbe = true, t.probePrice = 0.016;
-    t.connectTimeout = Duration{250'000}, t.askEvery = Duration{10'000'000};
-    t.coldRamp = Duration{16'000'000}, t.coldWindow = Duration{2'000'000}, t.coldFrom = 0.27,
-    t.coldMultiple = 2.5;
+    t.allowsHedging = t.mayCancel = t.mayProbe = true, t.probeCost = 0.016;
+    t.connectTimeout = Duration{250'000}, t.maxPollInterval = Duration{10'000'000};
+    t.warmUpTime = Duration{16'000'000}, t.coldOverloadWindow = Duration{2'000'000},
+    t.coldInitialShare = 0.27, t.coldOverloadMultiple = 2.5;
     return t;
   }
   bool isPrimary(int s) const { return s % size_ == 0; }
@@ -92,9 +92,9 @@
       Due d = due_.front();
       due_.pop_front();
       if (d.statement < 0) {
-        Report r;
+        ReplicaReport r;
         r.position = now - Duration{20'000}, r.primary = isPrimary(d.store);
-        engine.onProbeEnded(d.store, !isDead(d.store), isDead(d.store) ? Report{} : r, now);
+        engine.onProbeEnded(d.store, !isDead(d.store), isDead(d.store) ? ReplicaReport{} : r, now);
       } else {
         AttemptResult r;
         bool open = open_[static_cast<std::size_t>(d.statement)];
@@ -147,7 +147,7 @@
   void reject(int statement, Duration) override { closes(statement); }
   void abort(int statement) override { closes(statement); }
   void release(int) override {}
-  void watchList() override {}
+  void pollEndpoints() override {}
   void wake(Duration) override {}
 
   TimePoint now{1'000'000'000'000};
--- a/src/config/engine_settings.cpp
+++ b/src/config/engine_settings.cpp
@@ -26,7 +26,7 @@
 EngineSettings engineSettingsFrom(const PlatformSettings& p, std::uint64_t seed, Names& names) {
   EngineSettings t;
   t.seed = seed;
-  t.fronts = static_cast<int>(p.integer("siblings", 1));
+  t.proxyCount = static_cast<int>(p.integer("siblings", 1));
   t.tick = Duration{p.integer("tick")};
   names.zones = p.list("failure_domains");
   std::vector<std::string> levels = p.list("extra.read_level"),
@@ -40,12 +40,13 @@
     Workload w;
     w.level = meaning(kLevels, levels[k], "extra.read_level");
     if (k < bounds.size())
-      w.bound = Duration{static_cast<std::int64_t>(numberFrom(bounds[k], "extra.lag_allowed"))};
+      w.stalenessBound =
+          Duration{static_cast<std::int64_t>(numberFrom(bounds[k], "extra.lag_allowed"))};
     w.effect = meaning(kEffects, p.need(at + "repeat"), "classes[].repeat");
     names.marked.push_back(w.effect == Effect::deduplicated);
     if (w.effect == Effect::deduplicated) {
       w.scope = meaning(kScopes, p.need(at + "key_scope"), "classes[].key_scope");
-      w.window = Duration{p.integer(at + "repeat_window")};
+      w.deduplicationWindow = Duration{p.integer(at + "repeat_window")};
     }
     w.slo = Duration{p.integer(at + "slo")};
     w.importance = p.number(at + "worth", 1);
@@ -57,27 +58,28 @@
     names.tenants.push_back(p.need(at + "name"));
     t.tenants.push_back({p.number(at + "quota_per_s", 0)});
   }
-  t.overShareWorth = p.number("over_share_worth", 1);
+  t.overQuotaImportance = p.number("over_share_worth", 1);
   t.maxAttempts = static_cast<int>(p.integer("limits.max_attempts", 1));
-  t.secondCopies = p.boolean("limits.parallel_tries", false);
+  t.allowsHedging = p.boolean("limits.parallel_tries", false);
   t.mayCancel = p.boolean("limits.may_cancel", false);
   t.mayProbe = p.boolean("limits.probes", false);
-  t.probePrice = p.number("prices.probe", 0);
-  t.mustAsk = p.need("membership_mode") == "subscribe";
-  t.goneBinds = !p.boolean("obligations.dropped_stay_open", false);
-  t.roleFollows = p.find("extra.role_in_list") && *p.find("extra.role_in_list") == "trailing";
-  t.storesCheck = p.find("extra.checks") && *p.find("extra.checks") != "none";
-  t.tokensCarried = !p.find("extra.tokens") || *p.find("extra.tokens") == "brought";
+  t.probeCost = p.number("prices.probe", 0);
+  t.pollsEndpoints = p.need("membership_mode") == "subscribe";
+  t.removalMeansDrained = !p.boolean("obligations.dropped_stay_open", false);
+  t.endpointRolesAreCurrent = p.find("extra.role_in_list") &&
+                              *p.find("extra.role_in_list") == "trailing";
+  t.storesRejectStaleReads = p.find("extra.checks") && *p.find("extra.checks") != "none";
+  t.readsCarrySessionToken = !p.find("extra.tokens") || *p.find("extra.tokens") == "brought";
   t.repliesWithRetryAfter = p.boolean("limits.retry_after", false);
   t.maxRetryAfter = Duration{p.integer("limits.max_retry_after", 0)};
   t.connectTimeout = Duration{p.integer("limits.connect_timeout")};
-  t.askEvery = Duration{p.integer("obligations.ask_every")};
+  t.maxPollInterval = Duration{p.integer("obligations.ask_every")};
   // Where it is not told, a connect time-out: less than any grace that was ever config.
   t.drainGrace = Duration{p.integer("obligations.stop_sending_within", t.connectTimeout.us)};
-  t.coldRamp = Duration{p.integer("obligations.ramp_time")};
-  t.coldWindow = Duration{p.integer("obligations.tip_after")};
-  t.coldFrom = p.number("obligations.cold_from");
-  t.coldMultiple = p.number("obligations.fall_multiple");
+  t.warmUpTime = Duration{p.integer("obligations.ramp_time")};
+  t.coldOverloadWindow = Duration{p.integer("obligations.tip_after")};
+  t.coldInitialShare = p.number("obligations.cold_from");
+  t.coldOverloadMultiple = p.number("obligations.fall_multiple");
   return t;
 }
 
--- a/src/decision/engine.cpp
+++ b/src/decision/engine.cpp
@@ -118,32 +118,33 @@
   if (settings_.workloads.empty()) throw std::invalid_argument("no workloads are given");
   if (settings_.tick <= Duration{}) throw std::invalid_argument("the tick must be above 0");
   if (settings_.maxAttempts < 1) throw std::invalid_argument("no execution is allowed");
-  if (!(settings_.coldFrom > 0 && settings_.coldFrom <= 1))
+  if (!(settings_.coldInitialShare > 0 && settings_.coldInitialShare <= 1))
     throw std::invalid_argument("the cold share must be in (0, 1]");
   smallestBound_ = smallestSlo_ = settings_.workloads[0].slo;
   for (const Workload& w : settings_.workloads) {
     if (w.slo <= Duration{}) throw std::invalid_argument("a workload has no SLO time");
-    if (w.level == Level::bounded && w.bound <= Duration{})
+    if (w.level == Level::bounded && w.stalenessBound <= Duration{})
       throw std::invalid_argument("a bounded read has no bound");
     smallestSlo_ = std::min(smallestSlo_, w.slo);
-    if (w.level == Level::bounded) smallestBound_ = std::min(smallestBound_, w.bound);
+    if (w.level == Level::bounded) smallestBound_ = std::min(smallestBound_, w.stalenessBound);
     typical_.push_back(w.slo * kFirstUsual);
     least_.push_back(w.slo * kFirstUsual);
   }
   meanWork_ = smallestSlo_.seconds() * kFirstUsual;
   refresh_ = smallestBound_;
   reportAge_ = smallestBound_ * kSoft;
-  probesEarned_ = std::min(kProbesMost, kProbeSpend / std::max(settings_.probePrice, 1e-9));
-  firstLimit_ = std::min(kFirstLimit, kTogether / settings_.fronts);
-  memory_ = std::max(settings_.coldRamp * kMemory, smallestSlo_);
-  settings_.askEvery = std::max(settings_.askEvery, smallestSlo_);
+  probesEarned_ = std::min(kProbesMost, kProbeSpend / std::max(settings_.probeCost, 1e-9));
+  firstLimit_ = std::min(kFirstLimit, kTogether / settings_.proxyCount);
+  memory_ = std::max(settings_.warmUpTime * kMemory, smallestSlo_);
+  settings_.maxPollInterval = std::max(settings_.maxPollInterval, smallestSlo_);
   // Danger: calls may fail one after the other; what changes meanwhile counts as told at its time
   // anyway.
-  Duration most = settings_.toldAnyway > Duration{} ? settings_.toldAnyway * kAskAnyway
-                                                    : kForever - kNever;
-  askLast_ = std::min(settings_.askEvery * kAskLast, most);
-  askBackoff_ = askFirst_ = std::min(settings_.askEvery * kAskFirst, most);
-  if (settings_.mustAsk) askAt_ = now;
+  Duration most = settings_.endpointsAssumedKnownAfter > Duration{}
+                      ? settings_.endpointsAssumedKnownAfter * kAskAnyway
+                      : kForever - kNever;
+  askLast_ = std::min(settings_.maxPollInterval * kAskLast, most);
+  askBackoff_ = askFirst_ = std::min(settings_.maxPollInterval * kAskFirst, most);
+  if (settings_.pollsEndpoints) askAt_ = now;
   tenants_.resize(settings_.tenants.size());
   for (const Tenant& t : settings_.tenants) quotas_ += t.quota;
 }
@@ -172,7 +173,8 @@
   stores.zone[s] = e.zone, stores.weight[s] = e.weight > 0 ? e.weight : 1, stores.inList[s] = 1;
   // Where a vanished store is not bound by the drain rule the list does not prove what is up:
   // health decides.
-  if (e.listed != EndpointStatus::gone || settings_.goneBinds) stores.listed[s] = e.listed;
+  if (e.listed != EndpointStatus::gone || settings_.removalMeansDrained)
+    stores.listed[s] = e.listed;
   if (e.started && *e.started > stores.started[s])
     begins(s, *e.started, now), unblock(s), startedAnew(s, now);
   GroupState& g = groups_[e.group];
@@ -180,15 +182,16 @@
   // since.
   if (e.primary && e.listed == EndpointStatus::up && stores.role[s] == Role::unknown &&
       g.primary != s &&
-      (g.primary < 0
-           ? settings_.roleFollows || !g.moved
-           : settings_.roleFollows && (g.named == RoleEvidence::listed || !usable(g.primary, now))))
+      (g.primary < 0 ? settings_.endpointRolesAreCurrent || !g.moved
+                     : settings_.endpointRolesAreCurrent &&
+                           (g.named == RoleEvidence::listed || !usable(g.primary, now))))
     namePrimary(e.group, s, RoleEvidence::listed, now);
 }
 
 void DecisionEngine::endSnapshot(bool polled) {
   for (std::size_t s = 0; s < stores_.inList.size(); ++s)
-    if (!stores_.inList[s] && settings_.goneBinds) stores_.listed[s] = EndpointStatus::gone;
+    if (!stores_.inList[s] && settings_.removalMeansDrained)
+      stores_.listed[s] = EndpointStatus::gone;
   if (polled) askBackoff_ = askFirst_;
 }
 
@@ -229,19 +232,20 @@
     if (row.level != Level::bounded) continue;
     // Danger: reads crowd the thread that applies the log; where they do, fewer of them let it
     // catch up.
-    if (lag < row.bound && lag - known >= row.bound * kLagCut) cutLimit(s, position, now);
-    if (lag >= row.bound)
+    if (lag < row.stalenessBound && lag - known >= row.stalenessBound * kLagCut)
+      cutLimit(s, position, now);
+    if (lag >= row.stalenessBound)
       stores_.drained[s][w] = 1;
-    else if (stores_.drained[s][w] && lag < row.bound * kReentry)
+    else if (stores_.drained[s][w] && lag < row.stalenessBound * kReentry)
       stores_.drained[s][w] = 0, stores_.returned[s][w] = now;
   }
 }
 
 double DecisionEngine::curve(int s, const Workload& w, TimePoint now) const {
-  Duration lag = now - stores_.position[s], soft = w.bound * kSoft;
+  Duration lag = now - stores_.position[s], soft = w.stalenessBound * kSoft;
   if (w.level != Level::bounded || lag <= soft) return 1;
-  return lag >= w.bound ? kFloor * settings_.storesCheck
-                        : 1 - (1 - kFloor) * ((lag - soft) / (w.bound - soft));
+  return lag >= w.stalenessBound ? kFloor * settings_.storesRejectStaleReads
+                                 : 1 - (1 - kFloor) * ((lag - soft) / (w.stalenessBound - soft));
 }
 
 // Is the replica known to be fresh enough for this statement, if it is sent now?
@@ -250,7 +254,8 @@
   if (w.level == Level::bounded)
     return !stores_.drained[s][st.workload] &&  // a store that checks reads itself may be of
                                                 // unknown age
-           (settings_.storesCheck || now + settings_.tick - stores_.position[s] < w.bound);
+           (settings_.storesRejectStaleReads ||
+            now + settings_.tick - stores_.position[s] < w.stalenessBound);
   return w.level == Level::any || (w.level != Level::write && stores_.position[s] >= st.needs);
 }
 
@@ -366,7 +371,7 @@
   const Workload& w = settings_.workloads[st.workload];
   GroupState& g = groups_[st.group];
   bool bounded = w.level == Level::bounded;
-  if (settings_.storesCheck && w.level != Level::write && w.level != Level::any &&
+  if (settings_.storesRejectStaleReads && w.level != Level::write && w.level != Level::any &&
       st.tries < 1 + bounded) {
     int best = -1;
     for (int s : g.members) {
@@ -382,7 +387,7 @@
   }
   // Danger: a report may be untrue. Until the store itself has answered as primary it gets writes,
   // which a replica turns away untouched, but no read that must be current.
-  if (g.primary >= 0 && g.named == RoleEvidence::reported && !settings_.storesCheck &&
+  if (g.primary >= 0 && g.named == RoleEvidence::reported && !settings_.storesRejectStaleReads &&
       w.level != Level::write && w.level != Level::any)
     return -1;
   if (primaryUsable(g, now)) return room(g.primary, statement, now) ? g.primary : -1;
@@ -398,7 +403,8 @@
 // Has it room for a bounded read that needs no look? Not while cold or after a cut: writes come
 // first there. A report alone is no proof of the role, and stores that check need none.
 bool DecisionEngine::primaryRoom(const GroupState& g, int statement, TimePoint now) const {
-  if (!primaryUsable(g, now) || g.named == RoleEvidence::reported || settings_.storesCheck)
+  if (!primaryUsable(g, now) || g.named == RoleEvidence::reported ||
+      settings_.storesRejectStaleReads)
     return false;
   return stores_.limit[g.primary] >= firstLimit_ && !doubted(g.primary, now) &&
          warmth(g.primary, now) >= 1 && room(g.primary, statement, now);
@@ -562,7 +568,8 @@
     // last, one at a time.
     if (many()) std::shuffle(due.begin(), due.end(), chance_);
     double flow = g.boundedRate * smallestBound_.seconds();
-    bool wanted = !settings_.storesCheck && unplaced > 0 && !(many() && primaryRoom(g, first, now));
+    bool wanted = !settings_.storesRejectStaleReads && unplaced > 0 &&
+                  !(many() && primaryRoom(g, first, now));
     double want = wanted ? 1 + kLead * (flow + unplaced * kSoft) : 0;
     if (many()) want = std::floor(want);
     // Danger: of hundreds of replicas nearly all are due a look at all times, and most rounds ask
@@ -586,7 +593,8 @@
   stores_.probing[s] = 0, stores_.probeDue[s] = now + smallestBound_ * kFirstPace;
 }
 
-void DecisionEngine::onProbeEnded(int s, bool ok, const Report& report, TimePoint now, Role role) {
+void DecisionEngine::onProbeEnded(int s, bool ok, const ReplicaReport& report, TimePoint now,
+                                  Role role) {
   stores_.probing[s] = 0;
   // Danger: what an answer says beside its report counts as known too, and the report may be older.
   if (role == Role::replica) learnRole(s, role, now, false, now);
@@ -732,7 +740,7 @@
   if (sent < stores_.cutAt[s]) return;
   stores_.cutAt[s] = now;
   double part = jam && stores_.limit[s] < 1 ? kCutJam : kCut;
-  setLimit(s, std::max(1.0 / settings_.fronts, stores_.limit[s] * part), now);
+  setLimit(s, std::max(1.0 / settings_.proxyCount, stores_.limit[s] * part), now);
 }
 
 // Danger: work sent ahead of a pace that was cut would be owed for minutes after the pace has come
@@ -761,7 +769,7 @@
                        (static_cast<int>(k) == st.tenant ? 1 / tau : 0);
     rates += tenants_[k].rate;
   }
-  double part = std::max(1.0 / settings_.fronts, rates / quotas_);
+  double part = std::max(1.0 / settings_.proxyCount, rates / quotas_);
   for (std::size_t k = 0; k < tenants_.size(); ++k) {
     double fill = settings_.tenants[k].quota * part;
     tenants_[k].tokens = std::min(tenants_[k].tokens + fill * passed, std::max(1.0, fill * tau));
@@ -775,7 +783,7 @@
 
 double DecisionEngine::standing(const StatementState& st, TimePoint now) const {
   const Workload& w = settings_.workloads[st.workload];
-  return w.importance * (st.overShare ? settings_.overShareWorth : 1) *
+  return w.importance * (st.overShare ? settings_.overQuotaImportance : 1) *
          (late(st, now) ? w.lateShare : 1);
 }
 
@@ -853,12 +861,12 @@
 bool DecisionEngine::mayRunAgain(const StatementState& st, int s, TimePoint now) const {
   const Workload& w = settings_.workloads[st.workload];
   if (static_cast<int>(st.attempts.size()) >= settings_.maxAttempts) return false;
-  if (!settings_.secondCopies && isOut(st)) return false;
+  if (!settings_.allowsHedging && isOut(st)) return false;
   if (w.effect == Effect::idempotent) return true;
   for (const Attempt& e : st.attempts) {
     if (!e.mayHaveRun) continue;
     if (w.effect == Effect::nonIdempotent) return false;  // danger: a second effect
-    if (now + settings_.tick - e.sent >= w.window)
+    if (now + settings_.tick - e.sent >= w.deduplicationWindow)
       return false;  // danger: the store has forgotten the mark
     if (w.scope == Scope::zone && s >= 0 && stores_.zone[s] != stores_.zone[e.store]) return false;
     if (w.scope == Scope::group && s >= 0 && stores_.group[s] != stores_.group[e.store])
@@ -913,10 +921,10 @@
         stores_.successRate[e.store] -= kOverdueHurts * stores_.successRate[e.store];
         cutLimit(e.store, e.sent, now);
       }
-      if (settings_.mayCancel && (moved || (overdue && silent && !settings_.secondCopies))) {
+      if (settings_.mayCancel && (moved || (overdue && silent && !settings_.allowsHedging))) {
         st.attempts[k].cancelled = true;
         out.cancel(statement, static_cast<int>(k));
-      } else if (overdue && settings_.secondCopies && furtherBudget_ >= 1 &&
+      } else if (overdue && settings_.allowsHedging && furtherBudget_ >= 1 &&
                  k + 1 == st.attempts.size()) {
         int s = route(statement, now);
         if (s < 0 || !mayRunAgain(st, s, now)) continue;
@@ -931,9 +939,9 @@
 // ---- 6. cold share by age ----
 
 double DecisionEngine::warmth(int s, TimePoint now) const {
-  if (stores_.started[s] == kNever || now - stores_.started[s] >= settings_.coldRamp) return 1;
-  double age = std::max(0.0, (now - stores_.started[s]) / settings_.coldRamp);
-  return settings_.coldFrom + (1 - settings_.coldFrom) * age;
+  if (stores_.started[s] == kNever || now - stores_.started[s] >= settings_.warmUpTime) return 1;
+  double age = std::max(0.0, (now - stores_.started[s]) / settings_.warmUpTime);
+  return settings_.coldInitialShare + (1 - settings_.coldInitialShare) * age;
 }
 
 // Danger: hundreds of fronts, each with a budget of less than one statement, would all send their
@@ -959,11 +967,11 @@
   const GroupState& g = groups_[stores_.group[s]];
   double members = std::max<double>(1, static_cast<double>(g.members.size()));
   double offered = g.workRate * remembered(g, now);
-  double rate = settings_.coldMultiple * kColdHeadroom * warmth(s, now) * offered /
+  double rate = settings_.coldOverloadMultiple * kColdHeadroom * warmth(s, now) * offered /
                 (members * meanWork_);
   stores_.coldBudget[s] = std::min(
       stores_.coldBudget[s] + rate * (now - stores_.coldFilled[s]).seconds(),
-      rate * settings_.coldWindow.seconds() * kColdBurst);
+      rate * settings_.coldOverloadWindow.seconds() * kColdBurst);
   stores_.coldFilled[s] = now;
 }
 
@@ -976,7 +984,7 @@
   // effect again.
   for (const Attempt& e : st.attempts)
     if (e.mayHaveRun && w.effect == Effect::deduplicated)
-      leaveBy = std::min(leaveBy, e.sent + w.window - settings_.tick);
+      leaveBy = std::min(leaveBy, e.sent + w.deduplicationWindow - settings_.tick);
   st.attempts.push_back({.store = s, .sent = now, .out = true, .paced = paced});
   ++stores_.out[s];
   stores_.freeAt[s] = std::max(now, stores_.freeAt[s]) +
@@ -986,13 +994,15 @@
     stores_.blockedUntil[s] = now + stores_.block[s];  // a trial: one at a time
   // Danger: a connection takes its time to come up; a bounded read that leaves too late is a stale
   // one.
-  bool current = w.level != Level::any && w.level != Level::write && !settings_.storesCheck;
+  bool current = w.level != Level::any && w.level != Level::write &&
+                 !settings_.storesRejectStaleReads;
   if (current && s != groups_[st.group].primary) {
-    if (w.level == Level::bounded) leaveBy = std::min(leaveBy, stores_.position[s] + w.bound);
-  } else if (current && settings_.answersCountAfter > Duration{}) {
+    if (w.level == Level::bounded)
+      leaveBy = std::min(leaveBy, stores_.position[s] + w.stalenessBound);
+  } else if (current && settings_.responseAssumedKnownAfter > Duration{}) {
     // Danger: meanwhile an answer may tell that this is no primary any more, and counts though
     // unread.
-    leaveBy = std::min(leaveBy, now + settings_.answersCountAfter * kUnread);
+    leaveBy = std::min(leaveBy, now + settings_.responseAssumedKnownAfter * kUnread);
   }
   out.send(statement, s, st.giveUpAt, leaveBy);
 }
@@ -1012,8 +1022,9 @@
   if (w.level == Level::fresh) st.needs = now;
   // At the most advanced replica a fresh read is turned away until the log has come; it waits for
   // that.
-  if (w.level == Level::fresh && settings_.storesCheck) st.notBefore = now + settings_.tick * 4;
-  if (w.level == Level::session && settings_.tokensCarried) {
+  if (w.level == Level::fresh && settings_.storesRejectStaleReads)
+    st.notBefore = now + settings_.tick * 4;
+  if (w.level == Level::session && settings_.readsCarrySessionToken) {
     if (a.sinceWrite) st.needs = now - *a.sinceWrite + settings_.tick;
   } else if (w.level == Level::session) {
     auto it = sessions_.find(a.session);
@@ -1054,7 +1065,7 @@
   if (r.outcome == AttemptOutcome::ok) {
     least_[st.workload] = std::min(least_[st.workload] * (1 + kDrift),
                                    r.elapsed * 0.5 + least_[st.workload] * 0.5);
-    if (w.level == Level::write && !settings_.tokensCarried) {
+    if (w.level == Level::write && !settings_.readsCarrySessionToken) {
       // Danger: sessions pile up for as long as a front runs; past the cap all count as having
       // written last.
       if (sessions_.size() >= kSessionCap) {
@@ -1096,7 +1107,8 @@
 }
 
 void DecisionEngine::decide(TimePoint now, DecisionSink& out) {
-  if (settings_.mustAsk && askAt_ > kNever && askAt_ <= now) askAt_ = kNever, out.watchList();
+  if (settings_.pollsEndpoints && askAt_ > kNever && askAt_ <= now)
+    askAt_ = kNever, out.pollEndpoints();
   Duration gap;
   double fade = 0;
   for (std::size_t s = 0; s < stores_.group.size(); ++s) {
@@ -1115,7 +1127,7 @@
   // while a zone is away.
   for (int s : used_)
     if (stores_.out[s] == 0 &&
-        now - std::max(crowdedAt_, stores_.crowdedAt[s]) < settings_.coldRamp)
+        now - std::max(crowdedAt_, stores_.crowdedAt[s]) < settings_.warmUpTime)
       out.release(s);
   used_.clear();
   superviseAttempts(now, out);
--- a/src/decision/engine.h
+++ b/src/decision/engine.h
@@ -39,9 +39,9 @@
   Level level = Level::any;
   Effect effect = Effect::nonIdempotent;
   Scope scope = Scope::group;
-  Duration bound;   // how old a bounded read's data may be
-  Duration slo;     // the SLO time
-  Duration window;  // how long a repeat is dropped
+  Duration stalenessBound;       // how old a bounded read's data may be
+  Duration slo;                  // the SLO time
+  Duration deduplicationWindow;  // how long a repeat is dropped
   double importance = 1;
   double lateShare = 0;  // of the importance, once the SLO time has passed
 };
@@ -53,34 +53,34 @@
 // What an instance is told when it starts.
 struct EngineSettings {
   std::uint64_t seed = 0;
-  int fronts = 1;
+  int proxyCount = 1;
   int maxAttempts = 1;
   Duration tick;
   std::vector<Workload> workloads;
   std::vector<Tenant> tenants;
-  double overShareWorth = 1;
-  bool secondCopies = false;
+  double overQuotaImportance = 1;
+  bool allowsHedging = false;
   bool mayCancel = false;
   bool mayProbe = false;
-  double probePrice = 0;      // as a share of a statement's worth
-  bool mustAsk = false;       // the list comes only when asked for
-  bool goneBinds = true;      // a store that vanished from the list counts as drained
-  bool roleFollows = false;   // the list's role is kept up to date
-  bool storesCheck = false;   // a store that is too far behind turns a read away
-  bool tokensCarried = true;  // session reads say when their session last wrote
+  double probeCost = 0;                  // as a share of a statement's worth
+  bool pollsEndpoints = false;           // the list comes only when asked for
+  bool removalMeansDrained = true;       // a store that vanished from the list counts as drained
+  bool endpointRolesAreCurrent = false;  // the list's role is kept up to date
+  bool storesRejectStaleReads = false;   // a store that is too far behind turns a read away
+  bool readsCarrySessionToken = true;    // session reads say when their session last wrote
   bool repliesWithRetryAfter = false;
   Duration maxRetryAfter;
   Duration connectTimeout;
-  Duration askEvery;
-  Duration toldAnyway;  // what the list's service has counts as told by then, whatever calls came
-                        // to; none: never
-  Duration answersCountAfter;  // an answer's word counts as known so long after it was written;
-                               // none: once it is read
-  Duration drainGrace;         // that sends to a store may go on after it was told to drain
-  Duration coldRamp;
-  Duration coldWindow;
-  double coldFrom = 1;
-  double coldMultiple = 1;
+  Duration maxPollInterval;
+  Duration endpointsAssumedKnownAfter;  // what the list's service has counts as told by then,
+                                        // whatever calls came to; none: never
+  Duration responseAssumedKnownAfter;  // an answer's word counts as known so long after it was
+                                       // written; none: once it is read
+  Duration drainGrace;  // that sends to a store may go on after it was told to drain
+  Duration warmUpTime;
+  Duration coldOverloadWindow;
+  double coldInitialShare = 1;
+  double coldOverloadMultiple = 1;
 };
 
 struct EndpointInfo {
@@ -93,7 +93,7 @@
   std::optional<TimePoint> started;
 };
 
-struct Report {
+struct ReplicaReport {
   std::optional<TimePoint> position;
   std::optional<bool> primary;
 };
@@ -115,7 +115,7 @@
   std::optional<TimePoint> position;
   Duration elapsed;
   bool closed = false;  // the statement has its final answer
-  Report report;
+  ReplicaReport report;
 };
 
 // Where decisions go.
@@ -129,7 +129,7 @@
   virtual void abort(int statement) = 0;
   virtual void probe(int store) = 0;
   virtual void release(int store) = 0;  // its idle connections
-  virtual void watchList() = 0;
+  virtual void pollEndpoints() = 0;
   virtual void wake(Duration after) = 0;
 };
 
@@ -266,7 +266,7 @@
   void onProbeNotSent(int store,
                       TimePoint now);  // its probe never left this front, for want of room here
   // `role`: what the answer itself says of its store, whatever its report does.
-  void onProbeEnded(int store, bool ok, const Report& report, TimePoint now,
+  void onProbeEnded(int store, bool ok, const ReplicaReport& report, TimePoint now,
                     Role role = Role::unknown);
   void onWake();
   // The clock that positions are told in was set ahead by this, or below zero back.
--- a/src/invariants/attempt_guard.cpp
+++ b/src/invariants/attempt_guard.cpp
@@ -46,7 +46,7 @@
   Store& s = stores_[static_cast<std::size_t>(store)];
   s.group = group, s.zone = zone;
   bool binds = as == EndpointStatus::draining ||
-               (as == EndpointStatus::gone && settings_.goneBinds);
+               (as == EndpointStatus::gone && settings_.removalMeansDrained);
   if (as == EndpointStatus::up)
     s.drainsSince = kForever;
   else if (binds)
@@ -74,7 +74,7 @@
   for (const EarlierAttempt& e : earlier) {
     if (e.leftAt == kNever || !e.mayHaveRun) continue;
     if (w.effect == Effect::nonIdempotent) return Refusal::mayHaveRun;
-    if (now - e.leftAt >= w.window) return Refusal::windowOver;
+    if (now - e.leftAt >= w.deduplicationWindow) return Refusal::windowOver;
     bool known = w.scope == Scope::everywhere ||
                  (w.scope == Scope::zone ? at(d.store).zone == at(e.store).zone
                                          : at(d.store).group == at(e.store).group);
--- a/src/ledger/feed.cpp
+++ b/src/ledger/feed.cpp
@@ -72,7 +72,7 @@
       files_(filesIn(given.folder)),
       mapped_(std::make_unique<Mapped>(given.folder + "/ring", given.ringBytes)),
       periods_(given.every, Duration{static_cast<std::int64_t>(kTolerance * 1e6)}, Duration{}) {
-  for (const Workload& w : terms.workloads) windows_.push_back(w.window);
+  for (const Workload& w : terms.workloads) windows_.push_back(w.deduplicationWindow);
   for (int of : names.standsFor)
     workloads_.push_back(of < 0 ? std::string() : names.workloads[static_cast<std::size_t>(of)]);
   Keeper::Shape shape;
--- a/src/pipeline/router.cpp
+++ b/src/pipeline/router.cpp
@@ -50,7 +50,7 @@
   statements_.close(statement);
 }
 
-void Router::watchList() {
+void Router::pollEndpoints() {
   list_->ask();
 }
 
--- a/src/pipeline/router.h
+++ b/src/pipeline/router.h
@@ -37,7 +37,7 @@
   void abort(int statement) override;
   void probe(int store) override { dispatcher_.probe(store); }
   void release(int store) override { stores_.release(store); }
-  void watchList() override;
+  void pollEndpoints() override;
   void wake(Duration after) override;
 
  private:
--- a/src/pipeline/statement_table.cpp
+++ b/src/pipeline/statement_table.cpp
@@ -128,7 +128,7 @@
   for (int k = 0; k < job.execution && w.effect != Effect::idempotent; ++k) {
     const invariants::EarlierAttempt& earlier = st.attempts[static_cast<std::size_t>(k)];
     if (earlier.leftAt == kNever || !earlier.mayHaveRun) continue;
-    if (w.effect == Effect::nonIdempotent || whole - earlier.leftAt > w.window)
+    if (w.effect == Effect::nonIdempotent || whole - earlier.leftAt > w.deduplicationWindow)
       invariants::violated(invariants::Rule::repeat, "id=%s store=%d attempt=%d after=%d", id,
                            job.store, job.execution, k);
   }
@@ -144,7 +144,7 @@
     if (!position) return std::nullopt;
     return scheduler_.wall().pointOf(*position);
   };
-  Report report{pointOf(job.report.position), job.report.primary};
+  ReplicaReport report{pointOf(job.report.position), job.report.primary};
   if (job.statement < 0) {
     // Danger: a store whose answer can't be read has answered; it is not away.
     bool answered = job.outcome == AttemptOutcome::ok ||
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -61,15 +61,15 @@
 // On sockets what the list's service has, and what an answer tells, counts as told at its time,
 // read or not.
 Config counted(Config g) {
-  g.terms.toldAnyway = kToldAnyway, g.terms.answersCountAfter = kKnownAfter;
+  g.terms.endpointsAssumedKnownAfter = kToldAnyway, g.terms.responseAssumedKnownAfter = kKnownAfter;
   return g;
 }
 
 discovery::EndpointWatcher::Pace listPace(const EngineSettings& t) {
-  Duration dial = t.mustAsk ? t.connectTimeout
-                            : std::min(t.connectTimeout, t.drainGrace * kDialPart);
-  return {std::min(t.askEvery, kToldAnyway * kWatchPart), kToldAnyway * kSilentPart, dial,
-          std::min(t.connectTimeout, t.drainGrace) * kRetryPart, t.mustAsk};
+  Duration dial = t.pollsEndpoints ? t.connectTimeout
+                                   : std::min(t.connectTimeout, t.drainGrace * kDialPart);
+  return {std::min(t.maxPollInterval, kToldAnyway * kWatchPart), kToldAnyway * kSilentPart, dial,
+          std::min(t.connectTimeout, t.drainGrace) * kRetryPart, t.pollsEndpoints};
 }
 
 // `part`: of all places for clients, that one protocol's have.
@@ -472,7 +472,7 @@
   engine_.endSnapshot(asked);
   for (const discovery::Endpoint& m : roster.members)
     if (m.listed != EndpointStatus::up) stores_.withdraw(storeIds_.find(m.id));
-  if (config_.terms.goneBinds)
+  if (config_.terms.removalMeansDrained)
     for (const auto& [store, since] : gone_)
       statements_.guard().dropped(store, now), stores_.withdraw(store), stores_.release(store);
   statements_.touch();
@@ -507,7 +507,7 @@
 // kept for a while, as the list may drop by mistake what runs on; where a drop doesn't bind, for as
 // long as the front runs.
 void Proxy::forgetGone() {
-  if (!config_.terms.goneBinds) return;
+  if (!config_.terms.removalMeansDrained) return;
   std::erase_if(gone_, [&](const auto& entry) {
     auto [store, since] = entry;
     if (scheduler_.now() - since < config_.keepalive * kRemembered) return false;
--- a/src/simulator/adapter.cpp
+++ b/src/simulator/adapter.cpp
@@ -70,7 +70,7 @@
   }
   void probe(int store) override { begin("POLL").add(stores.id(store)).end(); }
   void release(int store) override { begin("RELEASE").add(stores.id(store)).end(); }
-  void watchList() override { begin("OBSERVE").add(1).end(); }
+  void pollEndpoints() override { begin("OBSERVE").add(1).end(); }
   void wake(Duration after) override {
     begin("SLEEP").add(1).add(std::min(after.us, kLongestSleep)).end();
   }
@@ -199,7 +199,7 @@
       throw Malformed("a store that no list has named: '" + line_.text(3, "store") + "'");
     AttemptOutcome ending = endingOf(line_.integer(2, "ending"));
     line_.integer(4, "delay_seen");
-    Report report;
+    ReplicaReport report;
     for (auto [field, value] : line_.report(5, "pressure")) {
       if (field == "x0")
         report.position = in.origin + Duration{static_cast<std::int64_t>(value * 1e6)};
--- a/tests/decision/engine_scenarios_test.cpp
+++ b/tests/decision/engine_scenarios_test.cpp
@@ -78,7 +78,7 @@
 
 void checkedReads() {
   EngineSettings t = Bench::terms({kFresh, kBounded});
-  t.storesCheck = true, t.secondCopies = false;
+  t.storesRejectStaleReads = true, t.allowsHedging = false;
   Bench b(t);
   b.list(3);
   b.report(1, 40), b.report(2, 15);
@@ -309,7 +309,7 @@
 void manyFronts() {
   for (const Workload& w : {kAny, kWrite}) {
     EngineSettings t = Bench::terms({w});
-    t.fronts = 20;
+    t.proxyCount = 20;
     Bench b(t);
     b.list(2);
     b.note(w.level == Level::any
@@ -331,7 +331,7 @@
 
 void tenantShares() {
   EngineSettings t = Bench::terms({kWrite});
-  t.tenants = {{10}, {10}}, t.overShareWorth = 0.2, t.fronts = 1;
+  t.tenants = {{10}, {10}}, t.overQuotaImportance = 0.2, t.proxyCount = 1;
   Bench b(t);
   b.list(1);
   b.note(
@@ -371,7 +371,7 @@
   int sent = 0;
   for (int front = 0; front < 60; ++front) {
     EngineSettings t = Bench::terms({kAny});
-    t.fronts = 60, t.seed = static_cast<std::uint64_t>(front);
+    t.proxyCount = 60, t.seed = static_cast<std::uint64_t>(front);
     Bench b(t);
     b.quiet = true;
     b.list(2);
@@ -425,7 +425,7 @@
 void probesEarned() {
   for (bool lag : {false, true}) {
     EngineSettings t = Bench::terms({kBounded});
-    t.fronts = 100, t.probePrice = 0.03;
+    t.proxyCount = 100, t.probeCost = 0.03;
     Bench b(t);
     b.quiet = true;
     b.list(6);
@@ -475,7 +475,7 @@
   int sent[3] = {};
   for (int front = 0; front < 300; ++front) {
     EngineSettings t = Bench::terms({kBounded}, 300, front);
-    t.probePrice = 0.03;
+    t.probeCost = 0.03;
     Bench b(t, 1);
     for (int k = 0; k < 3; ++k) {
       b.ask(0, 300, 20);
@@ -585,7 +585,7 @@
   std::vector<double> sentAt;
   double asked = 0;
   EngineSettings t = Bench::terms({kWrite}, kFronts);
-  t.coldWindow = ms(2000);
+  t.coldOverloadWindow = ms(2000);
   for (int front = 0; front < kFronts; ++front) {
     t.seed = static_cast<std::uint64_t>(front);
     Bench b(t, kMembers);
@@ -624,7 +624,8 @@
       double came = static_cast<double>(std::count_if(
           sentAt.begin(), sentAt.end(), [&](double at) { return at >= from && at < from + 2; }));
       // As cold as it is when the window begins.
-      double n = t.coldMultiple * (t.coldFrom + (1 - t.coldFrom) * from / t.coldRamp.seconds()) *
+      double n = t.coldOverloadMultiple *
+                 (t.coldInitialShare + (1 - t.coldInitialShare) * from / t.warmUpTime.seconds()) *
                  can * 2;
       most = std::max(most, came / (n + 2 * std::sqrt(n) + 2));
     }
@@ -649,7 +650,7 @@
   for (const char* what : {"a primary with room", "cut by a slow answer", "cold",
                            "named by a report alone", "taken a moment ago"}) {
     EngineSettings t = Bench::terms({kBounded}, 100);
-    t.probePrice = 0.01;
+    t.probeCost = 0.01;
     Bench b(t);
     b.quiet = true;
     b.list(3, std::strncmp(what, "named", 5) ? 0 : -1);
@@ -678,7 +679,7 @@
 // long reads, which always lag.
 void looks() {
   EngineSettings t = Bench::terms({kBounded, kLongRead}, 100);
-  t.probePrice = 0.01;
+  t.probeCost = 0.01;
   Bench b(t);
   b.list(6);
   b.note(
@@ -750,7 +751,7 @@
 // for a warm-up's time.
 void othersKeep() {
   EngineSettings t = Bench::terms({kWrite, kAny});
-  t.fronts = 100;
+  t.proxyCount = 100;
   Bench b(t);
   b.list(2);
   b.note("many fronts: one store refuses a connection and its probe; those to the other are kept");
@@ -868,7 +869,7 @@
 
 void readAsLook() {
   EngineSettings t = Bench::terms({kBounded});
-  t.storesCheck = true, t.secondCopies = false, t.fronts = 20;
+  t.storesRejectStaleReads = true, t.allowsHedging = false, t.proxyCount = 20;
   Bench b(t);
   b.list(3);
   b.note(
@@ -882,7 +883,7 @@
 void emptyList() {
   for (bool binds : {false, true}) {
     EngineSettings t = Bench::terms({kAny});
-    t.goneBinds = binds;
+    t.removalMeansDrained = binds;
     Bench b(t);
     b.note(binds ? "where it binds: nothing is sent until the list is back"
                  : "an empty list, not binding");
@@ -896,13 +897,13 @@
 
 void askedList() {
   EngineSettings t = Bench::terms({kAny});
-  t.mustAsk = true;
+  t.pollsEndpoints = true;
   Bench b(t);
   b.note("where the list must be asked for: at the start, and again after a failure, not at once");
   b.round();
   b.engine.onDiscoveryFailed(b.clock);
   b.pass(3000);
-  t.askEvery = ms(60'000), t.toldAnyway = ms(6000);
+  t.maxPollInterval = ms(60'000), t.endpointsAssumedKnownAfter = ms(6000);
   Bench often(t);
   often.note("where all counts as told after 6 s, whatever failed: each time within a second");
   for (int k = 0; k < 8; ++k) {
@@ -1013,7 +1014,7 @@
 void clockSteps() {
   for (double ahead : {150.0, -150.0}) {
     EngineSettings t = Bench::terms({kBounded, kSession, kWrite});
-    t.tokensCarried = false;
+    t.readsCarrySessionToken = false;
     Bench b(t);
     b.list(2);
     b.report(1, 60);
--- a/tests/decision/freshness_test.cpp
+++ b/tests/decision/freshness_test.cpp
@@ -83,7 +83,7 @@
     TimePoint started = kNever;
     int life = 0;
     std::vector<std::pair<TimePoint, bool>> roles;  // primary or not, from when on
-    Report report;
+    ReplicaReport report;
     TimePoint reportMade;
     std::vector<std::function<void()>> held;  // answers behind a cut link
   };
@@ -104,7 +104,7 @@
     AttemptOutcome outcome = AttemptOutcome::ok;
     Role role = Role::unknown;
     std::optional<TimePoint> position, commit;
-    Report report;
+    ReplicaReport report;
     TimePoint tells = kNever;  // when it was written, where that says that its store is no primary
   };
   struct Event {
@@ -134,28 +134,29 @@
   EngineSettings terms(std::uint64_t seed) {
     EngineSettings t;
     t.seed = seed, t.tick = kTick,
-    t.fronts = chance(70)   ? 2
-               : chance(70) ? 10
-                            : 100,
+    t.proxyCount = chance(70)   ? 2
+                   : chance(70) ? 10
+                                : 100,
     t.maxAttempts = 6;
     t.workloads.resize(kKinds);
     for (Workload& w : t.workloads)
       w.slo = ms(400), w.effect = Effect::idempotent, w.lateShare = 0.6;
     t.workloads[kNear].level = t.workloads[kFar].level = Level::bounded;
-    t.workloads[kNear].bound = ms(200), t.workloads[kFar].bound = ms(450);
+    t.workloads[kNear].stalenessBound = ms(200), t.workloads[kFar].stalenessBound = ms(450);
     t.workloads[kSession].level = Level::session, t.workloads[kFresh].level = Level::fresh;
     t.workloads[kWrite].level = Level::write, t.workloads[kWrite].effect = Effect::deduplicated;
-    t.workloads[kWrite].window = ms(1000);
-    t.secondCopies = chance(60), t.mayCancel = chance(80), t.mayProbe = chance(85);
-    t.roleFollows = chance(50), t.tokensCarried = chance(50);
-    t.connectTimeout = kConnect, t.askEvery = ms(10'000), t.drainGrace = ms(500);
-    t.coldRamp = ms(chance(50) ? 200 : 3000), t.coldWindow = ms(1000), t.coldFrom = 0.5,
-    t.coldMultiple = 2.5;
+    t.workloads[kWrite].deduplicationWindow = ms(1000);
+    t.allowsHedging = chance(60), t.mayCancel = chance(80), t.mayProbe = chance(85);
+    t.endpointRolesAreCurrent = chance(50), t.readsCarrySessionToken = chance(50);
+    t.connectTimeout = kConnect, t.maxPollInterval = ms(10'000), t.drainGrace = ms(500);
+    t.warmUpTime = ms(chance(50) ? 200 : 3000), t.coldOverloadWindow = ms(1000),
+    t.coldInitialShare = 0.5, t.coldOverloadMultiple = 2.5;
     sockets_ = chance(70), untrue_ = chance(20) ? 30 : 2, roleBeside_ = chance(25);
     trail_ = between(0, 400), mostly_ = chance(50) ? static_cast<int>(below(9)) : -1,
     late_ = chance(30) ? 30 : 8;
-    if (sockets_) t.answersCountAfter = ms(100);
-    follows_ = t.roleFollows, carried_ = t.tokensCarried, cancels_ = t.mayCancel;
+    if (sockets_) t.responseAssumedKnownAfter = ms(100);
+    follows_ = t.endpointRolesAreCurrent, carried_ = t.readsCarrySessionToken,
+    cancels_ = t.mayCancel;
     return t;
   }
 
@@ -582,7 +583,7 @@
     connect(j, 80);
   }
   void release(int) override {}
-  void watchList() override {}
+  void pollEndpoints() override {}
   void wake(Duration wait) override {
     after(wait, [this] {
       engine_.onWake();
--- a/tests/invariants/attempt_guard_test.cpp
+++ b/tests/invariants/attempt_guard_test.cpp
@@ -86,7 +86,7 @@
   tell("to one that is up again", leaves(departure(kRead, 1), {}, kNow + ms(220)));
   g.dropped(0, kNow);
   tell("to one that a whole list leaves out", leaves(departure(kRead), {}, kNow + ms(200)));
-  t.goneBinds = false;
+  t.removalMeansDrained = false;
   AttemptGuard lenient(t);
   lenient.listed(0, 0, 0, EndpointStatus::gone, kNow);
   tell("the same where that doesn't bind", lenient.mayLeave(departure(kRead), {}, kNow + ms(400)));
@@ -157,7 +157,7 @@
   void abort(int) override {}
   void probe(int) override {}
   void release(int) override {}
-  void watchList() override {}
+  void pollEndpoints() override {}
   void wake(Duration) override {}
 
   request::UpstreamRequest job;
--- a/tests/support/trace.h
+++ b/tests/support/trace.h
@@ -51,18 +51,20 @@
 
   static EngineSettings terms(std::vector<Workload> workloads, int fronts = 2, int seed = 7) {
     EngineSettings t;
-    t.seed = static_cast<std::uint64_t>(seed), t.fronts = fronts, t.maxAttempts = 6, t.tick = ms(5),
-    t.workloads = std::move(workloads);
-    t.secondCopies = t.mayCancel = t.mayProbe = t.roleFollows = t.repliesWithRetryAfter = true;
-    t.maxRetryAfter = ms(1000), t.connectTimeout = ms(250), t.askEvery = ms(10000);
-    t.coldRamp = ms(10000), t.coldWindow = ms(1000), t.coldFrom = 0.25, t.coldMultiple = 2.5;
+    t.seed = static_cast<std::uint64_t>(seed), t.proxyCount = fronts, t.maxAttempts = 6,
+    t.tick = ms(5), t.workloads = std::move(workloads);
+    t.allowsHedging = t.mayCancel = t.mayProbe = t.endpointRolesAreCurrent =
+        t.repliesWithRetryAfter = true;
+    t.maxRetryAfter = ms(1000), t.connectTimeout = ms(250), t.maxPollInterval = ms(10000);
+    t.warmUpTime = ms(10000), t.coldOverloadWindow = ms(1000), t.coldInitialShare = 0.25,
+    t.coldOverloadMultiple = 2.5;
     return t;
   }
   static Workload work(Level level, Effect effect = Effect::idempotent,
                        Scope scope = Scope::group) {
     Workload w;
-    w.level = level, w.effect = effect, w.scope = scope, w.bound = ms(200), w.slo = ms(400),
-    w.window = ms(1000);
+    w.level = level, w.effect = effect, w.scope = scope, w.stalenessBound = ms(200),
+    w.slo = ms(400), w.deduplicationWindow = ms(1000);
     return w;
   }
 
@@ -154,7 +156,7 @@
     if (probes) say("probe %d", store);
   }
   void release(int store) override { say("release idle connections to %d", store); }
-  void watchList() override { say("watch the list"); }
+  void pollEndpoints() override { say("watch the list"); }
   void wake(Duration) override {}
 
   template <class... Values>
