--- a/src/pipeline/router.h
+++ b/src/pipeline/router.h
@@ -36,7 +36,7 @@
   void reject(int statement, Duration retryAfter) override;
   void abort(int statement) override;
   void probe(int store) override { dispatcher_.probe(store); }
-  void release(int store) override { stores_.release(store); }
+  void release(int store) override { stores_.closeIdleConnections(store); }
   void watchList() override;
   void wake(Duration after) override;
 
--- a/src/protocols/cassandra/upstream_connection.cpp
+++ b/src/protocols/cassandra/upstream_connection.cpp
@@ -28,7 +28,7 @@
 constexpr int kAgain = 2;       // times that one execution prepares anew what its store has lost
 constexpr int kInARow = 32;     // frames of one store before others have their turn
 
-class Connection : public request::UpstreamConnection {
+class Connection : public upstream::UpstreamConnection {
  public:
   Connection(UpstreamProtocol& voice, upstream::ConnectionPools& owner, int of,
              request::ProtocolVersion spoken, int fd)
@@ -36,36 +36,36 @@
         voice_(voice),
         socket_(owner.scheduler(), fd),
         writerEnds_(owner.scheduler()),
-        framing_(owner.limits().row),
+        framing_(owner.limits().maxRowBytes),
         streams_(voice.config().storeStreams) {}
 
-  void take(UpstreamRequest* job) override {
+  void accept(UpstreamRequest* job) override {
     incoming_.push_back(job);
     socket_.in.set();
   }
   // Danger: the module may be asking; nothing ends before this connection's own turn.
   void cancel(UpstreamRequest*) override { socket_.in.set(); }
   void close() override { socket_.close(); }
-  void retire() override {
+  void drain() override {
     if (retired_) return;
     retired_ = true;
     retiredAt_ = scheduler().now();
-    stores.unready(*this);
+    pools.markBusy(*this);
     socket_.in.set();
   }
-  std::size_t jobs() const override { return streams_.taken() + incoming_.size(); }
-  std::size_t held() const override {
+  std::size_t requestCount() const override { return streams_.taken() + incoming_.size(); }
+  std::size_t bufferedBytes() const override {
     return in_.capacity() + out_.capacity() + going_.capacity() + framing_.held();
   }
 
-  runtime::Task<bool> comeUp(TimePoint until) override;
+  runtime::Task<bool> connect(TimePoint until) override;
   runtime::Task<> serve() override;
   runtime::Task<> end() override;
 
  private:
-  runtime::Scheduler& scheduler() { return stores.scheduler(); }
+  runtime::Scheduler& scheduler() { return pools.scheduler(); }
   WallTime newest() {
-    return scheduler().wall().wallOf(scheduler().now()) + stores.limits().connectTimeout;
+    return scheduler().wall().wallOf(scheduler().now()) + pools.limits().connectTimeout;
   }
   bool read(TimePoint now);
   void begin(int stream);
@@ -127,7 +127,7 @@
       written_ += rest.size() - left->size();
       rest = *left;
       if (rest.empty()) break;
-      bool able = co_await socket_.out.wait(scheduler().now() + stores.limits().keepalive);
+      bool able = co_await socket_.out.wait(scheduler().now() + pools.limits().keepalive);
       if (!able) broken_ = true;
     }
   }
@@ -153,7 +153,7 @@
   }
 }
 
-runtime::Task<bool> Connection::comeUp(TimePoint until) {
+runtime::Task<bool> Connection::connect(TimePoint until) {
   bool up = co_await runtime::connected(socket_, until);
   if (!up) co_return false;
   const Config& g = voice_.config();
@@ -195,7 +195,7 @@
   UpstreamRequest* job = s.job;
   if (std::exchange(s.paced, false)) voice_.known(store).pace.ends(false);
   streams_.end(stream, answerComes);
-  stores.finish(job, ending);
+  pools.complete(job, ending);
 }
 
 // What an execution needs is prepared first, one text after the other and on its own stream; what
@@ -203,7 +203,8 @@
 void Connection::begin(int stream) {
   Streams::Stream& s = streams_.at(stream);
   // Danger: what waited here may be written too late, for nobody, or to a store that drains by now.
-  if (retired_ || !stores.due(*s.job)) return finish(stream, AttemptOutcome::neverSent, false);
+  if (retired_ || !pools.isStillWanted(*s.job))
+    return finish(stream, AttemptOutcome::neverSent, false);
   const auto* statement = static_cast<const Statement*>(s.job->payload);
   if (statement) {
     UpstreamProtocol::Known& known = voice_.known(store);
@@ -228,7 +229,7 @@
 
 void Connection::ask(int stream, const Statement* s) {
   Streams::Stream& here = streams_.at(stream);
-  if (!stores.leaves(*here.job)) return finish(stream, AttemptOutcome::neverSent, false);
+  if (!pools.maySend(*here.job)) return finish(stream, AttemptOutcome::neverSent, false);
   here.state = Streams::State::asked;
   if (s) {
     std::vector<std::string> ids;
@@ -250,7 +251,7 @@
     if (!incoming_.empty()) {
       job = incoming_.front();
       incoming_.pop_front();
-    } else if (!(job = stores.nextFor(*this))) {
+    } else if (!(job = pools.nextRequest(*this))) {
       return;
     }
     begin(streams_.begin(job));
@@ -281,11 +282,11 @@
                    late = asked ? AttemptOutcome::timeout : AttemptOutcome::connectFailed;
     // Danger: a connection on which nothing comes is likely dead, and each job given to it loses
     // its time.
-    if (!s.job->cancelled && out && heardAt_ < s.job->begun) retire();
+    if (!s.job->cancelled && out && heardAt_ < s.job->begun) drain();
     finish(stream, s.job->cancelled ? called : late, out);
   }
   // Danger: answers that never come would use up the streams one by one.
-  if (streams_.orphans() * 2 > voice_.config().storeStreams) retire();
+  if (streams_.orphans() * 2 > voice_.config().storeStreams) drain();
 }
 
 // The connection is of no more use: what was written may have run, and nothing else has.
@@ -303,9 +304,9 @@
     UpstreamRequest* job = incoming_.back();
     incoming_.pop_back();
     if (job->cancelled || retired_)
-      stores.finish(job, AttemptOutcome::neverSent);
+      pools.complete(job, AttemptOutcome::neverSent);
     else
-      stores.giveBack(job);
+      pools.requeue(job);
   }
 }
 
@@ -436,8 +437,8 @@
     in_.erase(0, std::exchange(used_, 0));
     if (in_.empty() && in_.capacity() > kReadAtOnce) in_.shrink_to_fit();
     // Danger: answers that all stores send at once would together take all memory there is.
-    if (in_.size() > kReadAtOnce && stores.held() > stores.limits().bytes) {
-      log::line("upstream_memory_limit", "store=%d bytes=%zu", store, stores.held());
+    if (in_.size() > kReadAtOnce && pools.bufferedBytes() > pools.limits().maxBufferedBytes) {
+      log::line("upstream_memory_limit", "store=%d bytes=%zu", store, pools.bufferedBytes());
       broken_ = true;
       return false;
     }
@@ -447,7 +448,7 @@
       if (in_.empty()) partSince_ = kNever;
       // Danger: a length that promises more than ever comes would hold all jobs behind it.
       if (!in_.empty() && partSince_ == kNever) partSince_ = now;
-      if (partSince_ != kNever && now - partSince_ >= stores.limits().connectTimeout)
+      if (partSince_ != kNever && now - partSince_ >= pools.limits().connectTimeout)
         return garbled("stalled");
       return true;
     }
@@ -485,25 +486,25 @@
         scheduler().spawn(writer());
       }
     }
-    bool room = !retired_ && jobs() < voice_.config().storeStreams;
-    room ? stores.ready(*this) : stores.unready(*this);
+    bool room = !retired_ && requestCount() < voice_.config().storeStreams;
+    room ? pools.markReady(*this) : pools.markBusy(*this);
     if (had && streams_.jobs() == 0) idleSince = now;
     bool idle = streams_.jobs() == 0 && incoming_.empty();
     if (idle && retired_) break;
     // Danger: the store's machine closes what has been idle for the stated time; a job that is
     // written just then is lost. A connection is given up a connect time-out earlier.
-    TimePoint until = idle ? idleSince + stores.limits().keepalive - stores.limits().connectTimeout
+    TimePoint until = idle ? idleSince + pools.limits().keepalive - pools.limits().connectTimeout
                            : nextDeadline();
     if (idle && until <= now) break;
     // Danger: after a drain's grace nothing new may reach the store, nor what the kernel hasn't
     // taken by then.
-    TimePoint graceEnds = retiredAt_ + stores.limits().connectTimeout;
+    TimePoint graceEnds = retiredAt_ + pools.limits().connectTimeout;
     if (retired_ && writing_ && graceEnds <= now) break;
     if (retired_ && writing_) until = std::min(until, graceEnds);
     // Texts may be prepared by another connection meanwhile.
     if (!streams_.parked().empty())
-      until = std::min(until, now + stores.limits().connectTimeout * kLook);
-    if (partSince_ != kNever) until = std::min(until, partSince_ + stores.limits().connectTimeout);
+      until = std::min(until, now + pools.limits().connectTimeout * kLook);
+    if (partSince_ != kNever) until = std::min(until, partSince_ + pools.limits().connectTimeout);
     // Danger: frames without end, as fast as they can be read, would have this thread for
     // themselves.
     if (std::exchange(more_, false))
@@ -514,7 +515,7 @@
 }
 
 runtime::Task<> Connection::end() {
-  stores.unready(*this);
+  pools.markBusy(*this);
   broken_ = true;
   socket_.close();
   while (writing_) co_await writerEnds_.wait();
@@ -528,9 +529,9 @@
   return known_.try_emplace(store, room_, most).first->second;
 }
 
-std::unique_ptr<request::UpstreamConnection> UpstreamProtocol::carrier(
-    upstream::ConnectionPools& stores, int store, request::ProtocolVersion version, int fd) {
-  return std::make_unique<Connection>(*this, stores, store, version, fd);
+std::unique_ptr<upstream::UpstreamConnection> UpstreamProtocol::createConnection(
+    upstream::ConnectionPools& pools, int store, request::ProtocolVersion version, int fd) {
+  return std::make_unique<Connection>(*this, pools, store, version, fd);
 }
 
 }  // namespace reedchute::protocols::cassandra
--- a/src/protocols/cassandra/upstream_connection.h
+++ b/src/protocols/cassandra/upstream_connection.h
@@ -10,16 +10,17 @@
 
 namespace reedchute::protocols::cassandra {
 
-class UpstreamProtocol : public request::UpstreamProtocol {
+class UpstreamProtocol : public upstream::UpstreamProtocol {
  public:
   UpstreamProtocol(const Config& config, int version, StorePrepared::Room& room)
       : config_(config), version_(version), room_(room) {}
 
-  std::unique_ptr<request::UpstreamConnection> carrier(upstream::ConnectionPools& stores, int store,
-                                                       request::ProtocolVersion version,
-                                                       int fd) override;
-  std::size_t atOnce() const override { return config_.storeStreams; }
-  void forget(int store) override { known_.erase(store); }
+  std::unique_ptr<upstream::UpstreamConnection> createConnection(upstream::ConnectionPools& pools,
+                                                                 int store,
+                                                                 request::ProtocolVersion version,
+                                                                 int fd) override;
+  std::size_t maxConcurrentRequests() const override { return config_.storeStreams; }
+  void removeStore(int store) override { known_.erase(store); }
 
   // What is known of one store, over all connections to it.
   struct Known {
--- a/src/protocols/postgres/upstream_connection.cpp
+++ b/src/protocols/postgres/upstream_connection.cpp
@@ -40,12 +40,12 @@
 }
 
 // One connection to a store, which carries a job at a time.
-class Connection : public request::UpstreamConnection {
+class Connection : public upstream::UpstreamConnection {
  public:
   Connection(upstream::ConnectionPools& owner, int of, request::ProtocolVersion spoken, int fd)
       : UpstreamConnection(owner, of, spoken), socket(owner.scheduler(), fd) {}
 
-  void take(UpstreamRequest* j) override {
+  void accept(UpstreamRequest* j) override {
     job = j;
     socket.in.set();
   }
@@ -53,9 +53,9 @@
   // with the connection. While it is written the job is only stopped.
   void cancel(UpstreamRequest*) override { writing ? socket.close() : socket.in.set(); }
   void close() override { socket.close(); }
-  std::size_t jobs() const override { return job != nullptr; }
-  std::size_t held() const override { return in.capacity(); }
-  runtime::Task<bool> comeUp(TimePoint until) override;
+  std::size_t requestCount() const override { return job != nullptr; }
+  std::size_t bufferedBytes() const override { return in.capacity(); }
+  runtime::Task<bool> connect(TimePoint until) override;
   runtime::Task<> serve() override;
   runtime::Task<> end() override;
 
@@ -71,8 +71,8 @@
   Seen frame(pg::Message& m) {
     used = 0;
     std::string_view rest = std::string_view(in).substr(kept);
-    if (!pg::storeMessageMayFollow(rest, stores.limits().row)) return Seen::broken;
-    switch (pg::frame(rest, stores.limits().row, m)) {
+    if (!pg::storeMessageMayFollow(rest, pools.limits().maxRowBytes)) return Seen::broken;
+    switch (pg::frame(rest, pools.limits().maxRowBytes, m)) {
       case pg::Framed::whole:
         used = m.whole.size();
         return pg::wellFormed(m) ? Seen::good : Seen::broken;
@@ -115,8 +115,8 @@
       std::size_t whole = kept + pg::statedSize(std::string_view(in).substr(kept));
       if (whole > in.capacity()) in.reserve(whole + kTail);
       // Danger: rows that all stores send at once would together take all memory there is.
-      if (in.size() > kReadAtOnce && stores.held() > stores.limits().bytes) {
-        log::line("upstream_memory_limit", "store=%d bytes=%zu", store, stores.held());
+      if (in.size() > kReadAtOnce && pools.bufferedBytes() > pools.limits().maxBufferedBytes) {
+        log::line("upstream_memory_limit", "store=%d bytes=%zu", store, pools.bufferedBytes());
         garbled = true;
         co_return false;
       }
@@ -124,7 +124,7 @@
       if (got == runtime::Socket::Got::some) continue;
       if (got == runtime::Socket::Got::ended || (job && job->cancelled)) co_return false;
       // Danger: a length that promises more than ever comes would hold the job for all of its time.
-      TimePoint stalls = scheduler().now() + stores.limits().connectTimeout;
+      TimePoint stalls = scheduler().now() + pools.limits().connectTimeout;
       bool waits = (begun || in.size() > kept) && stalls < until;
       bool set = co_await socket.in.wait(waits ? stalls : until);
       if (!set) {
@@ -133,11 +133,11 @@
       }
     }
   }
-  runtime::Scheduler& scheduler() { return stores.scheduler(); }
+  runtime::Scheduler& scheduler() { return pools.scheduler(); }
   // A commit's time is rounded up, and clocks are read at different moments: a little ahead is no
   // untruth.
   WallTime newest() {
-    return scheduler().wall().wallOf(scheduler().now()) + stores.limits().connectTimeout;
+    return scheduler().wall().wallOf(scheduler().now()) + pools.limits().connectTimeout;
   }
 
   runtime::Socket socket;
@@ -172,7 +172,7 @@
   kept = 0;
 }
 
-runtime::Task<bool> Connection::comeUp(TimePoint until) {
+runtime::Task<bool> Connection::connect(TimePoint until) {
   bool up = co_await runtime::connected(socket, until);
   if (!up) co_return false;
   std::string hello = pg::startup(kUser, kDatabase);
@@ -302,36 +302,36 @@
 
 runtime::Task<> Connection::serve() {
   while (socket.open()) {
-    if (!job) job = stores.nextFor(*this);
+    if (!job) job = pools.nextRequest(*this);
     if (!job) {
       idleSince = scheduler().now();
-      stores.ready(*this);
+      pools.markReady(*this);
       // Danger: the store's machine closes what has been idle for the stated time; a job that is
       // written just then is lost. A connection is given up a connect time-out earlier.
-      TimePoint until = idleSince + stores.limits().keepalive - stores.limits().connectTimeout;
+      TimePoint until = idleSince + pools.limits().keepalive - pools.limits().connectTimeout;
       bool alive = true;
       while (alive && !job) {
         bool set = co_await socket.in.wait(until);
         if (job) break;
         alive = set && quiet();
       }
-      if (!job) stores.unready(*this);
+      if (!job) pools.markBusy(*this);
       if (!alive) break;
     }
     // Danger: what the store sent unasked would pass for the answer, and what it ended would lose
     // the job.
     if (!quiet()) {
       if (job->cancelled) break;
-      stores.giveBack(std::exchange(job, nullptr));
+      pools.requeue(std::exchange(job, nullptr));
       break;
     }
     UpstreamRequest* j = job;
-    std::string words = wordsOf(*j, stores.scheduler().instant());
+    std::string words = wordsOf(*j, pools.scheduler().instant());
     // Danger: the process may stand still anywhere; as little as can be lies between this look at
     // the time and the write.
-    if (!stores.leaves(*j)) {
+    if (!pools.maySend(*j)) {
       job = nullptr;
-      stores.finish(j, AttemptOutcome::neverSent);
+      pools.complete(j, AttemptOutcome::neverSent);
       continue;
     }
     std::optional<std::string_view> rest = socket.write(words);
@@ -340,7 +340,7 @@
     bool sound = co_await perform(rest);
     asked = false;
     job = nullptr;
-    stores.finish(j, j->outcome);
+    pools.complete(j, j->outcome);
     if (!sound) break;
   }
 }
@@ -348,16 +348,16 @@
 runtime::Task<> Connection::end() {
   socket.close();
   if (job)
-    stores.finish(std::exchange(job, nullptr),
-                  asked ? AttemptOutcome::reset : AttemptOutcome::neverSent);
+    pools.complete(std::exchange(job, nullptr),
+                   asked ? AttemptOutcome::reset : AttemptOutcome::neverSent);
   co_return;
 }
 
 }  // namespace
 
-std::unique_ptr<request::UpstreamConnection> UpstreamProtocol::carrier(
-    upstream::ConnectionPools& stores, int store, request::ProtocolVersion version, int fd) {
-  return std::make_unique<Connection>(stores, store, version, fd);
+std::unique_ptr<upstream::UpstreamConnection> UpstreamProtocol::createConnection(
+    upstream::ConnectionPools& pools, int store, request::ProtocolVersion version, int fd) {
+  return std::make_unique<Connection>(pools, store, version, fd);
 }
 
 }  // namespace reedchute::protocols::postgres
--- a/src/protocols/postgres/upstream_connection.h
+++ b/src/protocols/postgres/upstream_connection.h
@@ -5,12 +5,13 @@
 
 namespace reedchute::protocols::postgres {
 
-class UpstreamProtocol : public request::UpstreamProtocol {
+class UpstreamProtocol : public upstream::UpstreamProtocol {
  public:
-  std::unique_ptr<request::UpstreamConnection> carrier(upstream::ConnectionPools& stores, int store,
-                                                       request::ProtocolVersion version,
-                                                       int fd) override;
-  std::size_t atOnce() const override { return 1; }
+  std::unique_ptr<upstream::UpstreamConnection> createConnection(upstream::ConnectionPools& pools,
+                                                                 int store,
+                                                                 request::ProtocolVersion version,
+                                                                 int fd) override;
+  std::size_t maxConcurrentRequests() const override { return 1; }
 };
 
 }  // namespace reedchute::protocols::postgres
--- a/src/proxy/protocols.cpp
+++ b/src/proxy/protocols.cpp
@@ -22,7 +22,7 @@
  public:
   Postgres(Config& config, const ProtocolContext& g)
       : config_(config),
-        speech_(g.stores.add(voice_)),
+        speech_(g.stores.addProtocol(voice_)),
         door_(g.scheduler, g.handler,
               protocols::postgres::TakeIn(config.terms, config.names, g.groups, g.openIds), speech_,
               {std::max<std::size_t>(
@@ -54,7 +54,7 @@
         room_(config.memory / kStoresPreparedPart),
         four_(config_, 4, room_),
         five_(config_, 5, room_),
-        speeches_{g.stores.add(four_), g.stores.add(five_)},
+        speeches_{g.stores.addProtocol(four_), g.stores.addProtocol(five_)},
         door_(g.scheduler, g.handler, *this, config_,
               protocols::cassandra::TakeIn(config_, config.names, g.groups, g.openIds,
                                            *config.chart, texts_),
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -310,10 +310,10 @@
       "rejected=%llu "
       "aborted=%llu executions=%llu probes=%llu connects=%llu answered=%llu client_gone=%llu "
       "late=%llu",
-      count(counters_.taken), statements_.openCount(), sessions(), stores_.connections(),
+      count(counters_.taken), statements_.openCount(), sessions(), stores_.connectionCount(),
       storeIds_.size(), gone_.size(), count(ends.completed), count(ends.rejected),
       count(ends.aborted), count(dispatcher_.executions()), count(dispatcher_.probes()),
-      count(stores_.opened()), count(counters_.answered), count(counters_.gone),
+      count(stores_.openedCount()), count(counters_.answered), count(counters_.gone),
       count(counters_.late));
 }
 
@@ -459,7 +459,7 @@
     for (const auto& p : protocols_)
       if (auto address = p->addressOf(m))
         for (request::ProtocolVersion version : p->versions())
-          stores_.place(e.store, version, *address);
+          stores_.setAddress(e.store, version, *address);
     engine_.addEndpoint(e, now);
     statements_.guard().listed(e.store, e.group, e.zone, e.listed, now);
     const char* state = m.listed == EndpointStatus::up         ? "up"
@@ -471,10 +471,11 @@
   }
   engine_.endSnapshot(asked);
   for (const discovery::Endpoint& m : roster.members)
-    if (m.listed != EndpointStatus::up) stores_.withdraw(storeIds_.find(m.id));
+    if (m.listed != EndpointStatus::up) stores_.drainStore(storeIds_.find(m.id));
   if (config_.terms.goneBinds)
     for (const auto& [store, since] : gone_)
-      statements_.guard().dropped(store, now), stores_.withdraw(store), stores_.release(store);
+      statements_.guard().dropped(store, now), stores_.drainStore(store),
+          stores_.closeIdleConnections(store);
   statements_.touch();
 }
 
@@ -493,7 +494,7 @@
 void Proxy::clockStepped(Duration ahead) {
   log::line("clock_step", "ahead_ms=%lld", static_cast<long long>(ahead.us / 1000));
   engine_.onClockStepped(ahead);
-  stores_.recall([&](const request::UpstreamRequest& j) {
+  stores_.cancelUnsent([&](const request::UpstreamRequest& j) {
     if (j.statement < 0) return false;
     Level level = config_.terms
                       .workloads[static_cast<std::size_t>(statements_.row(j.statement).workload)]
@@ -511,11 +512,11 @@
   std::erase_if(gone_, [&](const auto& entry) {
     auto [store, since] = entry;
     if (scheduler_.now() - since < config_.keepalive * kRemembered) return false;
-    if (!stores_.unused(store) || statements_.names(store)) return false;
+    if (!stores_.isUnused(store) || statements_.names(store)) return false;
     log::line("endpoint_removed", "store=%d id=%s", store, storeIds_.id(store).c_str());
     engine_.removeEndpoint(store, scheduler_.now());
     statements_.guard().forget(store);
-    stores_.forget(store);
+    stores_.removeStore(store);
     storeIds_.release(store);
     starts_.erase(store);
     return true;
--- a/src/request/request.h
+++ b/src/request/request.h
@@ -13,6 +13,10 @@
 
 #include "decision/engine.h"
 
+namespace reedchute::upstream {
+class UpstreamConnection;
+}
+
 namespace reedchute::request {
 
 // In whose form a statement came: a small index into the stores' table of versions, where each
@@ -119,8 +123,6 @@
   virtual bool takes(TimePoint came) const = 0;
 };
 
-class UpstreamConnection;
-
 // A load report as a store words it.
 struct StoreReport {
   std::optional<WallTime> position;
@@ -145,12 +147,12 @@
   std::int64_t leftMs(TimePoint now) const {
     return std::max<std::int64_t>(0, (until - now).us / 1000);
   }
-  UpstreamConnection* on = nullptr;  // the connection that it was given to
-  std::size_t place = 0;             // among all jobs
-  TimePoint leftAt = kNever;         // when it began to be written; kNever: it wasn't
-  TimePoint wholeAt = kNever;        // when its last byte was
-  std::int64_t toldMs = 0;           // how long it says that the front waits
-  int returns = 0;                   // connections that were of no use before it was written
+  upstream::UpstreamConnection* on = nullptr;  // the connection that it was given to
+  std::size_t place = 0;                       // among all jobs
+  TimePoint leftAt = kNever;                   // when it began to be written; kNever: it wasn't
+  TimePoint wholeAt = kNever;                  // when its last byte was
+  std::int64_t toldMs = 0;                     // how long it says that the front waits
+  int returns = 0;  // connections that were of no use before it was written
   bool cancelled = false;
   bool unplaced = false;  // this process had no descriptor for its connection: no word on the store
   // what came back
--- a/src/upstream/connection_pools.cpp
+++ b/src/upstream/connection_pools.cpp
@@ -1,6 +1,8 @@
 #include "upstream/connection_pools.h"
 
 #include <algorithm>
+#include <exception>
+#include <list>
 #include <utility>
 
 #include "log/log.h"
@@ -8,331 +10,342 @@
 namespace reedchute::upstream {
 namespace {
 
-constexpr double kSettle =
-    0.01;  // connect time-outs that a connection is idle before it is a sure one
-// Where stores are more than descriptors: of the connections, those that may be made for probes at
-// once; and connect time-outs that a statement waits for a place. A probe waits for one.
-constexpr std::size_t kProbesPart = 2;
-constexpr double kStatementWaits = 0.4, kLooks = 0.1;
-constexpr int kMostReturns = 3;  // connections that a job may find of no use
+constexpr double kSettleTime = 0.01;         // connect time-outs of idleness before reuse is safe
+constexpr std::size_t kProbeShare = 2;       // probes may make one connection in so many
+constexpr double kStatementMaxWait = 0.4;    // connect time-outs, for a descriptor
+constexpr double kProbeMaxWait = 1.0;        // connect time-outs, for a descriptor
+constexpr double kQueueCheckInterval = 0.1;  // connect time-outs
+constexpr int kMaxRequeues = 3;              // connections that a request may find closed
 
 }  // namespace
 
-ConnectionPools::ConnectionPools(runtime::Scheduler& s, request::AttemptOwner& owner, Limits limits)
-    : scheduler_(s), owner_(owner), limits_(limits) {}
+ConnectionPools::ConnectionPools(runtime::Scheduler& scheduler, request::AttemptOwner& owner,
+                                 Limits limits)
+    : scheduler_(scheduler), owner_(owner), limits_(limits) {}
 
 ConnectionPools::~ConnectionPools() = default;
 
-ProtocolVersion ConnectionPools::add(request::UpstreamProtocol& voice) {
-  voices_.push_back(&voice);
-  return static_cast<ProtocolVersion>(voices_.size()) - 1;
+ProtocolVersion ConnectionPools::addProtocol(UpstreamProtocol& protocol) {
+  protocols_.push_back(&protocol);
+  return static_cast<ProtocolVersion>(protocols_.size()) - 1;
 }
 
-void ConnectionPools::place(int store, ProtocolVersion version, const sockaddr_in& address) {
-  while (static_cast<std::size_t>(store) >= pools_.size()) pools_.emplace_back(voices_.size());
-  Pool& pool = poolOf(store, version);
-  bool moved = pool.address && !runtime::sameAddress(*pool.address, address);
+void ConnectionPools::setAddress(int store, ProtocolVersion version, const sockaddr_in& address) {
+  while (static_cast<std::size_t>(store) >= pools_.size()) pools_.emplace_back(protocols_.size());
+  ConnectionPool& pool = poolOf(PoolKey{store, version});
+  bool hasMoved = pool.address && !runtime::sameAddress(*pool.address, address);
   pool.address = address;
-  if (!moved) return;
-  // Danger: what still answers at the old address is not this store.
-  closeIdle(pool);
+  if (!hasMoved) return;
+  // What still answers at the old address is not this store.
+  pool.closeIdle();
   std::vector<UpstreamConnection*> all = connections_;
-  for (UpstreamConnection* c : all)
-    if (c->store == store && c->version == version) c->retire();
+  for (UpstreamConnection* connection : all)
+    if (connection->store == store && connection->version == version) connection->drain();
 }
 
-UpstreamRequest* ConnectionPools::submit(std::unique_ptr<UpstreamRequest> job) {
-  UpstreamRequest* j = job.get();
-  j->place = jobs_.size();
-  jobs_.push_back(std::move(job));
-  Pool& pool = poolOf(j->store, j->version);
-  if (!pool.ready.empty()) {
-    // Danger: a store may close right behind its answer; a job that is written just then is lost.
-    // Of those with the fewest jobs, the one used last is taken that has been idle for a moment.
-    TimePoint settled = scheduler_.now() - limits_.connectTimeout * kSettle;
-    UpstreamConnection* best = pool.ready.back();
-    auto sure = [&](const UpstreamConnection* c) {
-      return c->jobs() > 0 || c->idleSince <= settled;
-    };
-    for (auto it = pool.ready.rbegin(); it != pool.ready.rend(); ++it)
-      if ((*it)->jobs() < best->jobs() ||
-          ((*it)->jobs() == best->jobs() && !sure(best) && sure(*it)))
-        best = *it;
-    if (best->jobs() + 1 >= atOnce(j->version)) std::erase(pool.ready, best);
-    j->on = best;
-    best->take(j);
-    return j;
+UpstreamRequest* ConnectionPools::submit(std::unique_ptr<UpstreamRequest> submitted) {
+  UpstreamRequest* request = submitted.get();
+  request->place = requests_.size();
+  requests_.push_back(std::move(submitted));
+  ConnectionPool& pool = poolOf(*request);
+  if (pool.ready.empty()) {
+    pool.waiting.push_back(request);
+    openOrQueue({request->store, request->version});
+    return request;
   }
-  pool.waiting.push_back(j);
-  openWanted(j->store, j->version);
-  return j;
+  TimePoint settledBefore = scheduler_.now() - limits_.connectTimeout * kSettleTime;
+  UpstreamConnection* connection = pool.pickReady(settledBefore);
+  if (connection->requestCount() + 1 >= maxConcurrentRequests(request->version))
+    std::erase(pool.ready, connection);
+  request->on = connection;
+  connection->accept(request);
+  return request;
 }
 
-void ConnectionPools::cancel(UpstreamRequest* job) {
-  if (job->cancelled) return;
-  job->cancelled = true;
-  if (job->on) job->on->cancel(job);
+void ConnectionPools::cancel(UpstreamRequest* request) {
+  if (request->cancelled) return;
+  request->cancelled = true;
   // One that waits for a connection is passed over when its turn comes.
+  if (request->on) request->on->cancel(request);
 }
 
-void ConnectionPools::withdraw(int store) {
-  for (Pool& pool : pools_[static_cast<std::size_t>(store)]) {
-    // Danger: a connection may come up as late as the grace ends.
-    for (std::list<UpstreamRequest*> left = std::exchange(pool.waiting, {});
-         UpstreamRequest * j : left)
-      finish(j, AttemptOutcome::neverSent);
+void ConnectionPools::drainStore(int store) {
+  for (ConnectionPool& pool : pools_[static_cast<std::size_t>(store)]) {
+    // A connection may come up as late as the grace ends, so nothing is left to wait for it.
+    std::list<UpstreamRequest*> unsent = std::exchange(pool.waiting, {});
+    for (UpstreamRequest* request : unsent) complete(request, AttemptOutcome::neverSent);
   }
   std::vector<UpstreamConnection*> all = connections_;
-  for (UpstreamConnection* c : all)
-    if (c->store == store) c->retire();
+  for (UpstreamConnection* connection : all)
+    if (connection->store == store) connection->drain();
 }
 
-void ConnectionPools::recall(const std::function<bool(const UpstreamRequest&)>& which) {
-  for (const std::unique_ptr<UpstreamRequest>& j : jobs_)
-    if (j->leftAt == kNever && which(*j)) j->sendBy = kNever;
-  std::vector<UpstreamRequest*> waited;
-  for (auto& pools : pools_)
-    for (Pool& p : pools)
-      std::erase_if(p.waiting, [&](UpstreamRequest* j) {
-        if (j->sendBy == kNever) waited.push_back(j);
-        return j->sendBy == kNever;
-      });
-  for (UpstreamRequest* j : waited) finish(j, AttemptOutcome::neverSent);
+void ConnectionPools::cancelUnsent(const std::function<bool(const UpstreamRequest&)>& which) {
+  for (const std::unique_ptr<UpstreamRequest>& request : requests_)
+    if (request->leftAt == kNever && which(*request)) request->sendBy = kNever;
+  std::vector<UpstreamRequest*> unsent;
+  auto collect = [&](UpstreamRequest* request) {
+    if (request->sendBy != kNever) return false;
+    unsent.push_back(request);
+    return true;
+  };
+  for (std::vector<ConnectionPool>& poolsOfStore : pools_)
+    for (ConnectionPool& pool : poolsOfStore) std::erase_if(pool.waiting, collect);
+  for (UpstreamRequest* request : unsent) complete(request, AttemptOutcome::neverSent);
 }
 
-bool ConnectionPools::unused(int store) const {
-  auto toIt = [&](const auto& one) { return one->store == store; };
-  return std::none_of(connections_.begin(), connections_.end(), toIt) &&
-         std::none_of(jobs_.begin(), jobs_.end(), toIt);
+bool ConnectionPools::isUnused(int store) const {
+  auto isToStore = [&](const auto& one) { return one->store == store; };
+  return std::none_of(connections_.begin(), connections_.end(), isToStore) &&
+         std::none_of(requests_.begin(), requests_.end(), isToStore);
 }
 
-void ConnectionPools::forget(int store) {
-  for (Pool& pool : pools_[static_cast<std::size_t>(store)]) pool = {};
-  for (request::UpstreamProtocol* v : voices_) v->forget(store);
+void ConnectionPools::removeStore(int store) {
+  for (ConnectionPool& pool : pools_[static_cast<std::size_t>(store)]) pool = {};
+  for (UpstreamProtocol* protocol : protocols_) protocol->removeStore(store);
 }
 
-void ConnectionPools::release(int store) {
+void ConnectionPools::closeIdleConnections(int store) {
   if (static_cast<std::size_t>(store) >= pools_.size()) return;
-  for (Pool& pool : pools_[static_cast<std::size_t>(store)]) closeIdle(pool);
-}
-
-void ConnectionPools::closeIdle(Pool& pool) {
-  for (UpstreamConnection* c : pool.ready)
-    if (c->jobs() == 0) c->close();
-  std::erase_if(pool.ready, [](const UpstreamConnection* c) { return c->jobs() == 0; });
+  for (ConnectionPool& pool : pools_[static_cast<std::size_t>(store)]) pool.closeIdle();
 }
 
 bool ConnectionPools::closeLongestIdle() {
-  UpstreamConnection* longest = nullptr;
-  auto idle = [&](UpstreamConnection* c) {
-    const std::vector<UpstreamConnection*>& ready = poolOf(*c).ready;
-    return c->jobs() == 0 && std::find(ready.begin(), ready.end(), c) != ready.end();
+  auto isIdle = [&](UpstreamConnection* connection) {
+    const std::vector<UpstreamConnection*>& ready = poolOf(*connection).ready;
+    return connection->requestCount() == 0 &&
+           std::find(ready.begin(), ready.end(), connection) != ready.end();
   };
-  for (UpstreamConnection* c : connections_)
-    if ((!longest || c->idleSince < longest->idleSince) && idle(c)) longest = c;
+  UpstreamConnection* longest = nullptr;
+  for (UpstreamConnection* connection : connections_) {
+    bool isLonger = !longest || connection->idleSince < longest->idleSince;
+    if (isLonger && isIdle(connection)) longest = connection;
+  }
   if (!longest) return false;
-  unready(*longest);
+  markBusy(*longest);
   longest->close();
   return true;
 }
 
-std::size_t ConnectionPools::held() const {
+std::size_t ConnectionPools::bufferedBytes() const {
   std::size_t bytes = 0;
-  for (const UpstreamConnection* c : connections_) bytes += c->held();
+  for (const UpstreamConnection* connection : connections_) bytes += connection->bufferedBytes();
   return bytes;
 }
 
-// Danger: statements that start together would each open a connection; one for as many as it
-// carries is enough.
-bool ConnectionPools::wanted(const Pool& pool, ProtocolVersion version) const {
-  std::size_t each = atOnce(version);
-  return static_cast<std::size_t>(pool.coming) < (pool.waiting.size() + each - 1) / each;
+// A store for which this process has no descriptor left must not count as unreachable, so its pool
+// waits for one.
+void ConnectionPools::openOrQueue(PoolKey key) {
+  ConnectionPool& pool = poolOf(key);
+  if (!pool.needsConnection(maxConcurrentRequests(key.version)) || tryOpen(key)) return;
+  queue_.push(key, pool);
+  if (isWatchingQueue_) return;
+  isWatchingQueue_ = true;
+  scheduler_.spawn(watchQueue());
 }
 
-ConnectionPools::WaitingLine ConnectionPools::lineOf(const Pool& pool) {
-  bool statements = std::any_of(pool.waiting.begin(), pool.waiting.end(),
-                                [](const UpstreamRequest* j) { return j->statement >= 0; });
-  return statements ? forStatements : forProbes;
+// The process has only so many descriptors, and stores may be more: the longest idle connection
+// makes room. Probes of all stores at once would leave no descriptor to statements.
+bool ConnectionPools::hasDescriptor(PoolDemand demand) {
+  if (demand == PoolDemand::probes) {
+    auto probing = std::count_if(
+        connections_.begin(), connections_.end(),
+        [](const UpstreamConnection* connection) { return connection->isForProbe; });
+    std::size_t maxProbing = std::max<std::size_t>(1, limits_.maxConnections / kProbeShare);
+    if (static_cast<std::size_t>(probing) >= maxProbing) return false;
+  }
+  return connections_.size() < limits_.maxConnections || closeLongestIdle();
 }
 
-void ConnectionPools::openWanted(int store, ProtocolVersion version) {
-  Pool& pool = poolOf(store, version);
-  if (!wanted(pool, version) || openOne(store, version)) return;
-  // Danger: a store for which this process has no descriptor left would count as one that can't be
-  // reached.
-  WaitingLine line = lineOf(pool);
-  if (std::exchange(pool.lined[line], true)) return;
-  lines_[line].emplace_back(store, version);
-  if (!std::exchange(watching_, true)) scheduler_.spawn(watchLines());
+bool ConnectionPools::tryOpen(PoolKey key) {
+  ConnectionPool& pool = poolOf(key);
+  PoolDemand demand = pool.demand();
+  if (!hasDescriptor(demand)) return false;
+  bool lacksDescriptor = false;
+  int fd = pool.address ? runtime::startConnect(*pool.address, &lacksDescriptor) : -1;
+  if (lacksDescriptor) return false;
+  UpstreamProtocol& protocol = *protocols_[static_cast<std::size_t>(key.version)];
+  std::unique_ptr<UpstreamConnection> connection = protocol.createConnection(*this, key.store,
+                                                                             key.version, fd);
+  connection->isForProbe = demand == PoolDemand::probes;
+  connections_.push_back(connection.get());
+  ++pool.connecting;
+  ++opened_;
+  scheduler_.spawn(run(std::move(connection)));
+  return true;
 }
 
-// Danger: the process has only so many descriptors, and stores may be more; the longest idle
-// connection makes room. Probes of all of them at once would leave none to statements.
-bool ConnectionPools::place(WaitingLine line) {
-  auto probing = [](const UpstreamConnection* c) { return c->forProbe; };
-  if (line == forProbes &&
-      static_cast<std::size_t>(std::count_if(connections_.begin(), connections_.end(), probing)) >=
-          std::max<std::size_t>(1, limits_.connections / kProbesPart))
-    return false;
-  return connections_.size() < limits_.connections || closeLongestIdle();
+void ConnectionPools::onDescriptorFreed() {
+  for (PoolDemand demand : kPoolDemands)
+    while (!queue_.line(demand).empty()) {
+      PoolKey key = queue_.line(demand).front();
+      ConnectionPool& pool = poolOf(key);
+      bool stillNeedsIt = pool.needsConnection(maxConcurrentRequests(key.version)) &&
+                          pool.demand() == demand;
+      if (stillNeedsIt && !tryOpen(key)) break;
+      queue_.pop(demand, pool);
+      openOrQueue(key);  // where it wants more than one, it goes to the end
+    }
 }
 
-bool ConnectionPools::openOne(int store, ProtocolVersion version) {
-  Pool& pool = poolOf(store, version);
-  WaitingLine line = lineOf(pool);
-  if (!place(line)) return false;
-  bool lacking = false;
-  int fd = pool.address ? runtime::startConnect(*pool.address, &lacking) : -1;
-  if (lacking) return false;
-  auto c = voices_[static_cast<std::size_t>(version)]->carrier(*this, store, version, fd);
-  c->forProbe = line == forProbes;
-  connections_.push_back(c.get());
-  ++pool.coming, ++opened_;
-  scheduler_.spawn(run(std::move(c)));
-  return true;
+// Requests of a pool that have waited too long for a descriptor.
+void ConnectionPools::collectUnplaced(PoolKey key, std::vector<UpstreamRequest*>& unplaced) {
+  ConnectionPool& pool = poolOf(key);
+  TimePoint now = scheduler_.now();
+  // The first ones have their connections on the way.
+  std::size_t covered = static_cast<std::size_t>(pool.connecting) *
+                        maxConcurrentRequests(key.version);
+  std::size_t position = 0;
+  for (UpstreamRequest* request : pool.waiting) {
+    bool isCovered = position < covered;
+    ++position;
+    if (isCovered || request->unplaced) continue;
+    double maxWait = request->statement >= 0 ? kStatementMaxWait : kProbeMaxWait;
+    bool waitedTooLong = now - request->begun >= limits_.connectTimeout * maxWait;
+    if (!waitedTooLong && isStillWanted(*request)) continue;
+    request->unplaced = true;
+    unplaced.push_back(request);
+  }
 }
 
-void ConnectionPools::placeFreed() {
-  for (WaitingLine line : {forStatements, forProbes})
-    while (!lines_[line].empty()) {
-      auto [store, version] = lines_[line].front();
-      Pool& pool = poolOf(store, version);
-      bool still = wanted(pool, version) && lineOf(pool) == line;
-      if (still && !openOne(store, version)) break;
-      lines_[line].pop_front();
-      pool.lined[line] = false;
-      openWanted(store, version);  // where it wants more than one, it goes to the end
-    }
+// Left waiting, such a request would wait until its client's time is up, while other stores could
+// be had.
+void ConnectionPools::failUnplaced() {
+  std::vector<UpstreamRequest*> unplaced;
+  for (PoolDemand demand : kPoolDemands)
+    for (PoolKey key : queue_.line(demand)) collectUnplaced(key, unplaced);
+  for (UpstreamRequest* request : unplaced) {
+    log::line("stores_crowded", "connections=%zu store=%d", connections_.size(), request->store);
+    poolOf(*request).waiting.remove(request);
+    complete(request, AttemptOutcome::neverSent);
+  }
 }
 
-// Danger: what waits for a place would wait until its client's time is up, while other stores could
-// be had.
-runtime::Task<> ConnectionPools::watchLines() {
-  while (!lines_[forStatements].empty() || !lines_[forProbes].empty()) {
-    co_await runtime::sleepUntil(scheduler_, scheduler_.now() + limits_.connectTimeout * kLooks);
-    TimePoint now = scheduler_.now();
-    std::vector<UpstreamRequest*> over;
-    for (const auto& line : lines_)
-      for (auto [store, version] : line) {
-        // The first ones have their connections coming.
-        std::size_t coming = static_cast<std::size_t>(poolOf(store, version).coming) *
-                             atOnce(version),
-                    k = 0;
-        for (UpstreamRequest* j : poolOf(store, version).waiting) {
-          Duration waits = limits_.connectTimeout * (j->statement >= 0 ? kStatementWaits : 1.0);
-          if (k++ >= coming && !j->unplaced && (now - j->begun >= waits || !due(*j)))
-            j->unplaced = true, over.push_back(j);
-        }
-      }
-    for (UpstreamRequest* j : over) {
-      log::line("stores_crowded", "connections=%zu store=%d", connections_.size(), j->store);
-      poolOf(j->store, j->version).waiting.remove(j);
-      finish(j, AttemptOutcome::neverSent);
-    }
-    placeFreed();
+runtime::Task<> ConnectionPools::watchQueue() {
+  while (!queue_.isEmpty()) {
+    co_await runtime::sleepUntil(scheduler_,
+                                 scheduler_.now() + limits_.connectTimeout * kQueueCheckInterval);
+    failUnplaced();
+    onDescriptorFreed();
   }
-  watching_ = false;
+  isWatchingQueue_ = false;
 }
 
-bool ConnectionPools::due(const UpstreamRequest& j) const {
-  // Danger: a process that used up its part of a core stands still for most of a tenth of a second
-  // in the middle of a round; a bounded read that is judged by the round's beginning would leave
-  // stale.
+bool ConnectionPools::isStillWanted(const UpstreamRequest& request) const {
+  // A process that has used up its share of a core stands still in the middle of a round; a bounded
+  // read judged by the round's beginning would be sent stale.
   TimePoint now = scheduler_.instant();
-  return !j.cancelled && j.until > now && j.sendBy > now && owner_.wanted(j);
+  return !request.cancelled && request.until > now && request.sendBy > now &&
+         owner_.wanted(request);
 }
 
-bool ConnectionPools::leaves(UpstreamRequest& j) {
+bool ConnectionPools::maySend(UpstreamRequest& request) {
   TimePoint now = scheduler_.instant();
-  if (!owner_.mayLeave(j, now)) return false;
-  j.leftAt = now;
+  if (!owner_.mayLeave(request, now)) return false;
+  request.leftAt = now;
   return true;
 }
 
-UpstreamRequest* ConnectionPools::nextFor(UpstreamConnection& c) {
-  std::list<UpstreamRequest*>& waiting = poolOf(c).waiting;
+UpstreamRequest* ConnectionPools::nextRequest(UpstreamConnection& connection) {
+  std::list<UpstreamRequest*>& waiting = poolOf(connection).waiting;
   while (!waiting.empty()) {
-    UpstreamRequest* j = waiting.front();
+    UpstreamRequest* request = waiting.front();
     waiting.pop_front();
-    if (due(*j)) {
-      j->on = &c;
-      return j;
+    if (isStillWanted(*request)) {
+      request->on = &connection;
+      return request;
     }
-    finish(j, AttemptOutcome::neverSent);
+    complete(request, AttemptOutcome::neverSent);
   }
   return nullptr;
 }
 
-void ConnectionPools::ready(UpstreamConnection& c) {
-  std::vector<UpstreamConnection*>& ready = poolOf(c).ready;
-  if (std::find(ready.begin(), ready.end(), &c) == ready.end()) ready.push_back(&c);
-  c.forProbe = false;
-  if (c.jobs() == 0) placeFreed();
+void ConnectionPools::markReady(UpstreamConnection& connection) {
+  std::vector<UpstreamConnection*>& ready = poolOf(connection).ready;
+  if (std::find(ready.begin(), ready.end(), &connection) == ready.end())
+    ready.push_back(&connection);
+  connection.isForProbe = false;
+  if (connection.requestCount() == 0) onDescriptorFreed();
 }
 
-void ConnectionPools::unready(UpstreamConnection& c) {
-  std::erase(poolOf(c).ready, &c);
+void ConnectionPools::markBusy(UpstreamConnection& connection) {
+  std::erase(poolOf(connection).ready, &connection);
 }
 
-void ConnectionPools::giveBack(UpstreamRequest* job) {
-  job->on = nullptr;
-  // Danger: a store that closes each connection as soon as it is up would be dialled in a loop.
-  if (++job->returns > kMostReturns) return finish(job, AttemptOutcome::connectFailed);
-  poolOf(job->store, job->version).waiting.push_front(job);
+void ConnectionPools::requeue(UpstreamRequest* request) {
+  request->on = nullptr;
+  ++request->returns;
+  // A store that closes each connection as soon as it is up would be dialled in a loop (test
+  // closesAtOnce).
+  if (request->returns > kMaxRequeues) return complete(request, AttemptOutcome::connectFailed);
+  poolOf(*request).waiting.push_front(request);
 }
 
-void ConnectionPools::finish(UpstreamRequest* job, AttemptOutcome ending) {
-  job->outcome = ending;
-  job->on = nullptr;
-  std::unique_ptr<UpstreamRequest> kept = std::move(jobs_[job->place]);
-  if (job != jobs_.back().get() && jobs_.back()) {
-    jobs_[job->place] = std::move(jobs_.back());
-    jobs_[job->place]->place = job->place;
-  }
-  jobs_.pop_back();
-  owner_.ended(*kept);
+// Takes the request out of the table, where the last one moves to its place.
+std::unique_ptr<UpstreamRequest> ConnectionPools::release(UpstreamRequest* request) {
+  std::size_t place = request->place;
+  std::swap(requests_[place], requests_.back());
+  requests_[place]->place = place;
+  std::unique_ptr<UpstreamRequest> released = std::move(requests_.back());
+  requests_.pop_back();
+  return released;
+}
+
+void ConnectionPools::complete(UpstreamRequest* request, AttemptOutcome outcome) {
+  request->outcome = outcome;
+  request->on = nullptr;
+  std::unique_ptr<UpstreamRequest> released = release(request);
+  owner_.ended(*released);
 }
 
-runtime::Task<bool> ConnectionPools::comeUp(UpstreamConnection& c) {
+runtime::Task<bool> ConnectionPools::tryConnect(UpstreamConnection& connection) {
   try {
-    bool up = co_await c.comeUp(scheduler_.now() + limits_.connectTimeout);
-    co_return up;
+    bool isUp = co_await connection.connect(scheduler_.now() + limits_.connectTimeout);
+    co_return isUp;
   } catch (const std::exception& e) {
     log::line("task_failed", "what=\"%s\"", e.what());
     co_return false;
   }
 }
 
-runtime::Task<> ConnectionPools::run(std::unique_ptr<UpstreamConnection> owned) {
-  UpstreamConnection& c = *owned;
-  bool up = co_await comeUp(c);
-  --poolOf(c).coming;
-  if (up) {
-    // Danger: an exception that left this coroutine would leave its jobs without an end, and its
-    // connection among the others.
-    try {
-      co_await c.serve();
-    } catch (const std::exception& e) {
-      log::line("task_failed", "what=\"%s\"", e.what());
-    }
-  } else {
-    // Those that it was made for. Danger: one that waited too long to be sent found the store away
-    // all the same.
-    std::list<UpstreamRequest*>& waiting = poolOf(c).waiting;
-    for (std::size_t n = atOnce(c.version); n > 0 && !waiting.empty();) {
-      UpstreamRequest* j = waiting.front();
-      waiting.pop_front();
-      bool wanted = !j->cancelled && owner_.wanted(*j);
-      finish(j, wanted ? AttemptOutcome::connectFailed : AttemptOutcome::neverSent);
-      n -= wanted;
-    }
+// An exception that left run() would leave the connection's requests without an end (test
+// storeFaults).
+runtime::Task<> ConnectionPools::tryServe(UpstreamConnection& connection) {
+  try {
+    co_await connection.serve();
+  } catch (const std::exception& e) {
+    log::line("task_failed", "what=\"%s\"", e.what());
+  }
+}
+
+// Ends the requests that the connection was made for, as it couldn't be had. One that waited too
+// long to be sent found the store unreachable all the same.
+void ConnectionPools::failWaiting(UpstreamConnection& connection) {
+  std::list<UpstreamRequest*>& waiting = poolOf(connection).waiting;
+  std::size_t remaining = maxConcurrentRequests(connection.version);
+  while (remaining > 0 && !waiting.empty()) {
+    UpstreamRequest* request = waiting.front();
+    waiting.pop_front();
+    bool isWanted = !request->cancelled && owner_.wanted(*request);
+    complete(request, isWanted ? AttemptOutcome::connectFailed : AttemptOutcome::neverSent);
+    if (isWanted) --remaining;
   }
-  unready(c);
-  co_await c.end();
-  std::erase(connections_, &c);
-  // Jobs that counted on this connection need another.
-  openWanted(c.store, c.version);
-  placeFreed();
+}
+
+runtime::Task<> ConnectionPools::run(std::unique_ptr<UpstreamConnection> owned) {
+  UpstreamConnection& connection = *owned;
+  bool isUp = co_await tryConnect(connection);
+  --poolOf(connection).connecting;
+  if (isUp)
+    co_await tryServe(connection);
+  else
+    failWaiting(connection);
+  markBusy(connection);
+  co_await connection.end();
+  std::erase(connections_, &connection);
+  // Requests that counted on this connection need another.
+  openOrQueue({connection.store, connection.version});
+  onDescriptorFreed();
 }
 
 }  // namespace reedchute::upstream
--- a/tests/protocols/postgres_upstream_test.cpp
+++ b/tests/protocols/postgres_upstream_test.cpp
@@ -41,15 +41,15 @@
 // One store, and one job given to it: a statement, or where `probes` is so, a probe.
 class Pair : public request::AttemptOwner {
  public:
-  explicit Pair(std::unique_ptr<request::UpstreamProtocol> in =
+  explicit Pair(std::unique_ptr<upstream::UpstreamProtocol> in =
                     std::make_unique<protocols::postgres::UpstreamProtocol>(),
                 bool probes = false)
       : voice(std::move(in)),
         probe(probes),
         stores(s, *this, {ms(5000), ms(60'000), 8, 1 << 20, 1 << 20}),
         listener(s, runtime::listenOn(here(0))) {
-    request::ProtocolVersion version = stores.add(*voice);
-    stores.place(0, version, here(static_cast<std::uint16_t>(runtime::portOf(listener.fd()))));
+    request::ProtocolVersion version = stores.addProtocol(*voice);
+    stores.setAddress(0, version, here(static_cast<std::uint16_t>(runtime::portOf(listener.fd()))));
     query.text = "SELECT 1 /* id=1,c=any,cluster=7,d=900 */";
     query.waitAt = query.text.find("900"), query.waitSize = 3;
     spoken = version;
@@ -104,7 +104,7 @@
   }
 
   runtime::Scheduler s;
-  std::unique_ptr<request::UpstreamProtocol> voice;
+  std::unique_ptr<upstream::UpstreamProtocol> voice;
   const bool probe;
   protocols::postgres::Query query;
   upstream::ConnectionPools stores;
@@ -192,30 +192,30 @@
 }
 
 // A connection whose work fails in the middle, by an exception.
-class Faulty : public request::UpstreamConnection {
+class Faulty : public upstream::UpstreamConnection {
  public:
   Faulty(upstream::ConnectionPools& owner, int of, request::ProtocolVersion in, int fd, bool early)
       : UpstreamConnection(owner, of, in), socket_(owner.scheduler(), fd), early_(early) {}
-  runtime::Task<bool> comeUp(TimePoint until) override {
+  runtime::Task<bool> connect(TimePoint until) override {
     bool up = co_await runtime::connected(socket_, until);
     if (early_) throw std::runtime_error("as it comes up");
     co_return up;
   }
   runtime::Task<> serve() override {
-    job_ = stores.nextFor(*this);
+    job_ = pools.nextRequest(*this);
     throw std::runtime_error("as it serves");
     co_return;
   }
   runtime::Task<> end() override {
     socket_.close();
-    if (job_) stores.finish(std::exchange(job_, nullptr), AttemptOutcome::reset);
+    if (job_) pools.complete(std::exchange(job_, nullptr), AttemptOutcome::reset);
     co_return;
   }
-  void take(request::UpstreamRequest* job) override { job_ = job; }
+  void accept(request::UpstreamRequest* job) override { job_ = job; }
   void cancel(request::UpstreamRequest*) override {}
   void close() override { socket_.close(); }
-  std::size_t jobs() const override { return job_ != nullptr; }
-  std::size_t held() const override { return 0; }
+  std::size_t requestCount() const override { return job_ != nullptr; }
+  std::size_t bufferedBytes() const override { return 0; }
 
  private:
   runtime::Socket socket_;
@@ -223,14 +223,15 @@
   bool early_;
 };
 
-struct FaultyVoice : request::UpstreamProtocol {
+struct FaultyVoice : upstream::UpstreamProtocol {
   explicit FaultyVoice(bool so) : early(so) {}
-  std::unique_ptr<request::UpstreamConnection> carrier(upstream::ConnectionPools& stores, int store,
-                                                       request::ProtocolVersion version,
-                                                       int fd) override {
-    return std::make_unique<Faulty>(stores, store, version, fd, early);
+  std::unique_ptr<upstream::UpstreamConnection> createConnection(upstream::ConnectionPools& pools,
+                                                                 int store,
+                                                                 request::ProtocolVersion version,
+                                                                 int fd) override {
+    return std::make_unique<Faulty>(pools, store, version, fd, early);
   }
-  std::size_t atOnce() const override { return 1; }
+  std::size_t maxConcurrentRequests() const override { return 1; }
   const bool early;
 };
 
@@ -241,7 +242,7 @@
     std::printf("a fault %s: ", early ? "as it comes up" : "as it serves");
     p.ends();
     p.pass();
-    std::printf("connections left: %zu, ended: %s\n", p.stores.connections(),
+    std::printf("connections left: %zu, ended: %s\n", p.stores.connectionCount(),
                 p.done ? "yes" : "no");
   }
 }
