--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -4,7 +4,6 @@
 
 #include <algorithm>
 #include <cerrno>
-#include <cstdlib>
 #include <fstream>
 #include <iterator>
 #include <system_error>
@@ -13,104 +12,149 @@
 #include "config/hcl_settings.h"
 #include "ledger/settings.h"
 #include "protocols/cassandra/settings.h"
-#include "proxy/startup.h"
+#include "runtime/system_error.h"
 
-namespace reedchute::proxy {
+namespace reedchute::config {
 namespace {
 
-constexpr std::size_t kLeastMemory = 16u << 20, kMostMemory = 1u << 30;
+using Kind = json::Value::Kind;
 
-const json::Value& need(const json::Value& in, const char* name, json::Value::Kind kind) {
-  const json::Value* v = in.find(name);
-  if (!v || v->kind != kind)
+constexpr std::size_t kLeastMemory = 16u << 20;  // bytes
+constexpr std::size_t kMostMemory = 1u << 30;    // bytes
+constexpr std::size_t kLeastDescriptors = 64;
+constexpr double kBytesPerMegabyte = 1048576;
+
+const json::Value& need(const json::Value& object, const char* name, Kind kind) {
+  const json::Value* value = object.find(name);
+  if (!value || value->kind != kind)
     throw InvalidInput(std::string("the configuration has no proper '") + name + "'");
-  return *v;
+  return *value;
+}
+
+const std::string& needText(const json::Value& object, const char* name) {
+  return need(object, name, Kind::string).text;
 }
 
-sockaddr_in addressIn(const json::Value& in, const char* name, bool zeroPort) {
-  auto address = runtime::parseAddress(need(in, name, json::Value::Kind::string).text, zeroPort);
+sockaddr_in needAddress(const json::Value& object, const char* name, bool allowsPortZero) {
+  auto address = runtime::parseAddress(needText(object, name), allowsPortZero);
   if (!address) throw InvalidInput(std::string("the configuration's '") + name + "' is no address");
   return *address;
 }
 
+json::Value parseObject(const std::string& text) {
+  json::Value object;
+  std::string why;
+  if (!json::parse(text, object, why)) throw InvalidInput("the configuration is no JSON: " + why);
+  if (object.kind != Kind::object) throw InvalidInput("the configuration is no JSON object");
+  return object;
+}
+
+std::uint64_t parseSeed(const std::string& text) {
+  auto seed = parseNumber<std::uint64_t>(text, 16);
+  if (!seed) badValue("seed", text);
+  return *seed;
+}
+
+discovery::EndpointList parseKnownEndpoints(const json::Value& value) {
+  discovery::EndpointList list;
+  std::string why;
+  if (!discovery::parseEndpointList(value, list, why))
+    throw InvalidInput("the known list makes no sense: " + why);
+  return list;
+}
+
+// The smaller of what the configuration states and what the process may really hold.
+void readLimits(const json::Value& object, Config& config) {
+  rlimit limit{};
+  getrlimit(RLIMIT_NOFILE, &limit);
+  config.maxDescriptors = static_cast<std::size_t>(limit.rlim_cur);
+  config.maxMemory = kMostMemory;
+  if (const json::Value* limits = object.find("limits")) {
+    const json::Value* sockets = limits->find("sockets");
+    if (sockets && sockets->isNumber())
+      config.maxDescriptors = std::min(config.maxDescriptors,
+                                       static_cast<std::size_t>(std::max(0.0, sockets->number)));
+    const json::Value* megabytes = limits->find("memory_mb");
+    if (megabytes && megabytes->isNumber())
+      config.maxMemory = static_cast<std::size_t>(
+          std::clamp(megabytes->number * kBytesPerMegabyte, 0.0, double{kMostMemory}));
+  }
+  if (config.maxMemory < kLeastMemory) throw InvalidInput("less than 16 MB of memory is allowed");
+  if (config.maxDescriptors < kLeastDescriptors)
+    throw InvalidInput("fewer than 64 sockets are allowed");
+}
+
+void addLedger(Config& config, const Section& file, const std::vector<Section>& blocks) {
+  if (blocks.size() > 1) file.fail("ledger", "stands twice");
+  if (!blocks.empty()) config.ledger = ledger::feedFrom(blocks.front(), config.name);
+}
+
+void addCassandra(Config& config, const Section& file, const std::vector<Section>& blocks,
+                  const std::string& path) {
+  if (blocks.size() > 1) file.fail("cassandra", "stands twice");
+  if (blocks.empty()) return;
+  config.cassandra = protocols::cassandra::parseConfig(blocks.front());
+  for (const protocols::cassandra::Mapping& mapping : config.cassandra->mappings)
+    if (indexOf(config.names.workloads, mapping.workload) < 0)
+      throw InvalidInput(path + ":" + std::to_string(mapping.line) + ": 'workload' names '" +
+                         mapping.workload + "', which the platform's settings don't have");
+  config.tableMapping.emplace(*config.cassandra, config.engineSettings, config.names);
+}
+
 }  // namespace
 
 Config loadConfig(const char* path) {
   if (!path || !*path) throw InvalidInput("LB_CONFIG names no file");
   std::ifstream file(path, std::ios::binary);
-  if (!file && passes(std::error_code(errno, std::generic_category())))
-    throw std::system_error(errno, std::generic_category(),
-                            std::string("the configuration can't be opened: ") + path);
-  if (!file) throw InvalidInput(std::string("the configuration can't be opened: ") + path);
-  Config g = parseConfig({std::istreambuf_iterator<char>(file), {}});
-  g.path = path;
-  return g;
+  if (!file) {
+    std::error_code error(errno, std::generic_category());
+    std::string what = std::string("the configuration can't be opened: ") + path;
+    if (runtime::isTransientError(error)) throw std::system_error(error, what);
+    throw InvalidInput(what);
+  }
+  Config config = parseConfig({std::istreambuf_iterator<char>(file), {}});
+  config.path = path;
+  return config;
 }
 
-void addSettings(Config& g, const std::string& path) {
-  config::Block file = config::readBlockFile(path);
-  config::Section all(path, file);
-  std::vector<config::Section> doors = all.blocks("cassandra");
-  std::vector<config::Section> ledgers = all.blocks("ledger");
-  all.done();
-  if (ledgers.size() > 1) all.fail("ledger", "stands twice");
-  if (!ledgers.empty()) g.ledger = ledger::feedFrom(ledgers.front(), g.name);
-  if (doors.size() > 1) all.fail("cassandra", "stands twice");
-  if (doors.empty()) return;
-  g.cassandra = protocols::cassandra::parseConfig(doors.front());
-  for (const protocols::cassandra::Mapping& m : g.cassandra->mappings)
-    if (indexOf(g.names.workloads, m.workload) < 0)
-      throw InvalidInput(path + ":" + std::to_string(m.line) + ": 'workload' names '" + m.workload +
-                         "', which the platform's settings don't have");
-  g.chart.emplace(*g.cassandra, g.terms, g.names);
+Config parseConfig(const std::string& text) {
+  json::Value object = parseObject(text);
+  Config config;
+  config.name = needText(object, "name");
+  config.listenAddress = needAddress(object, "listen", true);
+  config.discoveryAddress = needAddress(object, "discovery", false);
+  config.discoveryHost = needText(object, "discovery");
+  std::uint64_t seed = parseSeed(needText(object, "seed"));
+  config.knownEndpoints = parseKnownEndpoints(need(object, "known", Kind::object));
+  config.platformSettings.add("", need(object, "settings", Kind::object));
+  config.engineSettings = engineSettingsFrom(config.platformSettings, seed, config.names);
+  config.keepalive = Duration{config.platformSettings.integer("limits.keepalive")};
+  Duration connectTimeout = config.engineSettings.connectTimeout;
+  if (config.keepalive <= connectTimeout || connectTimeout <= Duration{})
+    throw InvalidInput("limits.keepalive must be above limits.connect_timeout, and that above 0");
+  readLimits(object, config);
+  return config;
 }
 
-std::vector<const char*> changedForRestart(const Config& a, const Config& b) {
-  std::vector<const char*> fields;
-  if (a.name != b.name) fields.push_back("name");
-  if (!runtime::sameAddress(a.listen, b.listen)) fields.push_back("listen");
-  if (a.terms.seed != b.terms.seed) fields.push_back("seed");
-  if (a.sockets != b.sockets || a.memory != b.memory) fields.push_back("limits");
-  if (a.settings != b.settings) fields.push_back("settings");
-  return fields;
+void addSettings(Config& config, const std::string& path) {
+  Block block = readBlockFile(path);
+  Section file(path, block);
+  std::vector<Section> cassandraBlocks = file.blocks("cassandra");
+  std::vector<Section> ledgerBlocks = file.blocks("ledger");
+  file.requireAllRead();
+  addLedger(config, file, ledgerBlocks);
+  addCassandra(config, file, cassandraBlocks, path);
 }
 
-Config parseConfig(const std::string& text) {
-  using Kind = json::Value::Kind;
-  json::Value config;
-  std::string why;
-  if (!json::parse(text, config, why)) throw InvalidInput("the configuration is no JSON: " + why);
-  if (config.kind != Kind::object) throw InvalidInput("the configuration is no JSON object");
-  Config g;
-  g.name = need(config, "name", Kind::string).text;
-  g.listen = addressIn(config, "listen", true);
-  g.discovery = addressIn(config, "discovery", false);
-  g.discoveryHost = need(config, "discovery", Kind::string).text;
-  const std::string& seed = need(config, "seed", Kind::string).text;
-  auto seedValue = parseNumber<std::uint64_t>(seed, 16);
-  if (!seedValue) badValue("seed", seed);
-  if (!discovery::parseEndpointList(need(config, "known", Kind::object), g.known, why))
-    throw InvalidInput("the known list makes no sense: " + why);
-  g.settings.add("", need(config, "settings", Kind::object));
-  g.terms = engineSettingsFrom(g.settings, *seedValue, g.names);
-  g.keepalive = Duration{g.settings.integer("limits.keepalive")};
-  if (g.keepalive <= g.terms.connectTimeout || g.terms.connectTimeout <= Duration{})
-    throw InvalidInput("limits.keepalive must be above limits.connect_timeout, and that above 0");
-  // The smaller of what the platform states and what the process may really hold.
-  rlimit limit{};
-  getrlimit(RLIMIT_NOFILE, &limit);
-  g.sockets = static_cast<std::size_t>(limit.rlim_cur);
-  g.memory = kMostMemory;
-  if (const json::Value* limits = config.find("limits")) {
-    if (const json::Value* sockets = limits->find("sockets"); sockets && sockets->isNumber())
-      g.sockets = std::min(g.sockets, static_cast<std::size_t>(std::max(0.0, sockets->number)));
-    if (const json::Value* mb = limits->find("memory_mb"); mb && mb->isNumber())
-      g.memory =
-          static_cast<std::size_t>(std::clamp(mb->number * 1048576, 0.0, double{kMostMemory}));
-  }
-  if (g.memory < kLeastMemory) throw InvalidInput("less than 16 MB of memory is allowed");
-  if (g.sockets < 64) throw InvalidInput("fewer than 64 sockets are allowed");
-  return g;
+std::vector<const char*> fieldsNeedingRestart(const Config& current, const Config& next) {
+  std::vector<const char*> fields;
+  if (current.name != next.name) fields.push_back("name");
+  if (!runtime::sameAddress(current.listenAddress, next.listenAddress)) fields.push_back("listen");
+  if (current.engineSettings.seed != next.engineSettings.seed) fields.push_back("seed");
+  if (current.maxDescriptors != next.maxDescriptors || current.maxMemory != next.maxMemory)
+    fields.push_back("limits");
+  if (current.platformSettings != next.platformSettings) fields.push_back("settings");
+  return fields;
 }
 
-}  // namespace reedchute::proxy
+}  // namespace reedchute::config
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -1,7 +1,10 @@
-// What the front is told when it starts.
+// The configuration of a proxy process: what the file that LB_CONFIG names holds, and what the HCL
+// file of our own settings adds to it.
 #pragma once
 
-#include <cstdint>
+#include <netinet/in.h>
+
+#include <cstddef>
 #include <optional>
 #include <string>
 #include <vector>
@@ -13,35 +16,37 @@
 #include "protocols/cassandra/config.h"
 #include "protocols/cassandra/table_mapping.h"
 
-namespace reedchute::proxy {
+namespace reedchute::config {
 
 struct Config {
-  std::string path;  // of the file
+  std::string path;  // of the file that it was read from
   std::string name;
-  sockaddr_in listen{}, discovery{};
-  std::string discoveryHost;
-  std::size_t sockets = 0;
-  std::size_t memory = 0;  // bytes
-  discovery::EndpointList known;
-  PlatformSettings settings;
+  sockaddr_in listenAddress{};
+  sockaddr_in discoveryAddress{};
+  std::string discoveryHost;  // the same address as text
+  std::size_t maxDescriptors = 0;
+  std::size_t maxMemory = 0;  // bytes
+  discovery::EndpointList knownEndpoints;
+  PlatformSettings platformSettings;
   Names names;
-  EngineSettings terms;
+  EngineSettings engineSettings;
   Duration keepalive;
-  // From our own settings, where there are any.
+  // From the HCL file, if there is one.
   std::optional<protocols::cassandra::Config> cassandra;
-  std::optional<protocols::cassandra::TableMapping> chart;
+  std::optional<protocols::cassandra::TableMapping> tableMapping;
   std::optional<ledger::FeedGiven> ledger;
 };
 
-// Reads the file at `path`; throws InvalidInput with one plain line where it is missing or makes no
-// sense, and std::system_error where it can't be read at this moment.
+// Reads the file at `path`. Throws InvalidInput if it is missing or invalid, and std::system_error
+// if it can't be opened at the moment.
 Config loadConfig(const char* path);
+// Throws InvalidInput.
 Config parseConfig(const std::string& text);
 
-// Adds what our own settings say, from a file in HCL; throws InvalidInput with file and line.
+// Adds the settings of an HCL file. Throws InvalidInput with file and line.
 void addSettings(Config& config, const std::string& path);
 
-// The fields in which they differ and which only a restart takes up.
-std::vector<const char*> changedForRestart(const Config& a, const Config& b);
+// The fields that differ and that only a restart can change.
+std::vector<const char*> fieldsNeedingRestart(const Config& current, const Config& next);
 
-}  // namespace reedchute::proxy
+}  // namespace reedchute::config
--- a/src/config/engine_settings.cpp
+++ b/src/config/engine_settings.cpp
@@ -5,80 +5,125 @@
 namespace reedchute {
 namespace {
 
-const Words<Level> kLevels = {{"eventual", Level::any},
-                              {"lag_bound", Level::bounded},
-                              {"causal", Level::session},
-                              {"strong", Level::fresh},
-                              {"mutate", Level::write}};
-const Words<Effect> kEffects = {{"repeatable", Effect::idempotent},
-                                {"by_key", Effect::deduplicated},
-                                {"once", Effect::nonIdempotent}};
-const Words<Scope> kScopes = {
+const WordTable<Level> kLevels = {{"eventual", Level::any},
+                                  {"lag_bound", Level::bounded},
+                                  {"causal", Level::session},
+                                  {"strong", Level::fresh},
+                                  {"mutate", Level::write}};
+const WordTable<Effect> kEffects = {{"repeatable", Effect::idempotent},
+                                    {"by_key", Effect::deduplicated},
+                                    {"once", Effect::nonIdempotent}};
+const WordTable<Scope> kScopes = {
     {"all", Scope::everywhere}, {"zone", Scope::zone}, {"cell", Scope::group}};
 
-}  // namespace
+constexpr std::int64_t kMostWorkloads = 10'000;
 
-int indexOf(const std::vector<std::string>& names, std::string_view name) {
-  auto it = std::find(names.begin(), names.end(), name);
-  return it == names.end() ? -1 : static_cast<int>(it - names.begin());
+std::string elementPath(const char* list, std::int64_t index) {
+  return std::string(list) + "." + std::to_string(index) + ".";
+}
+
+// Whether an optional setting is there and has this text.
+bool hasText(const PlatformSettings& platform, const char* path, std::string_view text) {
+  const std::string* value = platform.find(path);
+  return value && *value == text;
+}
+
+Duration durationAt(const PlatformSettings& platform, const std::string& path) {
+  return Duration{platform.integer(path)};
+}
+
+void readWorkload(const PlatformSettings& platform, const std::string& path, Workload& workload) {
+  workload.effect = parseWord(kEffects, platform.need(path + "repeat"), "classes[].repeat");
+  if (workload.effect == Effect::deduplicated) {
+    workload.scope = parseWord(kScopes, platform.need(path + "key_scope"), "classes[].key_scope");
+    workload.deduplicationWindow = durationAt(platform, path + "repeat_window");
+  }
+  workload.slo = durationAt(platform, path + "slo");
+  workload.importance = platform.number(path + "worth", 1);
+  workload.lateShare = platform.number(path + "late_worth", 0);
 }
 
-EngineSettings engineSettingsFrom(const PlatformSettings& p, std::uint64_t seed, Names& names) {
-  EngineSettings t;
-  t.seed = seed;
-  t.fronts = static_cast<int>(p.integer("siblings", 1));
-  t.tick = Duration{p.integer("tick")};
-  names.zones = p.list("failure_domains");
-  std::vector<std::string> levels = p.list("extra.read_level"),
-                           bounds = p.list("extra.lag_allowed");
-  std::int64_t count = p.integer("classes.count");
-  if (count < 1 || count > 10'000 || levels.size() != static_cast<std::size_t>(count))
+void readWorkloads(const PlatformSettings& platform, EngineSettings& settings, Names& names) {
+  std::vector<std::string> levels = platform.list("extra.read_level");
+  std::vector<std::string> bounds = platform.list("extra.lag_allowed");
+  std::int64_t count = platform.integer("classes.count");
+  if (count < 1 || count > kMostWorkloads || levels.size() != static_cast<std::size_t>(count))
     throw InvalidInput("extra.read_level must name a level for each of the classes");
-  for (std::size_t k = 0; k < static_cast<std::size_t>(count); ++k) {
-    std::string at = "classes." + std::to_string(k) + ".";
-    names.workloads.push_back(p.need(at + "name"));
-    Workload w;
-    w.level = meaning(kLevels, levels[k], "extra.read_level");
+  for (std::size_t k = 0; k < levels.size(); ++k) {
+    std::string path = elementPath("classes", static_cast<std::int64_t>(k));
+    names.workloads.push_back(platform.need(path + "name"));
+    Workload workload;
+    workload.level = parseWord(kLevels, levels[k], "extra.read_level");
     if (k < bounds.size())
-      w.bound = Duration{static_cast<std::int64_t>(numberFrom(bounds[k], "extra.lag_allowed"))};
-    w.effect = meaning(kEffects, p.need(at + "repeat"), "classes[].repeat");
-    names.deduplicated.push_back(w.effect == Effect::deduplicated);
-    if (w.effect == Effect::deduplicated) {
-      w.scope = meaning(kScopes, p.need(at + "key_scope"), "classes[].key_scope");
-      w.window = Duration{p.integer(at + "repeat_window")};
-    }
-    w.slo = Duration{p.integer(at + "slo")};
-    w.importance = p.number(at + "worth", 1);
-    w.lateShare = p.number(at + "late_worth", 0);
-    t.workloads.push_back(w);
+      workload.stalenessBound =
+          Duration{static_cast<std::int64_t>(numberFrom(bounds[k], "extra.lag_allowed"))};
+    readWorkload(platform, path, workload);
+    names.deduplicated.push_back(workload.effect == Effect::deduplicated);
+    settings.workloads.push_back(workload);
   }
-  for (std::int64_t k = 0, n = p.integer("realms.count", 0); k < n; ++k) {
-    std::string at = "realms." + std::to_string(k) + ".";
-    names.tenants.push_back(p.need(at + "name"));
-    t.tenants.push_back({p.number(at + "quota_per_s", 0)});
+}
+
+void readTenants(const PlatformSettings& platform, EngineSettings& settings, Names& names) {
+  std::int64_t count = platform.integer("realms.count", 0);
+  for (std::int64_t k = 0; k < count; ++k) {
+    std::string path = elementPath("realms", k);
+    names.tenants.push_back(platform.need(path + "name"));
+    settings.tenants.push_back({platform.number(path + "quota_per_s", 0)});
   }
-  t.overShareWorth = p.number("over_share_worth", 1);
-  t.maxAttempts = static_cast<int>(p.integer("limits.max_attempts", 1));
-  t.secondCopies = p.boolean("limits.parallel_tries", false);
-  t.mayCancel = p.boolean("limits.may_cancel", false);
-  t.mayProbe = p.boolean("limits.probes", false);
-  t.probePrice = p.number("prices.probe", 0);
-  t.mustAsk = p.need("membership_mode") == "subscribe";
-  t.goneBinds = !p.boolean("obligations.dropped_stay_open", false);
-  t.roleFollows = p.find("extra.role_in_list") && *p.find("extra.role_in_list") == "trailing";
-  t.storesCheck = p.find("extra.checks") && *p.find("extra.checks") != "none";
-  t.tokensCarried = !p.find("extra.tokens") || *p.find("extra.tokens") == "brought";
-  t.repliesWithRetryAfter = p.boolean("limits.retry_after", false);
-  t.maxRetryAfter = Duration{p.integer("limits.max_retry_after", 0)};
-  t.connectTimeout = Duration{p.integer("limits.connect_timeout")};
-  t.askEvery = Duration{p.integer("obligations.ask_every")};
-  // Where it is not told, a connect time-out: less than any grace that was ever config.
-  t.drainGrace = Duration{p.integer("obligations.stop_sending_within", t.connectTimeout.us)};
-  t.coldRamp = Duration{p.integer("obligations.ramp_time")};
-  t.coldWindow = Duration{p.integer("obligations.tip_after")};
-  t.coldFrom = p.number("obligations.cold_from");
-  t.coldMultiple = p.number("obligations.fall_multiple");
-  return t;
+  settings.overQuotaImportance = platform.number("over_share_worth", 1);
+}
+
+void readAttemptLimits(const PlatformSettings& platform, EngineSettings& settings) {
+  settings.maxAttempts = static_cast<int>(platform.integer("limits.max_attempts", 1));
+  settings.allowsHedging = platform.boolean("limits.parallel_tries", false);
+  settings.mayCancel = platform.boolean("limits.may_cancel", false);
+  settings.mayProbe = platform.boolean("limits.probes", false);
+  settings.probeCost = platform.number("prices.probe", 0);
+}
+
+void readStoreBehaviour(const PlatformSettings& platform, EngineSettings& settings) {
+  settings.pollsEndpoints = platform.need("membership_mode") == "subscribe";
+  settings.removalMeansDrained = !platform.boolean("obligations.dropped_stay_open", false);
+  settings.endpointRolesAreCurrent = hasText(platform, "extra.role_in_list", "trailing");
+  settings.storesRejectStaleReads = platform.find("extra.checks") &&
+                                    !hasText(platform, "extra.checks", "none");
+  settings.readsCarrySessionToken = !platform.find("extra.tokens") ||
+                                    hasText(platform, "extra.tokens", "brought");
+}
+
+void readTimes(const PlatformSettings& platform, EngineSettings& settings) {
+  settings.repliesWithRetryAfter = platform.boolean("limits.retry_after", false);
+  settings.maxRetryAfter = Duration{platform.integer("limits.max_retry_after", 0)};
+  settings.connectTimeout = durationAt(platform, "limits.connect_timeout");
+  settings.maxPollInterval = durationAt(platform, "obligations.ask_every");
+  settings.drainGrace =
+      Duration{platform.integer("obligations.stop_sending_within", settings.connectTimeout.us)};
+  settings.warmUpTime = durationAt(platform, "obligations.ramp_time");
+  settings.coldOverloadWindow = durationAt(platform, "obligations.tip_after");
+  settings.coldInitialShare = platform.number("obligations.cold_from");
+  settings.coldOverloadMultiple = platform.number("obligations.fall_multiple");
+}
+
+}  // namespace
+
+int indexOf(const std::vector<std::string>& names, std::string_view name) {
+  auto it = std::find(names.begin(), names.end(), name);
+  return it == names.end() ? -1 : static_cast<int>(it - names.begin());
+}
+
+EngineSettings engineSettingsFrom(const PlatformSettings& platform, std::uint64_t seed,
+                                  Names& names) {
+  EngineSettings settings;
+  settings.seed = seed;
+  settings.proxyCount = static_cast<int>(platform.integer("siblings", 1));
+  settings.tick = durationAt(platform, "tick");
+  names.zones = platform.list("failure_domains");
+  readWorkloads(platform, settings, names);
+  readTenants(platform, settings, names);
+  readAttemptLimits(platform, settings);
+  readStoreBehaviour(platform, settings);
+  readTimes(platform, settings);
+  return settings;
 }
 
 }  // namespace reedchute
--- a/src/config/engine_settings.h
+++ b/src/config/engine_settings.h
@@ -1,5 +1,5 @@
-// From the platform's settings to the module's EngineSettings, for the simulator's adapter and the
-// front alike.
+// Translates the platform's settings into the decision engine's, for the proxy and the simulator's
+// adapter alike. The platform's own names and words end here.
 #pragma once
 
 #include <cstdint>
@@ -13,27 +13,35 @@
 
 namespace reedchute {
 
-// Words from outside and what they stand for here.
+// Words of an outer format and the values that they stand for.
 template <class T>
-using Words = std::vector<std::pair<std::string_view, T>>;
+using WordTable = std::vector<std::pair<std::string_view, T>>;
 
+// The value of `word`. Throws InvalidInput, which names `what` is unknown.
 template <class T>
-T meaning(const Words<T>& words, std::string_view word, const char* what) {
-  for (const auto& [name, value] : words)
+T parseWord(const WordTable<T>& table, std::string_view word, const char* what) {
+  for (const auto& [name, value] : table)
     if (name == word) return value;
   throw InvalidInput(std::string("unknown ") + what + ": '" + std::string(word.substr(0, 60)) +
                      "'");
 }
 
-// Names that the settings list; an index into a list is what the module knows.
+// The names in the platform's settings, by the indices that the engine has for them.
 struct Names {
-  std::vector<std::string> workloads, tenants, zones;
-  std::vector<int> templateOf;     // of rows beyond these: the one that a row was made from
-  std::vector<char> deduplicated;  // whether a workload's statements carry an idempotency key
+  std::vector<std::string> workloads;
+  std::vector<std::string> tenants;
+  std::vector<std::string> zones;
+  // For each workload that was added to the platform's own: the one that it was made from, or -1.
+  std::vector<int> templateOf;
+  // By workload: whether its statements carry an idempotency key.
+  std::vector<bool> deduplicated;
 };
 
+// The index of `name`, or -1.
 int indexOf(const std::vector<std::string>& names, std::string_view name);
 
-EngineSettings engineSettingsFrom(const PlatformSettings& p, std::uint64_t seed, Names& names);
+// Reads all settings of the engine, and fills `names`. Throws InvalidInput.
+EngineSettings engineSettingsFrom(const PlatformSettings& platform, std::uint64_t seed,
+                                  Names& names);
 
 }  // namespace reedchute
--- a/src/config/hcl_settings.cpp
+++ b/src/config/hcl_settings.cpp
@@ -185,7 +185,7 @@
   return all;
 }
 
-void Section::done() const {
+void Section::requireAllRead() const {
   for (const Attribute& a : block_.attributes)
     if (!asked_.contains(a.name))
       throw InvalidInput(file_ + ":" + std::to_string(a.line) + ": '" + a.name +
--- a/src/config/platform_settings.cpp
+++ b/src/config/platform_settings.cpp
@@ -5,19 +5,32 @@
 namespace reedchute {
 namespace {
 
-std::string plain(const json::Value& v) {
+// Leaves room for sums of a few values.
+constexpr std::int64_t kMostInteger = INT64_MAX / 8;
+constexpr const char* kAbsent = "-";  // stands for a setting without a value
+
+std::string scalarText(const json::Value& value) {
   using Kind = json::Value::Kind;
-  switch (v.kind) {
+  switch (value.kind) {
     case Kind::boolean:
-      return v.boolean ? "true" : "false";
+      return value.boolean ? "true" : "false";
     case Kind::number:
     case Kind::string:
-      return v.text;
+      return value.text;
     default:
-      return "-";
+      return kAbsent;
   }
 }
 
+std::string joinedText(const json::Value& array) {
+  std::string joined;
+  for (const json::Value& item : array.items) {
+    if (!joined.empty()) joined += ',';
+    joined += scalarText(item);
+  }
+  return joined;
+}
+
 }  // namespace
 
 void badValue(const char* what, std::string_view text) {
@@ -38,27 +51,33 @@
 }
 
 void PlatformSettings::add(const std::string& path, const json::Value& value) {
-  using Kind = json::Value::Kind;
-  if (value.kind == Kind::object) {
-    for (const auto& [name, member] : value.members)
-      add(path.empty() ? name : path + "." + name, member);
-  } else if (value.kind == Kind::array && !value.items.empty() &&
-             value.items[0].kind == Kind::object) {
-    set(path + ".count", std::to_string(value.items.size()));
-    for (std::size_t k = 0; k < value.items.size(); ++k)
-      add(path + "." + std::to_string(k), value.items[k]);
-  } else if (value.kind == Kind::array) {
-    std::string joined;
-    for (const json::Value& item : value.items) joined += (joined.empty() ? "" : ",") + plain(item);
-    set(path, std::move(joined));
-  } else {
-    set(path, plain(value));
+  switch (value.kind) {
+    case json::Value::Kind::object:
+      return addObject(path, value);
+    case json::Value::Kind::array:
+      return addArray(path, value);
+    default:
+      set(path, scalarText(value));
   }
 }
 
+void PlatformSettings::addObject(const std::string& path, const json::Value& object) {
+  std::string prefix = path.empty() ? "" : path + ".";
+  for (const auto& [name, member] : object.members) add(prefix + name, member);
+}
+
+void PlatformSettings::addArray(const std::string& path, const json::Value& array) {
+  bool holdsObjects = !array.items.empty() && array.items[0].kind == json::Value::Kind::object;
+  if (!holdsObjects) return set(path, joinedText(array));
+  set(path + ".count", std::to_string(array.items.size()));
+  for (std::size_t k = 0; k < array.items.size(); ++k)
+    add(path + "." + std::to_string(k), array.items[k]);
+}
+
 const std::string* PlatformSettings::find(const std::string& path) const {
   auto it = values_.find(path);
-  return it == values_.end() || it->second == "-" ? nullptr : &it->second;
+  if (it == values_.end() || it->second == kAbsent) return nullptr;
+  return &it->second;
 }
 
 const std::string& PlatformSettings::need(const std::string& path) const {
@@ -77,7 +96,7 @@
 
 std::int64_t PlatformSettings::integer(const std::string& path) const {
   auto value = integerFrom<std::int64_t>(need(path), path.c_str());
-  if (value < -INT64_MAX / 8 || value > INT64_MAX / 8) badValue(path.c_str(), need(path));
+  if (value < -kMostInteger || value > kMostInteger) badValue(path.c_str(), need(path));
   return value;
 }
 
@@ -97,11 +116,12 @@
   std::vector<std::string> items;
   const std::string* value = find(path);
   if (!value || value->empty()) return items;
-  for (std::string_view text = *value;;) {
-    std::size_t comma = text.find(',');
-    items.emplace_back(text.substr(0, comma));
+  std::string_view rest = *value;
+  for (;;) {
+    std::size_t comma = rest.find(',');
+    items.emplace_back(rest.substr(0, comma));
     if (comma == std::string_view::npos) return items;
-    text.remove_prefix(comma + 1);
+    rest.remove_prefix(comma + 1);
   }
 }
 
--- a/src/ctl/main.cpp
+++ b/src/ctl/main.cpp
@@ -268,7 +268,7 @@
   config::Section all(path, file);
   for (config::Section s : all.blocks("cassandra")) protocols::cassandra::parseConfig(std::move(s));
   for (config::Section s : all.blocks("ledger")) feedFrom(std::move(s), "check");
-  all.done();
+  all.requireAllRead();
   std::printf("%s: sound\n", path.c_str());
   return kDone;
 }
--- a/src/ledger/settings.cpp
+++ b/src/ledger/settings.cpp
@@ -38,7 +38,7 @@
   std::string behind = s.text("when_behind", "serve");
   if (behind != "serve" && behind != "refuse") s.fail("when_behind", "must be serve or refuse");
   g.refuse = behind == "refuse";
-  s.done();
+  s.requireAllRead();
   return g;
 }
 
--- a/src/protocols/cassandra/settings.cpp
+++ b/src/protocols/cassandra/settings.cpp
@@ -41,7 +41,7 @@
   m.workload = s.text("workload");
   m.group = s.number("group", INT32_MIN, INT32_MAX);
   if (s.has("timeout_ms")) m.timeout = Duration{s.number("timeout_ms", 1, 86'400'000) * 1000};
-  s.done();
+  s.requireAllRead();
   return m;
 }
 
@@ -50,7 +50,7 @@
   p.address = addressIn(s, "address", false);
   p.datacenter = s.text("datacenter", g.datacenter);
   p.rack = s.text("rack", g.rack);
-  s.done();
+  s.requireAllRead();
   return p;
 }
 
@@ -89,12 +89,12 @@
     if (compression != "none" && compression != "lz4")
       store.fail("compression", "must be none or lz4");
     g.storeCompression = compression == "lz4";
-    store.done();
+    store.requireAllRead();
   }
   for (config::Section peer : s.blocks("peer")) g.peers.push_back(peerFrom(std::move(peer), g));
   for (config::Section mapping : s.blocks("map"))
     g.mappings.push_back(mappingFrom(std::move(mapping)));
-  s.done();
+  s.requireAllRead();
   return g;
 }
 
--- a/src/proxy/counters_log.cpp
+++ b/src/proxy/counters_log.cpp
@@ -54,11 +54,13 @@
       "rejected=%llu "
       "aborted=%llu executions=%llu probes=%llu connects=%llu answered=%llu client_gone=%llu "
       "late=%llu",
-      log::printable(requests.taken), sources_.statements.openCount(), sessionCount(sources_.clients),
-      sources_.pools.connections(), sources_.ids.stores.size(), sources_.endpoints.absentCount(),
-      log::printable(answers.completed), log::printable(answers.rejected), log::printable(answers.aborted),
-      log::printable(sources_.dispatcher.executions()), log::printable(sources_.dispatcher.probes()),
-      log::printable(sources_.pools.opened()), log::printable(requests.answered), log::printable(requests.gone),
+      log::printable(requests.taken), sources_.statements.openCount(),
+      sessionCount(sources_.clients), sources_.pools.connectionCount(), sources_.ids.stores.size(),
+      sources_.endpoints.absentCount(), log::printable(answers.completed),
+      log::printable(answers.rejected), log::printable(answers.aborted),
+      log::printable(sources_.dispatcher.executions()),
+      log::printable(sources_.dispatcher.probes()), log::printable(sources_.pools.openedCount()),
+      log::printable(requests.answered), log::printable(requests.gone),
       log::printable(requests.late));
 }
 
@@ -89,8 +91,8 @@
   if (missing == 0) return;
   log::line("responses_missing",
             "statements=%lld taken=%llu answered=%llu client_gone=%llu owed=%zu", missing,
-            log::printable(requests.taken), log::printable(requests.answered), log::printable(requests.gone),
-            pending);
+            log::printable(requests.taken), log::printable(requests.answered),
+            log::printable(requests.gone), pending);
 }
 
 }  // namespace reedchute::proxy
--- a/src/proxy/endpoint_registry.cpp
+++ b/src/proxy/endpoint_registry.cpp
@@ -51,10 +51,9 @@
   placeInPools(info.store, endpoint);
   engine_.addEndpoint(info, now);
   statements_.guard().listed(info.store, info.group, info.zone, info.listed, now);
-  log::line("endpoint", "store=%d id=%s group=%lld state=%s primary=%d started_ms=%lld",
-            info.store, endpoint.id.c_str(), static_cast<long long>(endpoint.group),
-            nameOf(endpoint.listed), endpoint.primary,
-            static_cast<long long>(endpoint.startedMs));
+  log::line("endpoint", "store=%d id=%s group=%lld state=%s primary=%d started_ms=%lld", info.store,
+            endpoint.id.c_str(), static_cast<long long>(endpoint.group), nameOf(endpoint.listed),
+            endpoint.primary, static_cast<long long>(endpoint.startedMs));
 }
 
 void EndpointRegistry::placeInPools(int store, const discovery::Endpoint& endpoint) {
@@ -62,18 +61,18 @@
     std::optional<sockaddr_in> address = protocol->upstreamAddress(endpoint);
     if (!address) continue;
     for (request::ProtocolVersion version : protocol->versions())
-      pools_.place(store, version, *address);
+      pools_.setAddress(store, version, *address);
   }
 }
 
 void EndpointRegistry::withdrawUnlisted(const discovery::EndpointList& list, TimePoint now) {
   for (const discovery::Endpoint& endpoint : list.members)
-    if (endpoint.listed != EndpointStatus::up) pools_.withdraw(ids_.stores.find(endpoint.id));
-  if (!config_.engineSettings.goneBinds) return;
+    if (endpoint.listed != EndpointStatus::up) pools_.drainStore(ids_.stores.find(endpoint.id));
+  if (!config_.engineSettings.removalMeansDrained) return;
   for (const auto& [store, since] : absentSince_) {
     statements_.guard().dropped(store, now);
-    pools_.withdraw(store);
-    pools_.release(store);
+    pools_.drainStore(store);
+    pools_.closeIdleConnections(store);
   }
 }
 
@@ -90,9 +89,8 @@
 // as it would pile up where stores are always new.
 runtime::Task<> EndpointRegistry::removeExpired() {
   for (;;) {
-    co_await runtime::sleepUntil(scheduler_,
-                                 scheduler_.now() + config_.keepalive * kSweepInterval);
-    if (!config_.engineSettings.goneBinds) continue;
+    co_await runtime::sleepUntil(scheduler_, scheduler_.now() + config_.keepalive * kSweepInterval);
+    if (!config_.engineSettings.removalMeansDrained) continue;
     std::erase_if(absentSince_, [&](const auto& entry) {
       if (!mayRemove(entry.first, entry.second)) return false;
       remove(entry.first);
@@ -103,14 +101,14 @@
 
 bool EndpointRegistry::mayRemove(int store, TimePoint absentSince) const {
   if (scheduler_.now() - absentSince < config_.keepalive * kAbsentRetention) return false;
-  return pools_.unused(store) && !statements_.names(store);
+  return pools_.isUnused(store) && !statements_.names(store);
 }
 
 void EndpointRegistry::remove(int store) {
   log::line("endpoint_removed", "store=%d id=%s", store, ids_.stores.id(store).c_str());
   engine_.removeEndpoint(store, scheduler_.now());
   statements_.guard().forget(store);
-  pools_.forget(store);
+  pools_.removeStore(store);
   ids_.stores.release(store);
   startTimes_.erase(store);
 }
--- a/src/proxy/endpoint_registry.h
+++ b/src/proxy/endpoint_registry.h
@@ -23,8 +23,7 @@
   // `ids` gets the indices. Everything is borrowed and has to outlive the registry.
   EndpointRegistry(runtime::Scheduler& scheduler, const config::Config& config, EndpointIds& ids,
                    DecisionEngine& engine, pipeline::StatementTable& statements,
-                   upstream::ConnectionPools& pools,
-                   const Protocols& protocols)
+                   upstream::ConnectionPools& pools, const Protocols& protocols)
       : scheduler_(scheduler),
         config_(config),
         ids_(ids),
@@ -33,7 +32,8 @@
         pools_(pools),
         protocols_(protocols) {}
 
-  // `polled`: whether the list comes from the discovery service, rather than from the configuration.
+  // `polled`: whether the list comes from the discovery service, rather than from the
+  // configuration.
   void apply(const discovery::EndpointList& list, bool polled);
   // Removes absent stores periodically, for as long as the process runs.
   runtime::Task<> removeExpired();
--- a/src/proxy/protocols.cpp
+++ b/src/proxy/protocols.cpp
@@ -12,16 +12,16 @@
 namespace {
 
 // Memory, as divisors of what is allowed.
-constexpr std::size_t kPipelineDivisor = 16;       // statements of one client at a time
-constexpr std::size_t kOrderedDivisor = 16;        // responses that wait for earlier ones
+constexpr std::size_t kPipelineDivisor = 16;        // statements of one client at a time
+constexpr std::size_t kOrderedDivisor = 16;         // responses that wait for earlier ones
 constexpr std::size_t kClientPreparedDivisor = 32;  // texts that clients have prepared
-constexpr std::size_t kStorePreparedDivisor = 8;   // what stores have prepared, all together
+constexpr std::size_t kStorePreparedDivisor = 8;    // what stores have prepared, all together
 
 class Postgres : public Protocol {
  public:
   Postgres(config::Config& config, const ProtocolContext& context)
       : config_(config),
-        version_(context.pools.add(upstreamProtocol_)),
+        version_(context.pools.addProtocol(upstreamProtocol_)),
         clientProtocol_(context.scheduler, context.handler,
                         protocols::postgres::TakeIn(config.engineSettings, config.names,
                                                     context.endpointIds.groups, context.openIds),
@@ -58,7 +58,7 @@
         storePrepared_(config.maxMemory / kStorePreparedDivisor),
         upstreamV4_(config_, 4, storePrepared_),
         upstreamV5_(config_, 5, storePrepared_),
-        versions_{context.pools.add(upstreamV4_), context.pools.add(upstreamV5_)},
+        versions_{context.pools.addProtocol(upstreamV4_), context.pools.addProtocol(upstreamV5_)},
         clientProtocol_(
             context.scheduler, context.handler, *this, config_,
             protocols::cassandra::TakeIn(config_, config.names, context.endpointIds.groups,
--- a/src/proxy/protocols.h
+++ b/src/proxy/protocols.h
@@ -44,8 +44,7 @@
   // Whether stores are probed in this protocol.
   virtual bool isForProbes() const = 0;
   // Where a store is reached in this protocol.
-  virtual std::optional<sockaddr_in> upstreamAddress(
-      const discovery::Endpoint& endpoint) const = 0;
+  virtual std::optional<sockaddr_in> upstreamAddress(const discovery::Endpoint& endpoint) const = 0;
   // Called when the process begins to drain; clients should be told to go elsewhere.
   virtual void onDraining() {}
 };
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -21,8 +21,8 @@
 constexpr double kLedgerLogTicks = 4;
 
 config::Config withKnowledgeDelays(config::Config config) {
-  config.engineSettings.toldAnyway = kListKnownAfter;
-  config.engineSettings.answersCountAfter = kResponseKnownAfter;
+  config.engineSettings.endpointsAssumedKnownAfter = kListKnownAfter;
+  config.engineSettings.responseAssumedKnownAfter = kResponseKnownAfter;
   return config;
 }
 
@@ -188,7 +188,7 @@
 void Proxy::onClockStep(Duration ahead) {
   log::line("clock_step", "ahead_ms=%lld", static_cast<long long>(ahead.us / 1000));
   engine_.onClockStepped(ahead);
-  pools_.recall([&](const request::UpstreamRequest& request) {
+  pools_.cancelUnsent([&](const request::UpstreamRequest& request) {
     if (request.statement < 0 || ahead <= Duration{}) return false;
     int workload = statements_.row(request.statement).workload;
     Level level = config_.engineSettings.workloads[static_cast<std::size_t>(workload)].level;
--- a/src/proxy/resource_limits.cpp
+++ b/src/proxy/resource_limits.cpp
@@ -35,9 +35,9 @@
   return {
       .connectTimeout = config.engineSettings.connectTimeout,
       .keepalive = config.keepalive,
-      .connections = (config.maxDescriptors - kReservedDescriptors) / kUpstreamDivisor,
-      .row = config.maxMemory / kRowMemoryDivisor,
-      .bytes = config.maxMemory / kUpstreamMemoryDivisor,
+      .maxConnections = (config.maxDescriptors - kReservedDescriptors) / kUpstreamDivisor,
+      .maxRowBytes = config.maxMemory / kRowMemoryDivisor,
+      .maxBufferedBytes = config.maxMemory / kUpstreamMemoryDivisor,
   };
 }
 
@@ -67,13 +67,13 @@
 
 discovery::EndpointWatcher::Pace discoveryPace(const EngineSettings& settings) {
   Duration connect = settings.connectTimeout;
-  if (!settings.mustAsk) connect = std::min(connect, settings.drainGrace * kConnectPart);
+  if (!settings.pollsEndpoints) connect = std::min(connect, settings.drainGrace * kConnectPart);
   return {
-      .wait = std::min(settings.askEvery, settings.toldAnyway * kWatchPart),
-      .silence = settings.toldAnyway * kSilencePart,
+      .wait = std::min(settings.maxPollInterval, settings.endpointsAssumedKnownAfter * kWatchPart),
+      .silence = settings.endpointsAssumedKnownAfter * kSilencePart,
       .connect = connect,
       .retry = std::min(settings.connectTimeout, settings.drainGrace) * kRetryPart,
-      .onDemand = settings.mustAsk,
+      .onDemand = settings.pollsEndpoints,
   };
 }
 
--- a/src/simulator/adapter.cpp
+++ b/src/simulator/adapter.cpp
@@ -12,7 +12,7 @@
 constexpr int kSheets = 16;
 constexpr std::int64_t kLongestSleep = 71LL * 60 * 1'000'000;
 
-const Words<EndpointStatus> kStates = {
+const WordTable<EndpointStatus> kStates = {
     {"U", EndpointStatus::up}, {"L", EndpointStatus::draining}, {"D", EndpointStatus::gone}};
 
 AttemptOutcome endingOf(std::int64_t code) {
@@ -70,7 +70,7 @@
   }
   void probe(int store) override { begin("POLL").add(stores.id(store)).end(); }
   void release(int store) override { begin("RELEASE").add(stores.id(store)).end(); }
-  void watchList() override { begin("OBSERVE").add(1).end(); }
+  void pollEndpoints() override { begin("OBSERVE").add(1).end(); }
   void wake(Duration after) override {
     begin("SLEEP").add(1).add(std::min(after.us, kLongestSleep)).end();
   }
@@ -199,7 +199,7 @@
       throw InvalidInput("a store that no list has named: '" + line_.text(3, "store") + "'");
     AttemptOutcome ending = endingOf(line_.integer(2, "ending"));
     line_.integer(4, "delay_seen");
-    Report report;
+    ReplicaReport report;
     for (auto [field, value] : line_.report(5, "pressure")) {
       if (field == "x0")
         report.position = in.origin + Duration{static_cast<std::int64_t>(value * 1e6)};
@@ -270,7 +270,7 @@
   e.primary = line_.maybeNumber(2, "primary").value_or(0) > 0.5;
   e.zone = line_.raw(3);
   e.group = line_.integer(5, "db", INT32_MIN, INT32_MAX);
-  e.listed = meaning(kStates, line_.text(6, "status"), "status");
+  e.listed = parseWord(kStates, line_.text(6, "status"), "status");
   e.weight = line_.maybeNumber(7, "heft").value_or(1);
   e.started = line_.maybeInteger(8, "last_start").value_or(0);
   sheets_[static_cast<std::size_t>(sheetOpen_)].push_back(std::move(e));
--- a/tests/protocols/cassandra_test.cpp
+++ b/tests/protocols/cassandra_test.cpp
@@ -370,7 +370,7 @@
       config::Block file = config::parseBlock("f.hcl", text);
       config::Section all("f.hcl", file);
       Config g = parseConfig(all.blocks("cassandra").front());
-      all.done();
+      all.requireAllRead();
       std::printf("%s: taken, %zu streams, %zu mappings, %zu peers, version 5 %d\n", what,
                   g.streams, g.mappings.size(), g.peers.size(), g.v5);
     } catch (const std::exception& e) {
