--- a/src/codec/json/json.cpp
+++ b/src/codec/json/json.cpp
@@ -1,53 +1,104 @@
 #include "codec/json/json.h"
 
 #include <charconv>
+#include <system_error>
 
 namespace reedchute::json {
 namespace {
 
-constexpr std::size_t kDeepest = 64;
+constexpr std::size_t kMaxDepth = 64;    // arrays and objects in each other
+constexpr std::size_t kLongestWord = 5;  // characters
+constexpr int kHexDigits = 4;            // of a \u escape
+constexpr int kNoDigit = -1;
 
-bool blank(char c) {
+// Half of a character beyond the basic plane, as two escapes write it.
+bool isHighSurrogate(unsigned code) {
+  return code >= 0xd800 && code < 0xdc00;
+}
+
+bool isLowSurrogate(unsigned code) {
+  return code >= 0xdc00 && code < 0xe000;
+}
+
+constexpr unsigned kReplacementCharacter = 0xfffd;
+
+bool isDigit(char c) {
+  return c >= '0' && c <= '9';
+}
+
+bool isWordCharacter(char c) {
+  return c >= 'a' && c <= 'z';
+}
+
+int hexDigit(char c) {
+  if (isDigit(c)) return c - '0';
+  if (c >= 'a' && c <= 'f') return c - 'a' + 10;
+  if (c >= 'A' && c <= 'F') return c - 'A' + 10;
+  return kNoDigit;
+}
+
+bool isBlank(char c) {
   return c == ' ' || c == '\t' || c == '\n' || c == '\r';
 }
 
-bool inNumber(char c) {
-  return (c >= '0' && c <= '9') || c == '-' || c == '+' || c == '.' || c == 'e' || c == 'E';
+bool isNumberCharacter(char c) {
+  return isDigit(c) || c == '-' || c == '+' || c == '.' || c == 'e' || c == 'E';
 }
 
-// JSON's own form of a number, which is narrower than what from_chars takes.
-bool wellFormed(std::string_view t) {
-  auto digit = [&](std::size_t k) { return k < t.size() && t[k] >= '0' && t[k] <= '9'; };
-  std::size_t k = !t.empty() && t[0] == '-' ? 1 : 0;
-  if (!digit(k)) return false;
-  if (t[k] == '0')
-    ++k;
-  else
-    while (digit(k)) ++k;
-  if (k < t.size() && t[k] == '.') {
-    if (!digit(++k)) return false;
-    while (digit(k)) ++k;
+// Reads over the parts of a number.
+class NumberScanner {
+ public:
+  explicit NumberScanner(std::string_view text) : text_(text) {}
+
+  bool atEnd() const { return position_ == text_.size(); }
+  bool skip(char c) {
+    if (atEnd() || text_[position_] != c) return false;
+    ++position_;
+    return true;
+  }
+  // False if there is not a single one.
+  bool skipDigits() {
+    std::size_t begin = position_;
+    while (!atEnd() && isDigit(text_[position_])) ++position_;
+    return position_ > begin;
   }
-  if (k < t.size() && (t[k] == 'e' || t[k] == 'E')) {
-    ++k;
-    if (k < t.size() && (t[k] == '+' || t[k] == '-')) ++k;
-    if (!digit(k)) return false;
-    while (digit(k)) ++k;
+
+ private:
+  std::string_view text_;
+  std::size_t position_ = 0;
+};
+
+// JSON's form of a number, which is narrower than that of from_chars.
+bool isWellFormedNumber(std::string_view text) {
+  NumberScanner scanner(text);
+  scanner.skip('-');
+  bool hasInteger = scanner.skip('0') || scanner.skipDigits();
+  if (!hasInteger) return false;
+  if (scanner.skip('.') && !scanner.skipDigits()) return false;
+  if (scanner.skip('e') || scanner.skip('E')) {
+    if (!scanner.skip('+')) scanner.skip('-');
+    if (!scanner.skipDigits()) return false;
   }
-  return k == t.size();
+  return scanner.atEnd();
 }
 
-void addUtf8(std::string& to, unsigned code) {
-  auto add = [&](unsigned byte) { to.push_back(static_cast<char>(byte)); };
+void appendUtf8(std::string& to, unsigned code) {
+  auto append = [&](unsigned byte) { to.push_back(static_cast<char>(byte)); };
+  auto appendContinuation = [&](unsigned bits) { append(0x80 | (bits & 0x3f)); };
   if (code < 0x80) {
-    add(code);
+    append(code);
   } else if (code < 0x800) {
-    add(0xc0 | code >> 6), add(0x80 | (code & 0x3f));
+    append(0xc0 | code >> 6);
+    appendContinuation(code);
   } else if (code < 0x10000) {
-    add(0xe0 | code >> 12), add(0x80 | (code >> 6 & 0x3f)), add(0x80 | (code & 0x3f));
+    append(0xe0 | code >> 12);
+    appendContinuation(code >> 6);
+    appendContinuation(code);
   } else {
-    add(0xf0 | code >> 18), add(0x80 | (code >> 12 & 0x3f)), add(0x80 | (code >> 6 & 0x3f));
-    add(0x80 | (code & 0x3f));
+    append(0xf0 | code >> 18);
+    appendContinuation(code >> 12);
+    appendContinuation(code >> 6);
+    appendContinuation(code);
   }
 }
 
@@ -87,188 +138,229 @@
 
 bool Reader::step(char c) {
   switch (state_) {
+    case State::string:
+      return stepString(c);
+    case State::escape:
+      return stepEscape(c);
+    case State::hex:
+      return stepHex(c);
     case State::number:
-      if (inNumber(c)) {
-        token_.push_back(c);
-        return true;
-      }
-      return endNumber() && step(c);
+      return stepNumber(c);
     case State::word:
-      if (c >= 'a' && c <= 'z') {
-        token_.push_back(c);
-        return token_.size() <= 5 || fail("an unknown word");
-      }
-      return endWord() && step(c);
-    case State::text:
-      if (c == '"') return endText();
-      if (c == '\\') {
-        state_ = State::escape;
-        return true;
-      }
-      if (static_cast<unsigned char>(c) < 0x20) return fail("a control character in a text");
-      token_.push_back(c);
-      return true;
-    case State::escape: {
-      constexpr std::string_view from = "\"\\/bfnrt", to = "\"\\/\b\f\n\r\t";
-      if (c == 'u') {
-        code_ = 0, digits_ = 0, state_ = State::hex;
-        return true;
-      }
-      std::size_t k = from.find(c);
-      if (k == std::string_view::npos) return fail("an unknown escape");
-      token_.push_back(to[k]);
-      state_ = State::text;
-      return true;
-    }
-    case State::hex: {
-      unsigned digit = c >= '0' && c <= '9'   ? static_cast<unsigned>(c - '0')
-                       : c >= 'a' && c <= 'f' ? static_cast<unsigned>(c - 'a' + 10)
-                       : c >= 'A' && c <= 'F' ? static_cast<unsigned>(c - 'A' + 10)
-                                              : 16;
-      if (digit == 16) return fail("a broken escape");
-      code_ = code_ << 4 | digit;
-      if (++digits_ == 4) addCode(), state_ = State::text;
-      return true;
-    }
+      return stepWord(c);
     case State::bad:
       return false;
     default:
-      break;
+      return isBlank(c) || stepBetweenTokens(c);
   }
-  if (blank(c)) return true;
+}
+
+bool Reader::stepBetweenTokens(char c) {
   switch (state_) {
-    case State::firstItem:
-      if (c == ']') {
-        Value v = std::move(stack_.back().value);
-        stack_.pop_back();
-        return closed(std::move(v));
-      }
-      return begin(c);
     case State::value:
-      return begin(c);
+      return beginValue(c);
+    case State::firstItem:
+      return stepFirstItem(c);
     case State::firstName:
-      if (c == '}') {
-        Value v = std::move(stack_.back().value);
-        stack_.pop_back();
-        return closed(std::move(v));
-      }
-      [[fallthrough]];
+      return stepFirstName(c);
     case State::name:
-      if (c != '"') return fail("a member without a name");
-      nameNext_ = true, token_.clear(), high_ = 0, state_ = State::text;
-      return true;
+      return stepName(c);
     case State::colon:
-      if (c != ':') return fail("a member without a colon");
-      state_ = State::value;
-      return true;
-    case State::comma: {
-      bool list = stack_.back().value.kind == Value::Kind::array;
-      if (c == ',') {
-        state_ = list ? State::value : State::name;
-        return true;
-      }
-      if (c != (list ? ']' : '}')) return fail("a comma or an end is missing");
-      Value v = std::move(stack_.back().value);
-      stack_.pop_back();
-      return closed(std::move(v));
-    }
+      return stepColon(c);
+    case State::comma:
+      return stepComma(c);
     default:
       return fail("something follows the value");
   }
 }
 
-bool Reader::begin(char c) {
+bool Reader::stepString(char c) {
+  if (c == '"') return endString();
+  if (c == '\\') {
+    state_ = State::escape;
+    return true;
+  }
+  if (static_cast<unsigned char>(c) < 0x20) return fail("a control character in a text");
+  token_.push_back(c);
+  return true;
+}
+
+bool Reader::stepEscape(char c) {
+  constexpr std::string_view kEscapes = "\"\\/bfnrt";
+  constexpr std::string_view kMeanings = "\"\\/\b\f\n\r\t";
+  if (c == 'u') {
+    code_ = 0;
+    hexDigits_ = 0;
+    state_ = State::hex;
+    return true;
+  }
+  std::size_t index = kEscapes.find(c);
+  if (index == std::string_view::npos) return fail("an unknown escape");
+  token_.push_back(kMeanings[index]);
+  state_ = State::string;
+  return true;
+}
+
+bool Reader::stepHex(char c) {
+  int digit = hexDigit(c);
+  if (digit == kNoDigit) return fail("a broken escape");
+  code_ = code_ << 4 | static_cast<unsigned>(digit);
+  if (++hexDigits_ < kHexDigits) return true;
+  addEscapedCode();
+  state_ = State::string;
+  return true;
+}
+
+bool Reader::stepNumber(char c) {
+  if (!isNumberCharacter(c)) return endNumber() && step(c);
+  token_.push_back(c);
+  return true;
+}
+
+bool Reader::stepWord(char c) {
+  if (!isWordCharacter(c)) return endWord() && step(c);
+  token_.push_back(c);
+  return token_.size() <= kLongestWord || fail("an unknown word");
+}
+
+bool Reader::stepFirstItem(char c) {
+  return c == ']' ? endLevel() : beginValue(c);
+}
+
+bool Reader::stepFirstName(char c) {
+  return c == '}' ? endLevel() : stepName(c);
+}
+
+bool Reader::stepName(char c) {
+  if (c != '"') return fail("a member without a name");
+  beginString(true);
+  return true;
+}
+
+bool Reader::stepColon(char c) {
+  if (c != ':') return fail("a member without a colon");
+  state_ = State::value;
+  return true;
+}
+
+bool Reader::stepComma(char c) {
+  bool inArray = stack_.back().value.kind == Value::Kind::array;
+  if (c == ',') {
+    state_ = inArray ? State::value : State::name;
+    return true;
+  }
+  if (c != (inArray ? ']' : '}')) return fail("a comma or an end is missing");
+  return endLevel();
+}
+
+bool Reader::beginValue(char c) {
   token_.clear();
-  // Danger: an empty list has two bytes in the text and fifty times as many here.
-  held_ += sizeof(Level);
-  if (held_ > most_) return fail("more values than memory allows");
+  // An empty array has two bytes in the text and fifty times as many here.
+  usedBytes_ += sizeof(Level);
+  if (usedBytes_ > maxBytes_) return fail("more values than memory allows");
   if (c == '{' || c == '[') {
-    if (stack_.size() >= kDeepest) return fail("too deep");
+    if (stack_.size() >= kMaxDepth) return fail("too deep");
     stack_.emplace_back();
     stack_.back().value.kind = c == '[' ? Value::Kind::array : Value::Kind::object;
     state_ = c == '[' ? State::firstItem : State::firstName;
-  } else if (c == '"') {
-    nameNext_ = false, high_ = 0, state_ = State::text;
-  } else if (c == '-' || (c >= '0' && c <= '9')) {
-    token_.push_back(c);
-    state_ = State::number;
-  } else if (c >= 'a' && c <= 'z') {
-    token_.push_back(c);
-    state_ = State::word;
-  } else {
-    return fail("no value begins like that");
+    return true;
   }
-  return true;
-}
-
-bool Reader::closed(Value v) {
-  if (stack_.empty()) {
-    root_ = std::move(v);
-    state_ = State::done;
+  if (c == '"') {
+    beginString(false);
     return true;
   }
-  Level& up = stack_.back();
-  if (up.value.kind == Value::Kind::array)
-    up.value.items.push_back(std::move(v));
-  else
-    up.value.members.emplace_back(std::move(up.name), std::move(v));
-  state_ = State::comma;
+  bool isNumber = c == '-' || isDigit(c);
+  if (!isNumber && !isWordCharacter(c)) return fail("no value begins like that");
+  token_.push_back(c);
+  state_ = isNumber ? State::number : State::word;
   return true;
 }
 
-bool Reader::endText() {
-  if (high_ != 0) return fail("half a surrogate pair");
-  if (nameNext_) {
+void Reader::beginString(bool isName) {
+  isName_ = isName;
+  token_.clear();
+  highSurrogate_ = 0;
+  state_ = State::string;
+}
+
+bool Reader::endString() {
+  if (highSurrogate_ != 0) return fail("half a surrogate pair");
+  if (isName_) {
     stack_.back().name = std::move(token_);
     token_.clear();
     state_ = State::colon;
     return true;
   }
-  Value v;
-  v.kind = Value::Kind::string;
-  v.text = std::move(token_);
+  Value value;
+  value.kind = Value::Kind::string;
+  value.text = std::move(token_);
   token_.clear();
-  return closed(std::move(v));
+  return addValue(std::move(value));
 }
 
 bool Reader::endNumber() {
-  if (!wellFormed(token_)) return fail("a broken number");
-  Value v;
-  v.kind = Value::Kind::number;
-  auto [end, error] = std::from_chars(token_.data(), token_.data() + token_.size(), v.number);
+  if (!isWellFormedNumber(token_)) return fail("a broken number");
+  Value value;
+  value.kind = Value::Kind::number;
+  auto [end, error] = std::from_chars(token_.data(), token_.data() + token_.size(), value.number);
   if (error != std::errc{}) return fail("a number out of range");
-  v.text = token_;
-  return closed(std::move(v));
+  value.text = token_;
+  return addValue(std::move(value));
 }
 
 bool Reader::endWord() {
-  Value v;
+  Value value;
   if (token_ == "true" || token_ == "false") {
-    v.kind = Value::Kind::boolean;
-    v.boolean = token_ == "true";
+    value.kind = Value::Kind::boolean;
+    value.boolean = token_ == "true";
   } else if (token_ != "null") {
     return fail("an unknown word");
   }
-  return closed(std::move(v));
+  return addValue(std::move(value));
 }
 
-void Reader::addCode() {
-  if (code_ >= 0xd800 && code_ < 0xdc00 && high_ == 0) {
-    high_ = code_;
-  } else if (high_ != 0 && code_ >= 0xdc00 && code_ < 0xe000) {
-    addUtf8(token_, 0x10000 + ((high_ - 0xd800) << 10) + (code_ - 0xdc00));
-    high_ = 0;
-  } else {
-    addUtf8(token_, code_ >= 0xd800 && code_ < 0xe000 ? 0xfffd : code_);
+bool Reader::endLevel() {
+  Value value = std::move(stack_.back().value);
+  stack_.pop_back();
+  return addValue(std::move(value));
+}
+
+// Hands a whole value to the array or object that it stands in.
+bool Reader::addValue(Value value) {
+  if (stack_.empty()) {
+    root_ = std::move(value);
+    state_ = State::done;
+    return true;
+  }
+  Level& outer = stack_.back();
+  if (outer.value.kind == Value::Kind::array)
+    outer.value.items.push_back(std::move(value));
+  else
+    outer.value.members.emplace_back(std::move(outer.name), std::move(value));
+  state_ = State::comma;
+  return true;
+}
+
+void Reader::addEscapedCode() {
+  if (isHighSurrogate(code_) && highSurrogate_ == 0) {
+    highSurrogate_ = code_;
+    return;
+  }
+  if (isLowSurrogate(code_) && highSurrogate_ != 0) {
+    appendUtf8(token_, 0x10000 + ((highSurrogate_ - 0xd800) << 10) + (code_ - 0xdc00));
+    highSurrogate_ = 0;
+    return;
   }
+  bool isHalf = isHighSurrogate(code_) || isLowSurrogate(code_);
+  appendUtf8(token_, isHalf ? kReplacementCharacter : code_);
 }
 
-bool parse(std::string_view text, Value& into, std::string& why, std::size_t most) {
-  Reader r(most);
-  bool good = r.feed(text) && r.finish();
-  why = r.why();
-  if (good) into = r.take();
-  return good;
+bool parse(std::string_view text, Value& into, std::string& why, std::size_t maxBytes) {
+  Reader reader(maxBytes);
+  bool isWhole = reader.feed(text) && reader.finish();
+  why = reader.why();
+  if (isWhole) into = reader.take();
+  return isWhole;
 }
 
 }  // namespace reedchute::json
--- a/src/config/hcl_settings.cpp
+++ b/src/config/hcl_settings.cpp
@@ -11,188 +11,224 @@
 namespace reedchute::config {
 namespace {
 
-constexpr std::size_t kMostFile = 1 << 20;
+constexpr std::size_t kMostOutput = 1 << 20;  // bytes
 
-const char* kindName(json::Value::Kind k) {
+std::string kindName(json::Value::Kind kind) {
   static constexpr const char* kNames[] = {"null",   "a boolean", "a number",
                                            "a text", "a list",    "an object"};
-  return kNames[static_cast<std::size_t>(k)];
-}
-
-Block blockFrom(const json::Value& v) {
-  Block b;
-  if (const json::Value* type = v.find("type")) b.type = type->text;
-  if (const json::Value* line = v.find("line")) b.line = static_cast<int>(line->number);
-  const json::Value* body = v.find("body");
-  if (!body) body = &v;
-  if (const json::Value* list = body->find("attributes"))
-    for (const json::Value& a : list->items) {
-      const json::Value *name = a.find("name"), *line = a.find("line"), *value = a.find("value");
-      if (name && line && value)
-        b.attributes.push_back({name->text, static_cast<int>(line->number), *value});
-    }
+  return kNames[static_cast<std::size_t>(kind)];
+}
+
+int lineOf(const json::Value* line) {
+  return line ? static_cast<int>(line->number) : 0;
+}
+
+std::vector<Attribute> attributesFrom(const json::Value& list) {
+  std::vector<Attribute> attributes;
+  for (const json::Value& item : list.items) {
+    const json::Value* name = item.find("name");
+    const json::Value* line = item.find("line");
+    const json::Value* value = item.find("value");
+    if (name && line && value) attributes.push_back({name->text, lineOf(line), *value});
+  }
+  return attributes;
+}
+
+Block blockFrom(const json::Value& value) {
+  Block block;
+  if (const json::Value* type = value.find("type")) block.type = type->text;
+  block.line = lineOf(value.find("line"));
+  const json::Value* body = value.find("body");
+  if (!body) body = &value;
+  if (const json::Value* list = body->find("attributes")) block.attributes = attributesFrom(*list);
   if (const json::Value* list = body->find("blocks"))
-    for (const json::Value& inner : list->items) b.blocks.push_back(blockFrom(inner));
-  return b;
+    for (const json::Value& inner : list->items) block.blocks.push_back(blockFrom(inner));
+  return block;
 }
 
-std::string readerBeside() {
+// The reader program, which stands in the folder of the program that runs.
+std::string readerPath() {
   char path[4096];
-  ssize_t n = readlink("/proc/self/exe", path, sizeof path);
-  std::string self(path, static_cast<std::size_t>(std::max<ssize_t>(n, 0)));
+  ssize_t length = readlink("/proc/self/exe", path, sizeof path);
+  std::string self(path, static_cast<std::size_t>(std::max<ssize_t>(length, 0)));
   return self.substr(0, self.rfind('/') + 1) + "reedchute-hcl";
 }
 
-// What a program writes to either output, and its exit.
-std::string outputOf(const std::string& program, const std::string& argument, int& status) {
-  int fds[2];
-  if (pipe(fds) < 0) throw InvalidInput("no pipe to read settings by");
+// Starts `program` with both its streams written to the pipe, whose writing end is closed here.
+// Returns the process, or -1.
+pid_t startProgram(const std::string& program, const std::string& argument, const int (&pipe)[2]) {
   posix_spawn_file_actions_t actions;
   posix_spawn_file_actions_init(&actions);
-  posix_spawn_file_actions_adddup2(&actions, fds[1], 1);
-  posix_spawn_file_actions_adddup2(&actions, fds[1], 2);
-  posix_spawn_file_actions_addclose(&actions, fds[0]);
-  posix_spawn_file_actions_addclose(&actions, fds[1]);
-  char* const args[] = {const_cast<char*>(program.c_str()), const_cast<char*>(argument.c_str()),
-                        nullptr};
+  posix_spawn_file_actions_adddup2(&actions, pipe[1], STDOUT_FILENO);
+  posix_spawn_file_actions_adddup2(&actions, pipe[1], STDERR_FILENO);
+  posix_spawn_file_actions_addclose(&actions, pipe[0]);
+  posix_spawn_file_actions_addclose(&actions, pipe[1]);
+  char* const arguments[] = {const_cast<char*>(program.c_str()),
+                             const_cast<char*>(argument.c_str()), nullptr};
   pid_t child = -1;
-  int failed = posix_spawn(&child, program.c_str(), &actions, nullptr, args, environ);
+  int error = posix_spawn(&child, program.c_str(), &actions, nullptr, arguments, environ);
   posix_spawn_file_actions_destroy(&actions);
-  close(fds[1]);
+  close(pipe[1]);
+  return error == 0 ? child : -1;
+}
+
+// Everything up to the end of the stream; what is beyond kMostOutput is dropped.
+std::string readToEnd(int fd) {
   std::string text;
   char part[4096];
-  for (ssize_t n;
-       failed == 0 && ((n = read(fds[0], part, sizeof part)) > 0 || (n < 0 && errno == EINTR));)
-    if (n > 0 && text.size() < kMostFile) text.append(part, static_cast<std::size_t>(n));
-  close(fds[0]);
-  if (failed) throw InvalidInput("settings can't be read without " + program);
+  for (;;) {
+    ssize_t length = read(fd, part, sizeof part);
+    if (length < 0 && errno == EINTR) continue;
+    if (length <= 0) return text;
+    if (text.size() < kMostOutput) text.append(part, static_cast<std::size_t>(length));
+  }
+}
+
+struct ProgramResult {
+  std::string output;  // of both its streams
+  bool succeeded = false;
+};
+
+ProgramResult runProgram(const std::string& program, const std::string& argument) {
+  int pipeEnds[2];
+  if (pipe(pipeEnds) < 0) throw InvalidInput("no pipe to read settings by");
+  pid_t child = startProgram(program, argument, pipeEnds);
+  ProgramResult result;
+  if (child >= 0) result.output = readToEnd(pipeEnds[0]);
+  close(pipeEnds[0]);
+  if (child < 0) throw InvalidInput("settings can't be read without " + program);
+  int status = 0;
   while (waitpid(child, &status, 0) < 0 && errno == EINTR) {
   }
-  return text;
+  result.succeeded = WIFEXITED(status) && WEXITSTATUS(status) == 0;
+  return result;
+}
+
+std::string position(const std::string& file, int line) {
+  return file + ":" + std::to_string(line) + ": ";
 }
 
 }  // namespace
 
 Block parseBlock(const std::string& path, const std::string& text) {
-  json::Value v;
+  json::Value value;
   std::string why;
-  if (!json::parse(text, v, why))
-    throw InvalidInput(path + ":0: what the reader of settings wrote is no JSON: " + why);
-  return blockFrom(v);
+  if (!json::parse(text, value, why))
+    throw InvalidInput(position(path, 0) + "what the reader of settings wrote is no JSON: " + why);
+  return blockFrom(value);
 }
 
 Block readBlockFile(const std::string& path) {
-  int status = 0;
-  std::string text = outputOf(readerBeside(), path, status);
-  if (!WIFEXITED(status) || WEXITSTATUS(status) != 0) {
-    // The first error is enough, and stands in one line.
-    text.resize(std::min(text.find('\n'), text.size()));
-    throw InvalidInput(text.empty() ? path + ":0: the reader of settings failed" : text);
-  }
-  return parseBlock(path, text);
+  ProgramResult result = runProgram(readerPath(), path);
+  if (result.succeeded) return parseBlock(path, result.output);
+  // The first error is enough, and stands in one line.
+  std::string error = result.output.substr(0, result.output.find('\n'));
+  throw InvalidInput(error.empty() ? position(path, 0) + "the reader of settings failed" : error);
 }
 
 const Attribute* Section::find(std::string_view name) const {
-  for (const Attribute& a : block_.attributes)
-    if (a.name == name) return &a;
+  for (const Attribute& attribute : block_.attributes)
+    if (attribute.name == name) return &attribute;
   return nullptr;
 }
 
 void Section::fail(std::string_view name, std::string_view why) const {
-  const Attribute* a = find(name);
-  throw InvalidInput(file_ + ":" + std::to_string(a ? a->line : block_.line) + ": '" +
-                     std::string(name) + "' " + std::string(why));
+  const Attribute* attribute = find(name);
+  int line = attribute ? attribute->line : block_.line;
+  throw InvalidInput(position(file_, line) + "'" + std::string(name) + "' " + std::string(why));
+}
+
+const Attribute* Section::lookUp(std::string_view name) {
+  read_.emplace(name);
+  return find(name);
 }
 
 const Attribute& Section::need(std::string_view name) {
-  asked_.emplace(name);
-  const Attribute* a = find(name);
-  if (!a) fail(name, "is missing");
-  return *a;
+  const Attribute* attribute = lookUp(name);
+  if (!attribute) fail(name, "is missing");
+  return *attribute;
 }
 
 std::string Section::text(std::string_view name) {
-  const Attribute& a = need(name);
-  if (!a.value.isString())
-    fail(name, std::string("must be a text and is ") + kindName(a.value.kind));
-  return a.value.text;
+  const Attribute& attribute = need(name);
+  if (!attribute.value.isString())
+    fail(name, "must be a text and is " + kindName(attribute.value.kind));
+  return attribute.value.text;
 }
 
 std::string Section::text(std::string_view name, std::string otherwise) {
-  asked_.emplace(name);
-  return has(name) ? text(name) : std::move(otherwise);
+  return lookUp(name) ? text(name) : std::move(otherwise);
 }
 
 std::int64_t Section::number(std::string_view name, std::int64_t least, std::int64_t most) {
-  const Attribute& a = need(name);
-  if (!a.value.isNumber())
-    fail(name, std::string("must be a number and is ") + kindName(a.value.kind));
-  double n = a.value.number;
-  if (n != std::floor(n) || n < static_cast<double>(least) || n > static_cast<double>(most))
+  const Attribute& attribute = need(name);
+  if (!attribute.value.isNumber())
+    fail(name, "must be a number and is " + kindName(attribute.value.kind));
+  double value = attribute.value.number;
+  bool isWhole = value == std::floor(value);
+  if (!isWhole || value < static_cast<double>(least) || value > static_cast<double>(most))
     fail(name,
          "must be a whole number from " + std::to_string(least) + " to " + std::to_string(most));
-  return static_cast<std::int64_t>(n);
+  return static_cast<std::int64_t>(value);
 }
 
 std::int64_t Section::number(std::string_view name, std::int64_t least, std::int64_t most,
                              std::int64_t otherwise) {
-  asked_.emplace(name);
-  return has(name) ? number(name, least, most) : otherwise;
+  return lookUp(name) ? number(name, least, most) : otherwise;
 }
 
 bool Section::boolean(std::string_view name, bool otherwise) {
-  asked_.emplace(name);
-  const Attribute* a = find(name);
-  if (!a) return otherwise;
-  if (a->value.kind != json::Value::Kind::boolean)
-    fail(name, std::string("must be true or false and is ") + kindName(a->value.kind));
-  return a->value.boolean;
+  const Attribute* attribute = lookUp(name);
+  if (!attribute) return otherwise;
+  if (attribute->value.kind != json::Value::Kind::boolean)
+    fail(name, "must be true or false and is " + kindName(attribute->value.kind));
+  return attribute->value.boolean;
+}
+
+const std::vector<json::Value>& Section::items(std::string_view name) {
+  static const std::vector<json::Value> kNone;
+  const Attribute* attribute = lookUp(name);
+  if (!attribute) return kNone;
+  if (attribute->value.kind != json::Value::Kind::array)
+    fail(name, "must be a list and is " + kindName(attribute->value.kind));
+  return attribute->value.items;
 }
 
 std::vector<std::string> Section::texts(std::string_view name) {
-  asked_.emplace(name);
-  std::vector<std::string> all;
-  const Attribute* a = find(name);
-  if (!a) return all;
-  if (a->value.kind != json::Value::Kind::array)
-    fail(name, std::string("must be a list and is ") + kindName(a->value.kind));
-  for (const json::Value& v : a->value.items) {
-    if (!v.isString()) fail(name, std::string("must hold texts and holds ") + kindName(v.kind));
-    all.push_back(v.text);
+  std::vector<std::string> texts;
+  for (const json::Value& item : items(name)) {
+    if (!item.isString()) fail(name, "must hold texts and holds " + kindName(item.kind));
+    texts.push_back(item.text);
   }
-  return all;
+  return texts;
 }
 
 std::vector<std::int64_t> Section::numbers(std::string_view name) {
-  asked_.emplace(name);
-  std::vector<std::int64_t> all;
-  const Attribute* a = find(name);
-  if (!a) return all;
-  if (a->value.kind != json::Value::Kind::array)
-    fail(name, std::string("must be a list and is ") + kindName(a->value.kind));
-  for (const json::Value& v : a->value.items) {
-    if (!v.isNumber() || v.number != std::floor(v.number)) fail(name, "must hold whole numbers");
-    all.push_back(static_cast<std::int64_t>(v.number));
+  std::vector<std::int64_t> numbers;
+  for (const json::Value& item : items(name)) {
+    if (!item.isNumber() || item.number != std::floor(item.number))
+      fail(name, "must hold whole numbers");
+    numbers.push_back(static_cast<std::int64_t>(item.number));
   }
-  return all;
+  return numbers;
 }
 
 std::vector<Section> Section::blocks(std::string_view type) {
-  asked_.emplace(type);
-  std::vector<Section> all;
-  for (const Block& b : block_.blocks)
-    if (b.type == type) all.emplace_back(file_, b);
-  return all;
+  read_.emplace(type);
+  std::vector<Section> sections;
+  for (const Block& block : block_.blocks)
+    if (block.type == type) sections.emplace_back(file_, block);
+  return sections;
 }
 
 void Section::requireAllRead() const {
-  for (const Attribute& a : block_.attributes)
-    if (!asked_.contains(a.name))
-      throw InvalidInput(file_ + ":" + std::to_string(a.line) + ": '" + a.name +
+  for (const Attribute& attribute : block_.attributes)
+    if (!read_.contains(attribute.name))
+      throw InvalidInput(position(file_, attribute.line) + "'" + attribute.name +
                          "' is no setting of this block");
-  for (const Block& b : block_.blocks)
-    if (!asked_.contains(b.type))
-      throw InvalidInput(file_ + ":" + std::to_string(b.line) + ": '" + b.type +
+  for (const Block& block : block_.blocks)
+    if (!read_.contains(block.type))
+      throw InvalidInput(position(file_, block.line) + "'" + block.type +
                          "' is no block that is known here");
 }
 
--- a/src/config/hcl_settings.h
+++ b/src/config/hcl_settings.h
@@ -1,13 +1,14 @@
-// Settings of our own, in HCL, beside the platform's JSON. The file is read by HashiCorp's library
-// in a program of its own, reedchute-hcl, which stands beside the one that runs; here its sections
-// are checked against what each part asks for. Every error is a InvalidInput whose text begins with
-// file:line.
+// Our own settings, in HCL. A program of its own, reedchute-hcl, reads the file with HashiCorp's
+// library and writes JSON; here the blocks are checked against what each part of the proxy asks
+// for. Every error is an InvalidInput whose text begins with file:line.
 #pragma once
 
 #include <cstdint>
+#include <functional>
 #include <set>
 #include <string>
 #include <string_view>
+#include <utility>
 #include <vector>
 
 #include "codec/json/json.h"
@@ -28,12 +29,14 @@
   std::vector<Block> blocks;
 };
 
-// The whole file as a block without a type. Waits for the reading program.
+// The whole file as a block without a type. Blocks until the reader program has ended.
 Block readBlockFile(const std::string& path);
-// The same from the reading program's output.
+// The same from the reader program's output.
 Block parseBlock(const std::string& path, const std::string& text);
 
-// One block as it is taken apart. What was asked for by no one is an error of done().
+// Typed reading of one block, which has to outlive it. It notes which names were read, so that
+// requireAllRead() can refuse the others as unknown. The readers throw where a value has the wrong
+// form; those without a default also where it is absent.
 class Section {
  public:
   Section(std::string file, const Block& block) : file_(std::move(file)), block_(block) {}
@@ -46,21 +49,26 @@
   std::int64_t number(std::string_view name, std::int64_t least, std::int64_t most,
                       std::int64_t otherwise);
   bool boolean(std::string_view name, bool otherwise);
-  std::vector<std::string> texts(std::string_view name);  // none where it isn't there
+  // Lists; empty where they are absent.
+  std::vector<std::string> texts(std::string_view name);
   std::vector<std::int64_t> numbers(std::string_view name);
   std::vector<Section> blocks(std::string_view type);
-  void requireAllRead() const;
-  int line() const { return block_.line; }
 
+  // Throws for the first attribute or block that nothing has read.
+  void requireAllRead() const;
+  // Throws InvalidInput with the line of `name`, or of the block where it is absent.
   [[noreturn]] void fail(std::string_view name, std::string_view why) const;
+  int line() const { return block_.line; }
 
  private:
   const Attribute* find(std::string_view name) const;
+  const Attribute* lookUp(std::string_view name);
   const Attribute& need(std::string_view name);
+  const std::vector<json::Value>& items(std::string_view name);
 
   std::string file_;
   const Block& block_;
-  std::set<std::string, std::less<>> asked_;
+  std::set<std::string, std::less<>> read_;
 };
 
 }  // namespace reedchute::config
--- a/src/simulator/frame.cpp
+++ b/src/simulator/frame.cpp
@@ -2,7 +2,7 @@
 
 namespace reedchute::simulator {
 
-void Line::split(std::string_view text) {
+void WireLine::parse(std::string_view text) {
   fields_.clear();
   for (;;) {
     std::size_t tab = text.find('\t');
@@ -12,52 +12,52 @@
   }
 }
 
-void Line::expect(std::size_t count) const {
-  if (fields() != count)
+void WireLine::expectFields(std::size_t count) const {
+  if (fieldCount() != count)
     throw InvalidInput(std::string(name()) + " takes " + std::to_string(count) + " values, not " +
-                       std::to_string(fields()));
+                       std::to_string(fieldCount()));
 }
 
-std::string Line::text(std::size_t k, const char* what) const {
-  if (fields_[k].empty() || absent(k)) badValue(what, fields_[k]);
-  return std::string(fields_[k]);
+std::string WireLine::text(std::size_t field, const char* what) const {
+  if (fields_[field].empty() || isAbsent(field)) badValue(what, fields_[field]);
+  return std::string(fields_[field]);
 }
 
-std::int64_t Line::integer(std::size_t k, const char* what, std::int64_t low,
-                           std::int64_t high) const {
-  auto value = integerFrom<std::int64_t>(fields_[k], what);
-  if (value < low || value > high) badValue(what, fields_[k]);
+std::int64_t WireLine::integer(std::size_t field, const char* what, std::int64_t least,
+                               std::int64_t most) const {
+  auto value = integerFrom<std::int64_t>(fields_[field], what);
+  if (value < least || value > most) badValue(what, fields_[field]);
   return value;
 }
 
-std::optional<std::int64_t> Line::maybeInteger(std::size_t k, const char* what) const {
-  if (absent(k)) return std::nullopt;
-  return integer(k, what);
+std::optional<std::int64_t> WireLine::maybeInteger(std::size_t field, const char* what) const {
+  if (isAbsent(field)) return std::nullopt;
+  return integer(field, what);
 }
 
-std::optional<double> Line::maybeNumber(std::size_t k, const char* what) const {
-  if (absent(k)) return std::nullopt;
-  return numberFrom(fields_[k], what);
+std::optional<double> WireLine::maybeNumber(std::size_t field, const char* what) const {
+  if (isAbsent(field)) return std::nullopt;
+  return numberFrom(fields_[field], what);
 }
 
-std::uint64_t Line::unsigned64(std::size_t k, const char* what) const {
-  return integerFrom<std::uint64_t>(fields_[k], what);
+std::uint64_t WireLine::unsigned64(std::size_t field, const char* what) const {
+  return integerFrom<std::uint64_t>(fields_[field], what);
 }
 
-std::uint64_t Line::hex(std::size_t k, const char* what) const {
-  if (absent(k)) return 0;
-  return integerFrom<std::uint64_t>(fields_[k], what, 16);
+std::uint64_t WireLine::hex(std::size_t field, const char* what) const {
+  if (isAbsent(field)) return 0;
+  return integerFrom<std::uint64_t>(fields_[field], what, 16);
 }
 
-bool Line::boolean(std::size_t k, const char* what) const {
-  return integer(k, what, 0, 1) == 1;
+bool WireLine::boolean(std::size_t field, const char* what) const {
+  return integer(field, what, 0, 1) == 1;
 }
 
-std::vector<std::pair<std::string_view, double>> Line::report(std::size_t k,
-                                                              const char* what) const {
+std::vector<std::pair<std::string_view, double>> WireLine::namedNumbers(std::size_t field,
+                                                                        const char* what) const {
   std::vector<std::pair<std::string_view, double>> values;
-  std::string_view text = fields_[k];
-  if (absent(k) || text.empty()) return values;
+  std::string_view text = fields_[field];
+  if (isAbsent(field) || text.empty()) return values;
   for (;;) {
     std::size_t comma = text.find(',');
     std::string_view pair = text.substr(0, comma);
--- a/src/simulator/main.cpp
+++ b/src/simulator/main.cpp
@@ -1,25 +1,36 @@
 // reedchute_wirehost: reads the simulator's wire on standard input, answers on standard output.
 #include <cstdio>
+#include <exception>
 #include <iostream>
 #include <string>
 
 #include "simulator/adapter.h"
 
-int main() {
+namespace {
+
+// `lineNumber` is that of the line that was read last.
+void serve(long& lineNumber) {
   std::ios::sync_with_stdio(false);
   reedchute::simulator::Adapter adapter;
-  std::string text, reply;
-  long number = 0;
+  std::string text;
+  std::string reply;
+  while (std::getline(std::cin, text)) {
+    ++lineNumber;
+    if (!adapter.onLine(text, reply)) continue;
+    std::cout << reply;
+    std::cout.flush();
+  }
+  if (adapter.isInsideBatch()) throw reedchute::InvalidInput("the input ended inside a batch");
+}
+
+}  // namespace
+
+int main() {
+  long lineNumber = 0;
   try {
-    while (std::getline(std::cin, text)) {
-      ++number;
-      if (!adapter.line(text, reply)) continue;
-      std::cout << reply;
-      std::cout.flush();
-    }
-    if (adapter.insideBatch()) throw reedchute::InvalidInput("the input ended inside a batch");
-  } catch (const std::exception& e) {
-    std::fprintf(stderr, "reedchute_wirehost: line %ld: %s\n", number, e.what());
+    serve(lineNumber);
+  } catch (const std::exception& error) {
+    std::fprintf(stderr, "reedchute_wirehost: line %ld: %s\n", lineNumber, error.what());
     return 1;
   }
   return 0;
