--- a/src/codec/http/response.cpp
+++ b/src/codec/http/response.cpp
@@ -2,109 +2,105 @@
 
 #include <algorithm>
 #include <cctype>
+#include <optional>
 
 #include "base/parse_number.h"
 
 namespace reedchute::http {
 namespace {
 
-constexpr std::size_t kMostHead = 16 * 1024;
-constexpr int kMostInterim = 8;
+constexpr std::size_t kMaxHeadSize = 16 * 1024;  // bytes
+constexpr int kMaxInterimResponses = 8;
+constexpr std::size_t kStatusOffset = 9;  // in "HTTP/1.1 200 OK"
+constexpr std::size_t kStatusLength = 3;
 
-std::string lower(std::string_view t) {
-  std::string s(t);
-  for (char& c : s) c = static_cast<char>(std::tolower(static_cast<unsigned char>(c)));
-  return s;
+std::string lowerCase(std::string_view text) {
+  std::string lower(text);
+  for (char& c : lower) c = static_cast<char>(std::tolower(static_cast<unsigned char>(c)));
+  return lower;
 }
 
-std::string_view trimmed(std::string_view t) {
-  while (!t.empty() && (t.front() == ' ' || t.front() == '\t')) t.remove_prefix(1);
-  while (!t.empty() && (t.back() == ' ' || t.back() == '\t')) t.remove_suffix(1);
-  return t;
+std::string_view trimmed(std::string_view text) {
+  auto isBlank = [](char c) { return c == ' ' || c == '\t'; };
+  while (!text.empty() && isBlank(text.front())) text.remove_prefix(1);
+  while (!text.empty() && isBlank(text.back())) text.remove_suffix(1);
+  return text;
 }
 
 }  // namespace
 
-void Response::fail(const char* why) {
+bool Response::fail(const char* why) {
   state_ = State::bad;
   why_ = why;
-}
-
-void Response::append(std::string_view& rest) {
-  std::size_t n = static_cast<std::size_t>(std::min<std::uint64_t>(left_, rest.size()));
-  if (body_.size() + n > mostBody_) return fail("the body is too long");
-  body_.append(rest.substr(0, n));
-  rest.remove_prefix(n);
-  left_ -= n;
+  return false;
 }
 
 std::size_t Response::feed(std::string_view bytes) {
   std::string_view rest = bytes;
-  while (!rest.empty() && state_ != State::whole && state_ != State::bad) {
+  while (!rest.empty() && !whole() && !bad()) {
     switch (state_) {
       case State::body:
-        append(rest);
-        if (state_ == State::body && left_ == 0) state_ = State::whole;
+        appendBody(rest);
+        if (state_ == State::body && bodyLeft_ == 0) state_ = State::whole;
         break;
       case State::chunkData:
-        append(rest);
-        if (state_ == State::chunkData && left_ == 0) state_ = State::chunkEnd;
+        appendBody(rest);
+        if (state_ == State::chunkData && bodyLeft_ == 0) state_ = State::chunkEnd;
         break;
       case State::untilEnd:
-        left_ = rest.size();
-        append(rest);
+        bodyLeft_ = rest.size();
+        appendBody(rest);
         break;
-      default: {  // a line
-        char c = rest[0];
-        rest.remove_prefix(1);
-        if (++headSize_ > kMostHead) {
-          fail("the head is too long");
-        } else if (c != '\n') {
-          line_.push_back(c);
-        } else {
-          if (!line_.empty() && line_.back() == '\r') line_.pop_back();
-          if (headLine()) line_.clear();
-        }
-      }
+      default:
+        appendToLine(rest);
     }
   }
   return bytes.size() - rest.size();
 }
 
+void Response::appendBody(std::string_view& rest) {
+  auto count = static_cast<std::size_t>(std::min<std::uint64_t>(bodyLeft_, rest.size()));
+  if (body_.size() + count > maxBody_) {
+    fail("the body is too long");
+    return;
+  }
+  body_.append(rest.substr(0, count));
+  rest.remove_prefix(count);
+  bodyLeft_ -= count;
+}
+
+void Response::appendToLine(std::string_view& rest) {
+  char c = rest[0];
+  rest.remove_prefix(1);
+  if (++headSize_ > kMaxHeadSize) {
+    fail("the head is too long");
+    return;
+  }
+  if (c != '\n') {
+    line_.push_back(c);
+    return;
+  }
+  if (!line_.empty() && line_.back() == '\r') line_.pop_back();
+  if (readLine()) line_.clear();
+}
+
 void Response::ended(bool reset) {
+  if (whole() || bad()) return;
   if (state_ == State::untilEnd && !reset)
     state_ = State::whole;
-  else if (state_ != State::whole && state_ != State::bad)
+  else
     fail("the connection ended inside a response");
 }
 
-bool Response::headLine() {
-  std::optional<std::uint64_t> size;
+bool Response::readLine() {
   switch (state_) {
     case State::head:
-      if (!started_) return startLine();
-      if (line_.empty()) {
-        headEnds();
-        return state_ != State::bad;
-      }
-      break;
+      return readHeadLine();
     case State::chunkSize:
-      headSize_ = 0;
-      size = parseNumber<std::uint64_t>(trimmed(std::string_view(line_).substr(0, line_.find(';'))),
-                                        16);
-      if (!size) {
-        fail("a broken chunk size");
-        return false;
-      }
-      left_ = *size;
-      state_ = left_ == 0 ? State::trailer : State::chunkData;
-      return true;
+      return readChunkSize();
     case State::chunkEnd:
       headSize_ = 0;
-      if (!line_.empty()) {
-        fail("a chunk longer than its size");
-        return false;
-      }
+      if (!line_.empty()) return fail("a chunk longer than its size");
       state_ = State::chunkSize;
       return true;
     case State::trailer:
@@ -113,57 +109,84 @@
     default:
       return true;
   }
+}
+
+bool Response::readHeadLine() {
+  if (!hasStatus_) return readStatusLine();
+  if (!line_.empty()) return readHeader();
+  endHead();
+  return !bad();
+}
+
+bool Response::readChunkSize() {
+  headSize_ = 0;
+  std::string_view digits = std::string_view(line_).substr(0, line_.find(';'));
+  auto size = parseNumber<std::uint64_t>(trimmed(digits), 16);
+  if (!size) return fail("a broken chunk size");
+  bodyLeft_ = *size;
+  state_ = bodyLeft_ == 0 ? State::trailer : State::chunkData;
+  return true;
+}
+
+bool Response::readStatusLine() {
+  std::string_view line = line_;
+  std::optional<int> status;
+  if (line.size() >= kStatusOffset + kStatusLength)
+    status = parseNumber<int>(line.substr(kStatusOffset, kStatusLength));
+  bool isResponse = status && line.substr(0, 7) == "HTTP/1." && line[8] == ' ' &&
+                    (line.size() == 12 || line[12] == ' ');
+  if (!isResponse) return fail("no HTTP response");
+  status_ = *status;
+  keepsOpen_ = line[7] != '0';
+  hasStatus_ = true;
+  return true;
+}
+
+bool Response::readHeader() {
   std::size_t colon = line_.find(':');
-  if (colon == std::string::npos || colon == 0) {
-    fail("a broken header");
-    return false;
-  }
-  std::string name = lower(std::string_view(line_).substr(0, colon));
+  if (colon == std::string::npos || colon == 0) return fail("a broken header");
+  std::string name = lowerCase(std::string_view(line_).substr(0, colon));
   std::string_view value = trimmed(std::string_view(line_).substr(colon + 1));
-  if (name == "content-length") {
-    size = parseNumber<std::uint64_t>(value);
-    if (!size || (hasLength_ && *size != left_)) {
-      fail("a broken length");
-      return false;
-    }
-    left_ = *size, hasLength_ = true;
-  } else if (name == "transfer-encoding") {
-    if (lower(value) != "chunked") {
-      fail("an unknown transfer encoding");
-      return false;
-    }
-    chunked_ = true;
-  } else if (name == "connection") {
-    if (lower(value).find("close") != std::string::npos) keepsOpen_ = false;
-    if (lower(value).find("keep-alive") != std::string::npos) keepsOpen_ = true;
+  if (name == "content-length") return readContentLength(value);
+  if (name == "transfer-encoding") {
+    if (lowerCase(value) != "chunked") return fail("an unknown transfer encoding");
+    isChunked_ = true;
+  }
+  if (name == "connection") {
+    std::string options = lowerCase(value);
+    if (options.find("close") != std::string::npos) keepsOpen_ = false;
+    if (options.find("keep-alive") != std::string::npos) keepsOpen_ = true;
   }
   return true;
 }
 
-bool Response::startLine() {
-  std::string_view t = line_;
-  auto status = t.size() < 12 ? std::nullopt : parseNumber<int>(t.substr(9, 3));
-  if (!status || t.substr(0, 7) != "HTTP/1." || t[8] != ' ' || (t.size() > 12 && t[12] != ' ')) {
-    fail("no HTTP response");
-    return false;
-  }
-  status_ = *status;
-  keepsOpen_ = t[7] != '0';
-  started_ = true;
+bool Response::readContentLength(std::string_view value) {
+  auto length = parseNumber<std::uint64_t>(value);
+  bool contradicts = hasLength_ && length && *length != bodyLeft_;
+  if (!length || contradicts) return fail("a broken length");
+  bodyLeft_ = *length;
+  hasLength_ = true;
   return true;
 }
 
-void Response::headEnds() {
+void Response::endHead() {
   headSize_ = 0;
-  if (status_ >= 100 && status_ < 200) {  // an interim response: the real one follows
-    if (++interim_ > kMostInterim) return fail("interim responses without end");
-    started_ = chunked_ = hasLength_ = false;
-  } else if (status_ == 204 || status_ == 304) {
+  bool isInterim = status_ >= 100 && status_ < 200;
+  bool hasNoBody = status_ == 204 || status_ == 304;
+  if (isInterim) {
+    if (++interimCount_ > kMaxInterimResponses) {
+      fail("interim responses without end");
+      return;
+    }
+    hasStatus_ = false;
+    isChunked_ = false;
+    hasLength_ = false;
+  } else if (hasNoBody) {
     state_ = State::whole;
-  } else if (chunked_) {
+  } else if (isChunked_) {
     state_ = State::chunkSize;
   } else if (hasLength_) {
-    state_ = left_ == 0 ? State::whole : State::body;
+    state_ = bodyLeft_ == 0 ? State::whole : State::body;
   } else {
     state_ = State::untilEnd;
     keepsOpen_ = false;
--- a/src/codec/http/response.h
+++ b/src/codec/http/response.h
@@ -1,4 +1,4 @@
-// An incremental reader of HTTP/1.1 responses: bodies by length, chunked, or up to the end of the
+// An incremental reader of HTTP/1.1 responses: bodies by length, in chunks, or up to the end of the
 // connection. No I/O.
 #pragma once
 
@@ -11,39 +11,54 @@
 
 class Response {
  public:
-  enum class State { head, body, chunkSize, chunkData, chunkEnd, trailer, untilEnd, whole, bad };
-
-  explicit Response(std::size_t mostBody) : mostBody_(mostBody) {}
+  // `maxBody`: bytes that the body may have.
+  explicit Response(std::size_t maxBody) : maxBody_(maxBody) {}
 
   // Takes bytes and returns how many of them belong to this response.
   std::size_t feed(std::string_view bytes);
-  // The connection ended: that is a body's proper end only where nothing else gave its length, and
-  // no end where it was reset.
+  // To be called when the connection has ended. That is a proper end only for a body without a
+  // length, and only if the connection was not reset.
   void ended(bool reset);
 
   bool whole() const { return state_ == State::whole; }
   bool bad() const { return state_ == State::bad; }
+  const std::string& why() const { return why_; }  // where it is bad
   int status() const { return status_; }
+  // Whether the connection may be used for another request.
   bool keepsOpen() const { return keepsOpen_; }
   const std::string& body() const { return body_; }
   std::string takeBody() { return std::move(body_); }
-  const std::string& why() const { return why_; }
 
  private:
-  bool headLine();
-  bool startLine();
-  void headEnds();
-  void fail(const char* why);
-  void append(std::string_view& rest);
+  // What the next byte belongs to.
+  enum class State { head, body, chunkSize, chunkData, chunkEnd, trailer, untilEnd, whole, bad };
+
+  // These return false once the response is bad.
+  bool readLine();
+  bool readHeadLine();
+  bool readStatusLine();
+  bool readHeader();
+  bool readContentLength(std::string_view value);
+  bool readChunkSize();
+  bool fail(const char* why);
+
+  void endHead();
+  void appendBody(std::string_view& rest);
+  void appendToLine(std::string_view& rest);
 
-  std::size_t mostBody_;
+  std::size_t maxBody_;
   State state_ = State::head;
-  std::string line_, body_, why_;
+  std::string line_;
+  std::string body_;
+  std::string why_;
   int status_ = 0;
-  bool started_ = false, chunked_ = false, hasLength_ = false, keepsOpen_ = true;
-  std::uint64_t left_ = 0;
-  std::size_t headSize_ = 0;
-  int interim_ = 0;
+  bool hasStatus_ = false;
+  bool isChunked_ = false;
+  bool hasLength_ = false;
+  bool keepsOpen_ = true;
+  std::uint64_t bodyLeft_ = 0;  // bytes of the body or the chunk
+  std::size_t headSize_ = 0;    // bytes of lines since the last body or chunk
+  int interimCount_ = 0;
 };
 
 }  // namespace reedchute::http
