--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -54,7 +54,7 @@
   std::vector<config::Section> ledgers = all.blocks("ledger");
   all.done();
   if (ledgers.size() > 1) all.fail("ledger", "stands twice");
-  if (!ledgers.empty()) g.ledger = ledger::feedFrom(ledgers.front(), g.name);
+  if (!ledgers.empty()) g.ledger = ledger::usageRecorderConfigFrom(ledgers.front(), g.name);
   if (doors.size() > 1) all.fail("cassandra", "stands twice");
   if (doors.empty()) return;
   g.cassandra = protocols::cassandra::parseConfig(doors.front());
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -9,7 +9,7 @@
 #include "config/engine_settings.h"
 #include "decision/engine.h"
 #include "discovery/endpoint_watcher.h"
-#include "ledger/feed.h"
+#include "ledger/usage_recorder.h"
 #include "protocols/cassandra/config.h"
 #include "protocols/cassandra/table_mapping.h"
 
@@ -30,7 +30,7 @@
   // From our own settings, where there are any.
   std::optional<protocols::cassandra::Config> cassandra;
   std::optional<protocols::cassandra::TableMapping> chart;
-  std::optional<ledger::FeedGiven> ledger;
+  std::optional<ledger::UsageRecorderConfig> ledger;
 };
 
 // Reads the file at `path`; throws Malformed with one plain line where it is missing or makes no
--- a/src/ctl/main.cpp
+++ b/src/ctl/main.cpp
@@ -12,7 +12,7 @@
 #include <nlohmann/json.hpp>
 
 #include "config/hcl_settings.h"
-#include "ledger/keeper.h"
+#include "ledger/ledger_writer.h"
 #include "ledger/reconcile.h"
 #include "ledger/settings.h"
 #include "protocols/cassandra/settings.h"
@@ -80,7 +80,7 @@
                   ledger::nameOf(f.what), f.segment, f.at, f.seq);
 }
 
-void tellTotals(const Totals& t, bool asJson) {
+void tellTotals(const UsageTotals& t, bool asJson) {
   json_t all = json_t::array();
   if (!asJson)
     std::printf(
@@ -110,7 +110,7 @@
 }
 
 int show(const std::string& folder, const std::string& key, bool asJson) {
-  Totals t;
+  UsageTotals t;
   Looked l = look(folder, key, [&](const wire::Record& r) { t.add(r); });
   tellFindings(folder, l);
   tellTotals(t, asJson);
@@ -166,16 +166,16 @@
     for (const auto& m : missing) {
       wire::Correction c = m.correction;
       std::string signer = keyFrom(write);
-      c.set_signature(Keeper::signatureOf(c, m.period, signer));
+      c.set_signature(LedgerWriter::signatureOf(c, m.period, signer));
       std::unique_ptr<Files> files = filesIn(folderOf.at(m.birth));
-      Keeper::Shape shape;
+      LedgerWriter::Shape shape;
       shape.log.key = key, shape.correctionKey = signer;
-      Keeper keeper(*files, shape);
+      LedgerWriter keeper(*files, shape);
       TimePoint now{std::chrono::duration_cast<std::chrono::microseconds>(
                         std::chrono::system_clock::now().time_since_epoch())
                         .count()};
       keeper.open(now);
-      if (keeper.correct(c, m.period, now) != Keeper::Corrected::taken)
+      if (keeper.correct(c, m.period, now) != LedgerWriter::Corrected::taken)
         spdlog::error("refused=\"{}\"", c.id());
       keeper.sync();
     }
@@ -190,9 +190,9 @@
 
 int correct(const CorrectionAsked& a, const std::string& key, const std::string& signer) {
   std::unique_ptr<Files> files = filesIn(a.folder);
-  Keeper::Shape shape;
+  LedgerWriter::Shape shape;
   shape.log.key = key, shape.correctionKey = keyFrom(signer);
-  Keeper keeper(*files, shape);
+  LedgerWriter keeper(*files, shape);
   TimePoint now{std::chrono::duration_cast<std::chrono::microseconds>(
                     std::chrono::system_clock::now().time_since_epoch())
                     .count()};
@@ -208,13 +208,13 @@
   wire::Correction c;
   c.set_id(a.id), c.set_tenant(a.tenant), c.set_statements(a.statements), c.set_bytes_in(a.bytesIn);
   c.set_bytes_out(a.bytesOut), c.set_corrects(a.corrects), c.set_reason(a.reason), c.set_by(a.by);
-  c.set_signature(Keeper::signatureOf(c, p, shape.correctionKey));
-  Keeper::Corrected came = keeper.correct(c, p, now);
+  c.set_signature(LedgerWriter::signatureOf(c, p, shape.correctionKey));
+  LedgerWriter::Corrected came = keeper.correct(c, p, now);
   keeper.sync();
-  std::printf("%s\n", came == Keeper::Corrected::taken      ? "taken"
-                      : came == Keeper::Corrected::repeated ? "is there already"
-                                                            : "refused");
-  return came == Keeper::Corrected::refused ? kWrong : kDone;
+  std::printf("%s\n", came == LedgerWriter::Corrected::taken      ? "taken"
+                      : came == LedgerWriter::Corrected::repeated ? "is there already"
+                                                                  : "refused");
+  return came == LedgerWriter::Corrected::refused ? kWrong : kDone;
 }
 
 int exportTo(const std::string& folder, const std::string& key, const std::string& file,
@@ -267,7 +267,7 @@
   config::Block file = config::readFile(path);
   config::Section all(path, file);
   for (config::Section s : all.blocks("cassandra")) protocols::cassandra::parseConfig(std::move(s));
-  for (config::Section s : all.blocks("ledger")) feedFrom(std::move(s), "check");
+  for (config::Section s : all.blocks("ledger")) usageRecorderConfigFrom(std::move(s), "check");
   all.done();
   std::printf("%s: sound\n", path.c_str());
   return kDone;
--- a/src/ledger/marks.cpp
+++ b/src/ledger/billed_keys.cpp
@@ -1,8 +1,8 @@
-#include "ledger/marks.h"
+#include "ledger/billed_keys.h"
 
 namespace reedchute::ledger {
 
-void Marks::forgetOld(TimePoint at) {
+void BilledKeys::forgetOld(TimePoint at) {
   while (!inOrder_.empty() && (inOrder_.front().first <= at || until_.size() > most_)) {
     auto [until, mark] = inOrder_.front();
     inOrder_.pop_front();
@@ -14,13 +14,13 @@
   }
 }
 
-void Marks::remember(std::uint64_t mark, Duration window, TimePoint at) {
+void BilledKeys::remember(std::uint64_t mark, Duration window, TimePoint at) {
   if (mark == 0 || window <= Duration{}) return;
   until_[mark] = at + window;
   inOrder_.emplace_back(at + window, mark);
 }
 
-bool Marks::billed(Outcome outcome, std::uint64_t mark, Duration window, TimePoint at) {
+bool BilledKeys::billed(Outcome outcome, std::uint64_t mark, Duration window, TimePoint at) {
   if (outcome != Outcome::completed) return false;
   forgetOld(at);
   if (mark == 0) return true;
--- a/src/ledger/marks.h
+++ b/src/ledger/billed_keys.h
@@ -12,12 +12,12 @@
 
 enum class Outcome : std::uint8_t { none, completed, rejected, aborted };
 
-// Marks that were billed lately. Bounded: where more are in their windows than it holds, the oldest
-// are forgotten and counted; what is then billed twice here shows in reconciliation, as the log
-// keeps every mark.
-class Marks {
+// BilledKeys that were billed lately. Bounded: where more are in their windows than it holds, the
+// oldest are forgotten and counted; what is then billed twice here shows in reconciliation, as the
+// log keeps every mark.
+class BilledKeys {
  public:
-  explicit Marks(std::size_t most) : most_(most) {}
+  explicit BilledKeys(std::size_t most) : most_(most) {}
 
   // Only what completed is billed, and a mark once within its window. `mark` 0: none.
   bool billed(Outcome outcome, std::uint64_t mark, Duration window, TimePoint at);
--- a/src/ledger/keeper.cpp
+++ b/src/ledger/ledger_writer.cpp
@@ -1,4 +1,4 @@
-#include "ledger/keeper.h"
+#include "ledger/ledger_writer.h"
 
 #include <openssl/evp.h>
 #include <openssl/hmac.h>
@@ -45,14 +45,14 @@
   return a;
 }
 
-Keeper::Keeper(Files& files, Shape shape)
+LedgerWriter::LedgerWriter(Files& files, Shape shape)
     : shape_(std::move(shape)),
       log_(files, shape_.log),
       marks_(shape_.marks),
       periods_(shape_.every, Duration{}, shape_.grace),
       birth_(shape_.birth) {}
 
-void Keeper::read(const wire::Record& r) {
+void LedgerWriter::read(const wire::Record& r) {
   newestTime_ = std::max(newestTime_, TimePoint{r.at_us()});
   newestSource_ = std::max<std::uint64_t>(newestSource_, r.source());
   totals_.add(r);
@@ -85,7 +85,7 @@
   for (const auto& [period, count] : counts_) unsealed_.push_back(period);
 }
 
-std::vector<Finding> Keeper::open(TimePoint now) {
+std::vector<Finding> LedgerWriter::open(TimePoint now) {
   bool any = false;
   std::vector<Finding> findings = log_.open([&](const wire::Record& r) { any = true, read(r); });
   if (!log_.isOpen()) return findings;
@@ -107,13 +107,13 @@
   return findings;
 }
 
-void Keeper::append(wire::Record& r, TimePoint at, Period p) {
+void LedgerWriter::append(wire::Record& r, TimePoint at, Period p) {
   r.set_at_us(at.us), r.set_period_s(p.beginsS);
   log_.append(r);
   read(r);
 }
 
-void Keeper::drain(Ring& ring, std::uint64_t lost, TimePoint now) {
+void LedgerWriter::drain(Ring& ring, std::uint64_t lost, TimePoint now) {
   // Danger: an entry that was written and not let go, as the process died in between, would be
   // counted twice.
   if (ring.goneTo() > readTo_) readTo_ = ring.goneTo();
@@ -147,7 +147,7 @@
   ring.letGo(readTo_);
 }
 
-void Keeper::seal(TimePoint now) {
+void LedgerWriter::seal(TimePoint now) {
   while (auto p = periods_.due(now)) {
     wire::Record r;
     *r.mutable_seal() = counts_[*p];
@@ -155,7 +155,7 @@
   }
 }
 
-std::string Keeper::signatureOf(const wire::Correction& c, Period p, const std::string& key) {
+std::string LedgerWriter::signatureOf(const wire::Correction& c, Period p, const std::string& key) {
   wire::Correction plain = c;
   plain.clear_signature();
   std::string text = std::to_string(p.beginsS) + "\n" + plain.SerializeAsString();
@@ -166,7 +166,7 @@
   return {reinterpret_cast<char*>(out), size};
 }
 
-Keeper::Corrected Keeper::correct(const wire::Correction& c, Period p, TimePoint now) {
+LedgerWriter::Corrected LedgerWriter::correct(const wire::Correction& c, Period p, TimePoint now) {
   bool complete = !c.id().empty() && !c.tenant().empty() && !c.reason().empty() && !c.by().empty();
   if (!complete || shape_.correctionKey.empty()) return Corrected::refused;
   std::string should = signatureOf(c, p, shape_.correctionKey);
@@ -182,7 +182,7 @@
   return Corrected::taken;
 }
 
-void Keeper::note(const BatchPlan& b, bool confirmed, TimePoint now) {
+void LedgerWriter::note(const BatchPlan& b, bool confirmed, TimePoint now) {
   wire::Record r;
   wire::Batch* w = r.mutable_batch();
   w->set_number(b.number), w->set_first(b.first), w->set_last(b.last), w->set_digest(b.digest);
--- a/src/ledger/keeper.h
+++ b/src/ledger/ledger_writer.h
@@ -7,12 +7,12 @@
 #include <string>
 #include <vector>
 
+#include "ledger/billed_keys.h"
 #include "ledger/exports.h"
 #include "ledger/log.h"
-#include "ledger/marks.h"
 #include "ledger/periods.h"
 #include "ledger/ring.h"
-#include "ledger/totals.h"
+#include "ledger/usage_totals.h"
 
 namespace reedchute::ledger {
 
@@ -31,7 +31,7 @@
 std::string toBytes(const Answered& a);
 std::optional<Answered> fromBytes(std::string_view bytes);
 
-class Keeper {
+class LedgerWriter {
  public:
   struct Shape {
     std::string instance, birth;  // `birth`: random, for a ledger that begins
@@ -42,7 +42,7 @@
     std::string correctionKey;    // of who may correct; empty: nobody may
   };
 
-  Keeper(Files& files, Shape shape);
+  LedgerWriter(Files& files, Shape shape);
 
   // Reads the log. Empty: it is open; otherwise what is wrong, and it stays closed but for a torn
   // tail, which was cut off and is noted in the log.
@@ -71,8 +71,8 @@
   std::uint64_t durable() const { return log_.durable(); }
   std::uint64_t written() const { return log_.written(); }
 
-  const Totals& totals() const { return totals_; }
-  const Marks& marks() const { return marks_; }
+  const UsageTotals& totals() const { return totals_; }
+  const BilledKeys& marks() const { return marks_; }
 
  private:
   void read(const wire::Record& r);
@@ -81,8 +81,8 @@
 
   Shape shape_;
   Log log_;
-  Marks marks_;
-  Totals totals_;
+  BilledKeys marks_;
+  UsageTotals totals_;
   Exports exports_;
   Periods periods_;
   std::string birth_;
--- a/src/ledger/reconcile.cpp
+++ b/src/ledger/reconcile.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <tuple>
 
-#include "ledger/marks.h"
+#include "ledger/billed_keys.h"
 
 namespace reedchute::ledger {
 namespace {
@@ -120,8 +120,8 @@
   return all;
 }
 
-Totals Reconciliation::totals(bool with) const {
-  Totals t;
+UsageTotals Reconciliation::totals(bool with) const {
+  UsageTotals t;
   for (const auto& [birth, l] : ledgers_)
     for (const auto& [seq, bytes] : l.records) {
       wire::Record r;
--- a/src/ledger/reconcile.h
+++ b/src/ledger/reconcile.h
@@ -13,7 +13,7 @@
 #include <string>
 #include <vector>
 
-#include "ledger/totals.h"
+#include "ledger/usage_totals.h"
 
 namespace reedchute::ledger {
 
@@ -42,7 +42,7 @@
 
   // Over all ledgers, each record once, corrections of any ledger once, and with what is missing if
   // `corrected`.
-  Totals totals(bool corrected) const;
+  UsageTotals totals(bool corrected) const;
 
  private:
   struct Ledger {
--- a/src/ledger/settings.cpp
+++ b/src/ledger/settings.cpp
@@ -23,8 +23,8 @@
   return key;
 }
 
-FeedGiven feedFrom(config::Section s, const std::string& instance) {
-  FeedGiven g;
+UsageRecorderConfig usageRecorderConfigFrom(config::Section s, const std::string& instance) {
+  UsageRecorderConfig g;
   g.folder = s.text("folder");
   g.instance = s.text("instance", instance);
   g.key = keyIn(s, "key_file");
--- a/src/ledger/settings.h
+++ b/src/ledger/settings.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "config/hcl_settings.h"
-#include "ledger/feed.h"
+#include "ledger/usage_recorder.h"
 
 namespace reedchute::ledger {
 
@@ -10,6 +10,6 @@
 std::string keyInFile(const std::string& path);
 
 // Throws Malformed, with file, line and key. Reads the key files.
-FeedGiven feedFrom(config::Section s, const std::string& instance);
+UsageRecorderConfig usageRecorderConfigFrom(config::Section s, const std::string& instance);
 
 }  // namespace reedchute::ledger
--- a/src/ledger/feed.cpp
+++ b/src/ledger/usage_recorder.cpp
@@ -1,4 +1,4 @@
-#include "ledger/feed.h"
+#include "ledger/usage_recorder.h"
 
 #include <fcntl.h>
 #include <sys/mman.h>
@@ -38,14 +38,14 @@
 
 }  // namespace
 
-const char* nameOf(FeedState::Is is) {
+const char* nameOf(UsageRecorderState::Is is) {
   static constexpr const char* kNames[] = {"opening", "open", "closed", "failing"};
   return kNames[static_cast<std::size_t>(is)];
 }
 
 // The ring's memory: a file of the folder's, mapped, so that what is put there outlives the
 // process.
-struct Feed::Mapped {
+struct UsageRecorder::Mapped {
   Mapped(const std::string& path, std::size_t size) : bytes(size) {
     int fd = open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
     if (fd < 0 || ftruncate(fd, static_cast<off_t>(size)) < 0) {
@@ -66,7 +66,8 @@
   void* at;
 };
 
-Feed::Feed(const FeedGiven& given, const Names& names, const EngineSettings& terms)
+UsageRecorder::UsageRecorder(const UsageRecorderConfig& given, const Names& names,
+                             const EngineSettings& terms)
     : given_(given),
       workloads_(names.workloads),
       files_(filesIn(given.folder)),
@@ -75,44 +76,44 @@
   for (const Workload& w : terms.workloads) windows_.push_back(w.window);
   for (int of : names.standsFor)
     workloads_.push_back(of < 0 ? std::string() : names.workloads[static_cast<std::size_t>(of)]);
-  Keeper::Shape shape;
+  LedgerWriter::Shape shape;
   shape.instance = given.instance, shape.birth = birthNow();
   shape.log.key = given.key;
   shape.every = given.every;
   shape.correctionKey = given.correctionKey;
-  keeper_ = std::make_unique<Keeper>(*files_, shape);
+  keeper_ = std::make_unique<LedgerWriter>(*files_, shape);
   thread_ = std::thread([this] { run(); });
 }
 
-Feed::~Feed() {
+UsageRecorder::~UsageRecorder() {
   ends_ = true;
   thread_.join();
 }
 
-void Feed::publish(FeedState::Is is, const std::string& what) {
+void UsageRecorder::publish(UsageRecorderState::Is is, const std::string& what) {
   if (is_.load() == is) return;
   what_ = what;
   is_.store(is, std::memory_order_release);
 }
 
-void Feed::run() {
+void UsageRecorder::run() {
   std::vector<Finding> found;
   try {
     found = keeper_->open(wall());
   } catch (const DiskError& e) {
-    return publish(FeedState::Is::closed, e.what());
+    return publish(UsageRecorderState::Is::closed, e.what());
   }
   if (!keeper_->isOpen())
-    return publish(FeedState::Is::closed, std::string(ledger::nameOf(found.front().what)) + " in " +
-                                              found.front().segment + " at byte " +
-                                              std::to_string(found.front().at));
+    return publish(UsageRecorderState::Is::closed,
+                   std::string(ledger::nameOf(found.front().what)) + " in " +
+                       found.front().segment + " at byte " + std::to_string(found.front().at));
   periods_.resume(keeper_->newestTime(), keeper_->unsealed());
   if (keeper_->lastSealed()) periods_.sealed(*keeper_->lastSealed());
   ring_ = std::make_unique<Ring>(mapped_->memory(), keeper_->nextPlace());
   // Danger: after a machine's death an entry may be there in part; those behind it can't be read
   // either.
   lost_ += ring_->dropUnreadable();
-  publish(FeedState::Is::open, found.empty() ? "" : "a torn tail was cut off");
+  publish(UsageRecorderState::Is::open, found.empty() ? "" : "a torn tail was cut off");
   Duration synced = steady();
   // Danger: at the end all that was answered must be on the disk; a disk that takes nothing is not
   // waited for.
@@ -129,24 +130,25 @@
         synced = steady();
       }
       written_ = keeper_->written(), durable_ = keeper_->durable();
-      publish(FeedState::Is::open, "");
+      publish(UsageRecorderState::Is::open, "");
     } catch (const DiskError& e) {
       ++diskErrors_;
-      publish(FeedState::Is::failing, e.what());
+      publish(UsageRecorderState::Is::failing, e.what());
       if (!last) std::this_thread::sleep_for(std::chrono::milliseconds(100));
     }
   }
 }
 
-bool Feed::admits() const {
+bool UsageRecorder::admits() const {
   if (!given_.refuse) return true;
   auto is = is_.load(std::memory_order_acquire);
-  return is != FeedState::Is::opening && is != FeedState::Is::closed && ring_->free() > kLeastFree;
+  return is != UsageRecorderState::Is::opening && is != UsageRecorderState::Is::closed &&
+         ring_->free() > kLeastFree;
 }
 
-void Feed::answered(const request::UsageRecord& m) {
+void UsageRecorder::answered(const request::UsageRecord& m) {
   auto is = is_.load(std::memory_order_acquire);
-  if (is == FeedState::Is::opening || is == FeedState::Is::closed) {
+  if (is == UsageRecorderState::Is::opening || is == UsageRecorderState::Is::closed) {
     ++lost_;
     return;
   }
@@ -166,13 +168,14 @@
   if (!ring_->put(toBytes(a))) ++lost_;
 }
 
-FeedState Feed::state() const {
-  FeedState s;
+UsageRecorderState UsageRecorder::state() const {
+  UsageRecorderState s;
   s.is = is_.load(std::memory_order_acquire);
   s.written = written_, s.durable = durable_, s.lost = lost_, s.diskErrors = diskErrors_,
   s.jumps = jumps_;
-  if (s.is == FeedState::Is::open || s.is == FeedState::Is::failing) s.ringFree = ring_->free();
-  if (s.is == FeedState::Is::closed) s.what = what_;
+  if (s.is == UsageRecorderState::Is::open || s.is == UsageRecorderState::Is::failing)
+    s.ringFree = ring_->free();
+  if (s.is == UsageRecorderState::Is::closed) s.what = what_;
   return s;
 }
 
--- a/src/ledger/totals.cpp
+++ b/src/ledger/usage_totals.cpp
@@ -1,6 +1,6 @@
-#include "ledger/totals.h"
+#include "ledger/usage_totals.h"
 
-#include "ledger/marks.h"
+#include "ledger/billed_keys.h"
 
 namespace reedchute::ledger {
 
@@ -11,7 +11,7 @@
   return *this;
 }
 
-void Totals::add(const wire::Record& r) {
+void UsageTotals::add(const wire::Record& r) {
   Used u;
   std::string tenant;
   if (r.has_use()) {
@@ -37,7 +37,7 @@
   all_[{Period{r.period_s()}, tenant}] += u;
 }
 
-Used Totals::of(Period p, const std::string& tenant) const {
+Used UsageTotals::of(Period p, const std::string& tenant) const {
   auto it = all_.find({p, tenant});
   return it == all_.end() ? Used{} : it->second;
 }
--- a/src/ledger/totals.h
+++ b/src/ledger/usage_totals.h
@@ -20,7 +20,7 @@
   Used& operator+=(const Used& o);
 };
 
-class Totals {
+class UsageTotals {
  public:
   // Adds a record; a correction whose id was seen adds nothing.
   void add(const wire::Record& r);
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -145,7 +145,8 @@
   router_.list(&list_);
   scheduler_.onStep(config_.terms.tick, [this](Duration ahead) { clockStepped(ahead); });
   if (config_.ledger) {
-    ledger_ = std::make_unique<ledger::Feed>(*config_.ledger, config_.names, config_.terms);
+    ledger_ = std::make_unique<ledger::UsageRecorder>(*config_.ledger, config_.names,
+                                                      config_.terms);
     responder_.meter(ledger_.get());
   }
   std::size_t places = clientPlaces(config_), reserved = 0;
@@ -366,7 +367,7 @@
 }
 
 void Proxy::tellLedger() {
-  ledger::FeedState s = ledger_->state();
+  ledger::UsageRecorderState s = ledger_->state();
   if (s.is != ledgerWas_.is)
     log::line("ledger", "state=%s what=\"%s\"", ledger::nameOf(s.is), s.what.c_str());
   if (s.lost != ledgerWas_.lost)
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -81,7 +81,7 @@
   IdIndex<std::int64_t> groups_;
   runtime::Event reloads_;  // a signal to read the configuration has come
   DecisionEngine engine_;
-  std::unique_ptr<ledger::Feed> ledger_;
+  std::unique_ptr<ledger::UsageRecorder> ledger_;
   pipeline::Responder responder_;
   pipeline::StatementTable statements_;
   upstream::ConnectionPools stores_;
@@ -95,7 +95,7 @@
   runtime::Event told_;              // a signal to end has come
   runtime::Event listed_;            // the list has come
   request::RequestCounters counters_;
-  ledger::FeedState ledgerWas_;
+  ledger::UsageRecorderState ledgerWas_;
 };
 
 }  // namespace reedchute::proxy
--- a/tests/ledger/ledger_proxy_test.cpp
+++ b/tests/ledger/ledger_proxy_test.cpp
@@ -3,7 +3,7 @@
 #include <filesystem>
 
 #include "cql_client.h"
-#include "ledger/keeper.h"
+#include "ledger/ledger_writer.h"
 #include "pg_client.h"
 
 using namespace reedchute;
@@ -27,7 +27,7 @@
   }
   // What the ledger says of a tenant, over all periods.
   ledger::Used used(const std::string& tenant) const {
-    ledger::Totals t;
+    ledger::UsageTotals t;
     auto files = ledger::filesToRead(path + "/ledger");
     ledger::Log log(*files, {"0123456789abcdef0123456789abcdef"});
     auto found = log.verify([&](const ledger::wire::Record& r) { t.add(r); });
--- a/tests/ledger/ledger_test.cpp
+++ b/tests/ledger/ledger_test.cpp
@@ -5,7 +5,7 @@
 #include <memory>
 #include <set>
 
-#include "ledger/keeper.h"
+#include "ledger/ledger_writer.h"
 #include "ledger/reconcile.h"
 #include "sim_files.h"
 #include "trace.h"
@@ -82,7 +82,7 @@
 }
 
 void marks() {
-  Marks m(3);
+  BilledKeys m(3);
   auto tell = [&](const char* what, Outcome o, std::uint64_t mark, double s) {
     std::printf("%s: %s\n", what, m.billed(o, mark, secs(3), at(s)) ? "billed" : "not billed");
   };
@@ -266,8 +266,8 @@
               Ring(memory->bytes, 1).next() ? "believed" : "not believed");
 }
 
-Keeper::Shape shape() {
-  Keeper::Shape s;
+LedgerWriter::Shape shape() {
+  LedgerWriter::Shape s;
   s.instance = "f1", s.birth = "b1";
   s.log = {"key", 600};
   s.every = Every::day, s.grace = secs(5);
@@ -290,12 +290,12 @@
   std::map<std::uint64_t, wire::Record> taken;
   std::uint64_t epochs = 0;
   bool crashedInExport = false;
-  std::unique_ptr<Keeper> keeper;
+  std::unique_ptr<LedgerWriter> keeper;
   std::unique_ptr<Ring> ring;
   std::map<std::uint64_t, std::string> payloads;  // of the log, for batches
 
   void start() {
-    keeper = std::make_unique<Keeper>(files, shape());
+    keeper = std::make_unique<LedgerWriter>(files, shape());
     auto found = keeper->open(at(clock));
     if (!keeper->isOpen()) std::printf("it stays closed: %s\n", ledger::nameOf(found.front().what));
     ring = std::make_unique<Ring>(memory->bytes, keeper->nextPlace());
@@ -387,7 +387,7 @@
     c.set_id("c1"), c.set_tenant("t0"), c.set_statements(-1), c.set_bytes_in(-10),
         c.set_bytes_out(-100);
     c.set_reason("a test"), c.set_by("office");
-    c.set_signature(Keeper::signatureOf(c, {49 * kDayS}, "office"));
+    c.set_signature(LedgerWriter::signatureOf(c, {49 * kDayS}, "office"));
     keeper->correct(c, {49 * kDayS}, at(clock));
     keeper->correct(c, {49 * kDayS}, at(clock));
     keeper->sync();
@@ -395,7 +395,7 @@
   }
 
   // What the ledger says, over all periods and without the correction.
-  std::int64_t billed(const Totals& t, const std::string& tenant) const {
+  std::int64_t billed(const UsageTotals& t, const std::string& tenant) const {
     std::int64_t n = 0;
     for (const auto& [key, used] : t.all())
       if (key.second == tenant) n += used.statements + used.corrections;
@@ -403,7 +403,7 @@
   }
   std::string check(bool machine, int lostMost) {
     std::string wrong;
-    Totals fromCollector;
+    UsageTotals fromCollector;
     for (const auto& [seq, r] : taken) fromCollector.add(r);
     for (const char* tenant : {"t0", "t1", "t2"}) {
       std::int64_t client = counted[tenant], ledger = billed(keeper->totals(), tenant);
@@ -492,7 +492,7 @@
 
 void corrections() {
   SimFiles f;
-  Keeper k(f, shape());
+  LedgerWriter k(f, shape());
   k.open(at(50.0 * kDayS));
   wire::Correction c;
   c.set_id("c1"), c.set_tenant("t0"), c.set_statements(-2), c.set_reason("counted twice"),
@@ -505,25 +505,25 @@
                 static_cast<long long>(k.totals().of(p, "t0").statements));
   };
   tell("unsigned");
-  c.set_signature(Keeper::signatureOf(c, p, "somebody"));
+  c.set_signature(LedgerWriter::signatureOf(c, p, "somebody"));
   tell("signed with another key");
-  c.set_signature(Keeper::signatureOf(c, p, "office"));
+  c.set_signature(LedgerWriter::signatureOf(c, p, "office"));
   tell("signed");
   tell("the same again");
   c.set_statements(-3);
   tell("its figure changed");
   c.set_id("c2"), c.set_reason("");
-  c.set_signature(Keeper::signatureOf(c, p, "office"));
+  c.set_signature(LedgerWriter::signatureOf(c, p, "office"));
   tell("without a reason");
   c.set_reason("another"), c.set_statements(2);
-  c.set_signature(Keeper::signatureOf(c, p, "office"));
+  c.set_signature(LedgerWriter::signatureOf(c, p, "office"));
   tell("a second one");
 }
 
 void disk() {
   SimFiles f;
   auto memory = std::make_unique<Memory>();
-  Keeper k(f, shape());
+  LedgerWriter k(f, shape());
   k.open(at(50.0 * kDayS));
   Ring r(memory->bytes, k.nextPlace());
   f.fullFrom = f.steps + 1, f.fullTo = f.steps + 4;
@@ -580,7 +580,7 @@
   auto tell = [&](const Reconciliation& rec) {
     std::string said;
     for (bool corrected : {false, true}) {
-      Totals t = rec.totals(corrected);
+      UsageTotals t = rec.totals(corrected);
       said += "coop " + std::to_string(t.of({0}, "coop").statements) + ", office " +
               std::to_string(t.of({0}, "office").statements) + "; ";
     }
@@ -661,10 +661,10 @@
   std::string key;
   std::getline(file, key);
   std::unique_ptr<Files> files = filesIn(folder);
-  Keeper::Shape s;
+  LedgerWriter::Shape s;
   s.instance = "f1", s.birth = "b1", s.log.key = key, s.every = Every::day;
   TimePoint now = at(1'796'083'200);
-  Keeper keeper(*files, s);
+  LedgerWriter keeper(*files, s);
   keeper.open(now);
   auto memory = std::make_unique<Memory>();
   Ring ring(memory->bytes, 1);
