--- a/src/membership/gossip.cpp
+++ b/src/membership/gossip.cpp
@@ -1,47 +1,53 @@
 #include "membership/gossip.h"
 
+#include <utility>
+#include <variant>
+
 namespace reedchute::membership {
 
-Gossip::Gossip(Self self, Parameters parameters, Notes::Bounds bounds, Keys keys, TimePoint now)
-    : members_(self, parameters, now),
-      notes_(self.name, self.generation, bounds, self.seed),
+Gossip::Gossip(const LocalMember& self, Parameters parameters, GossipStateTable::Limits limits,
+               Keys keys, TimePoint now)
+    : membership_(self, parameters, now),
+      states_(self.name, self.incarnation, limits, self.randomSeed),
       keys_(std::move(keys)) {}
 
-void Gossip::datagram(std::string_view bytes, Address from, TimePoint now) {
-  ++counters_.packetsIn, counters_.bytesIn += bytes.size();
-  Bad why = Bad::none;
-  auto packet = fromDatagram(bytes, keys_, why);
-  if (!packet) {
-    ++counters_.bad[static_cast<std::size_t>(why)];
+void Gossip::receive(std::string_view datagram, Address from, TimePoint now) {
+  ++counters_.packetsIn;
+  counters_.bytesIn += datagram.size();
+  DecodedPacket decoded = decodeDatagram(datagram, keys_);
+  if (!decoded.packet) {
+    ++counters_.rejected[static_cast<std::size_t>(decoded.error)];
     return;
   }
-  std::uint64_t generation = members_.self().generation;
-  bool taken = members_.received(*packet, from, now);
-  if (members_.self().generation != generation) notes_.renamed(members_.self().generation);
-  if (!taken) return;
-  for (const Note& n : packet->notes) {
-    // Danger: a note of a generation that is over would go on counting for what its successor knows
-    // better.
-    const Member* origin = members_.find(n.origin);
-    if (origin && n.generation < origin->is.generation) continue;
-    notes_.hear(n, Duration{}, now);
-  }
+  bool isAccepted = membership_.receive(*decoded.packet, from, now);
+  states_.setIncarnation(membership_.self().incarnation);
+  if (!isAccepted) return;
+  for (const GossipState& state : decoded.packet->states)
+    if (!isOutdated(state)) states_.merge(state, Duration{}, now);
+}
+
+// A state of an earlier incarnation would stand for what the restarted process knows better.
+bool Gossip::isOutdated(const GossipState& state) const {
+  const Member* origin = membership_.find(state.origin);
+  return origin && state.incarnation < origin->latest.incarnation;
 }
 
-std::vector<std::pair<Address, std::string>> Gossip::takeDatagrams(TimePoint now) {
-  std::vector<std::pair<Address, std::string>> all;
-  for (Outgoing& o : members_.takeOutgoing()) {
-    // A page is full of members already.
-    if (o.packet.kind != Packet::Kind::pageOf) notes_.fill(o.packet.notes, now);
-    auto bytes = toDatagram(std::move(o.packet), keys_);
+std::vector<OutgoingDatagram> Gossip::takeDatagrams(TimePoint now) {
+  std::vector<OutgoingDatagram> datagrams;
+  for (OutgoingPacket& outgoing : membership_.takePackets()) {
+    // A page is filled with members already.
+    bool isPage = std::holds_alternative<SyncPage>(outgoing.packet.message);
+    if (!isPage) states_.appendTo(outgoing.packet.states, now);
+    std::optional<std::string> bytes = encodeDatagram(std::move(outgoing.packet), keys_);
     if (!bytes) {
       ++counters_.unsendable;
       continue;
     }
-    ++counters_.packetsOut, counters_.bytesOut += bytes->size();
-    all.emplace_back(o.to, std::move(*bytes));
+    ++counters_.packetsOut;
+    counters_.bytesOut += bytes->size();
+    datagrams.push_back({outgoing.to, std::move(*bytes)});
   }
-  return all;
+  return datagrams;
 }
 
 }  // namespace reedchute::membership
--- a/src/membership/gossip.h
+++ b/src/membership/gossip.h
@@ -1,44 +1,57 @@
-// Members and notes behind datagrams: all of the membership but the socket. Without I/O and clock.
+// Membership and gossiped states behind datagrams: all of the protocol but the socket
+// (transport.h). Without I/O and clock; not thread-safe.
 #pragma once
 
 #include <array>
 #include <cstdint>
 #include <string>
 #include <string_view>
-#include <utility>
 #include <vector>
 
-#include "membership/members.h"
-#include "membership/notes.h"
-#include "membership/wire.h"
+#include "membership/gossip_state_table.h"
+#include "membership/membership.h"
+#include "membership/packet_codec.h"
 
 namespace reedchute::membership {
 
+struct OutgoingDatagram {
+  Address to;
+  std::string bytes;
+};
+
 class Gossip {
  public:
   struct Counters {
-    std::uint64_t packetsIn = 0, packetsOut = 0, bytesIn = 0, bytesOut = 0, unsendable = 0;
-    std::array<std::uint64_t, 5> bad{};  // by Bad
+    std::uint64_t packetsIn = 0;
+    std::uint64_t packetsOut = 0;
+    std::uint64_t bytesIn = 0;
+    std::uint64_t bytesOut = 0;
+    std::uint64_t unsendable = 0;
+    std::array<std::uint64_t, 5> rejected{};  // by PacketError
   };
 
-  Gossip(Self self, Parameters parameters, Notes::Bounds bounds, Keys keys, TimePoint now);
+  Gossip(const LocalMember& self, Parameters parameters, GossipStateTable::Limits limits, Keys keys,
+         TimePoint now);
 
-  void datagram(std::string_view bytes, Address from, TimePoint now);
-  void tick(TimePoint now) { members_.tick(now); }
-  void leave(TimePoint now) { members_.leave(now); }
-  TimePoint dueAt() const { return members_.dueAt(); }
-  // What is to be sent by now, with the notes that travel on it.
-  std::vector<std::pair<Address, std::string>> takeDatagrams(TimePoint now);
+  void receive(std::string_view datagram, Address from, TimePoint now);
+  void tick(TimePoint now) { membership_.tick(now); }
+  void leave() { membership_.leave(); }
+  // When tick() is due next.
+  TimePoint dueAt() const { return membership_.dueAt(); }
+  // What is to be sent now, with the states that travel on it.
+  std::vector<OutgoingDatagram> takeDatagrams(TimePoint now);
 
-  Members& members() { return members_; }
-  const Members& members() const { return members_; }
-  Notes& notes() { return notes_; }
+  Membership& membership() { return membership_; }
+  const Membership& membership() const { return membership_; }
+  GossipStateTable& states() { return states_; }
   const Keys& keys() const { return keys_; }
   const Counters& counters() const { return counters_; }
 
  private:
-  Members members_;
-  Notes notes_;
+  bool isOutdated(const GossipState& state) const;
+
+  Membership membership_;
+  GossipStateTable states_;
   Keys keys_;
   Counters counters_;
 };
--- a/src/membership/packet.h
+++ b/src/membership/packet.h
@@ -1,10 +1,11 @@
-// What fronts say to each other about who is alive, as plain values. Ages are spans: no front
-// believes another's clock.
+// What the members of a fleet say to each other, as plain values. No process relies on another's
+// clock: ages travel as durations, never as points in time.
 #pragma once
 
 #include <compare>
 #include <cstdint>
 #include <string>
+#include <variant>
 #include <vector>
 
 #include "base/time.h"
@@ -17,50 +18,74 @@
   auto operator<=>(const Address&) const = default;
 };
 
-// `left`: its own word that it goes; `dead`: given up by others.
-enum class State { alive, suspect, left, dead };
-const char* nameOf(State s);
-
-// A front under its name. `generation` is a higher one after each start; `incarnation` rises
-// whenever it refutes a suspicion.
-struct Rumor {
-  std::string name, zone;
-  Address at;
-  std::uint64_t generation = 0;
-  std::uint32_t incarnation = 0;
-  State state = State::alive;
+// `left`: it announced its own shutdown. `dead`: others failed to reach it. The values are those on
+// the wire.
+enum class MemberState { alive = 0, suspect = 1, left = 2, dead = 3 };
+const char* nameOf(MemberState state);
+
+// What is claimed of one member. `incarnation` is a higher one after each start of the process.
+// `refutations` is SWIM's own counter ("incarnation" in the paper): only the member itself raises
+// it, each time that it refutes a suspicion, and it begins anew with each incarnation.
+struct MemberUpdate {
+  std::string name;
+  std::string zone;
+  Address address;
+  std::uint64_t incarnation = 0;
+  std::uint32_t refutations = 0;
+  MemberState state = MemberState::alive;
 };
 
-// What a front tells all others by way of some: the newest of each origin and topic counts.
-struct Note {
+// A value that its origin publishes under a topic, passed on by other members. For each origin and
+// topic only the newest version counts.
+struct GossipState {
   std::string origin;
-  std::uint64_t generation = 0;
-  std::uint32_t number = 0;  // rises with each
+  std::uint64_t incarnation = 0;  // of the origin
+  std::uint32_t version = 0;
   int topic = 0;
-  Duration age;  // since the origin wrote it, as far as those on its way could tell: never less
-                 // than it is by their clocks
-  std::string bytes;
+  Duration age;  // since it was published; never less than the hops' own clocks showed
+  std::string payload;
 };
 
-struct Packet {
-  // `relay`: ping the target for me. `page`: tell me of members from `cursor` on; `pageOf` answers
-  // it.
-  enum class Kind { ping, ack, relay, page, pageOf };
-
-  std::string fleet, to;     // `to`: empty where the sender knows an address and no name
-  Rumor from;                // the sender's word on itself
-  std::uint64_t number = 0;  // of all packets of this generation
-  Kind kind = Kind::ping;
+// "Are you there?" The answer is an Ack with the same nonce.
+struct Ping {
+  std::uint64_t nonce = 0;
+};
+
+// Answers a Ping, or passes such an answer on to who asked for it by a PingRequest.
+struct Ack {
   std::uint64_t nonce = 0;
-  std::string target;  // of a relay
-  Address targetAt;
-  std::string cursor;  // of a page: the name after which it begins; of its answer: where the next
-                       // one begins, or none
-  std::vector<Rumor> rumors;
-  std::vector<Note> notes;
 };
 
-struct Outgoing {
+// "Ping the target for me": SWIM's indirect probe.
+struct PingRequest {
+  std::uint64_t nonce = 0;  // that the passed-on Ack has to carry
+  std::string target;
+  Address targetAddress;
+};
+
+// "Tell me of the members whose names come after `cursor`."
+struct SyncRequest {
+  std::string cursor;
+};
+
+// Answers a SyncRequest; the members are the packet's updates. An empty cursor: this was the last.
+struct SyncPage {
+  std::string cursor;
+};
+
+using Message = std::variant<Ping, Ack, PingRequest, SyncRequest, SyncPage>;
+
+struct Packet {
+  std::string fleet;
+  std::string to;            // empty where the sender knows an address and no name
+  MemberUpdate from;         // what the sender says of itself
+  std::uint64_t number = 0;  // counts the packets of the sender's incarnation
+  Message message;
+  std::vector<MemberUpdate> updates;
+  std::vector<GossipState> states;
+};
+
+struct OutgoingPacket {
   Address to;
   Packet packet;
 };
--- a/src/membership/transport.cpp
+++ b/src/membership/transport.cpp
@@ -11,59 +11,75 @@
 namespace reedchute::membership {
 namespace {
 
-constexpr int kAtOnce = 64;  // datagrams read before others have their turn
+constexpr int kMaxReadsAtOnce = 64;  // datagrams read before other tasks have their turn
 
-int datagramsOn(const sockaddr_in& address) {
+int bindDatagramSocket(const sockaddr_in& address) {
   int fd = socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (fd < 0 || bind(fd, reinterpret_cast<const sockaddr*>(&address), sizeof address) < 0) {
-    int why = errno;
+    int error = errno;
     if (fd >= 0) close(fd);
-    throw std::runtime_error(std::string("can't take datagrams: ") + std::strerror(why));
+    throw std::runtime_error(std::string("can't take datagrams: ") + std::strerror(error));
   }
   return fd;
 }
 
 }  // namespace
 
-Address addressOf(const sockaddr_in& a) {
-  return {ntohl(a.sin_addr.s_addr), ntohs(a.sin_port)};
+Address addressOf(const sockaddr_in& socketAddress) {
+  return {ntohl(socketAddress.sin_addr.s_addr), ntohs(socketAddress.sin_port)};
 }
 
-sockaddr_in socketAddress(const Address& a) {
-  sockaddr_in to{};
-  to.sin_family = AF_INET, to.sin_addr.s_addr = htonl(a.ip), to.sin_port = htons(a.port);
-  return to;
+sockaddr_in socketAddress(const Address& address) {
+  sockaddr_in result{};
+  result.sin_family = AF_INET;
+  result.sin_addr.s_addr = htonl(address.ip);
+  result.sin_port = htons(address.port);
+  return result;
 }
 
-Transport::Transport(runtime::Scheduler& s, Gossip& gossip, const sockaddr_in& listen)
-    : scheduler_(s), gossip_(gossip), socket_(s, datagramsOn(listen)), due_(s) {}
+Transport::Transport(runtime::Scheduler& scheduler, Gossip& gossip, const sockaddr_in& listen)
+    : scheduler_(scheduler),
+      gossip_(gossip),
+      socket_(scheduler, bindDatagramSocket(listen)),
+      due_(scheduler) {}
+
+void Transport::send(std::string_view datagram, const sockaddr_in& to, int flags) {
+  ssize_t sent = sendto(socket_.fd(), datagram.data(), datagram.size(), flags,
+                        reinterpret_cast<const sockaddr*>(&to), sizeof to);
+  if (sent < 0) ++unsent_;
+}
+
+void Transport::dispatch(std::string_view datagram, const sockaddr_in& from) {
+  bool isHandled = handler_ && datagram.size() > 1 &&
+                   static_cast<std::uint8_t>(datagram[1]) == handledKind_;
+  if (!isHandled) return gossip_.receive(datagram, addressOf(from), scheduler_.now());
+  std::string answer = handler_(datagram, addressOf(from));
+  if (!answer.empty()) send(answer, from, 0);
+}
+
+// How many datagrams were read, up to kMaxReadsAtOnce.
+int Transport::readSome() {
+  std::array<char, kMaxDatagramBytes + 1> bytes;
+  int count = 0;
+  for (; count < kMaxReadsAtOnce; ++count) {
+    sockaddr_in from{};
+    socklen_t size = sizeof from;
+    ssize_t received = recvfrom(socket_.fd(), bytes.data(), bytes.size(), 0,
+                                reinterpret_cast<sockaddr*>(&from), &size);
+    if (received < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) break;
+    // Any other error belongs to an earlier datagram that couldn't be delivered.
+    if (received < 0) continue;
+    dispatch({bytes.data(), static_cast<std::size_t>(received)}, from);
+  }
+  return count;
+}
 
 runtime::Task<> Transport::read() {
-  std::array<char, kMostBytes + 1> bytes;
   for (;;) {
-    int taken = 0;
-    for (; taken < kAtOnce; ++taken) {
-      sockaddr_in from{};
-      socklen_t size = sizeof from;
-      ssize_t n = recvfrom(socket_.fd(), bytes.data(), bytes.size(), 0,
-                           reinterpret_cast<sockaddr*>(&from), &size);
-      if (n < 0 && errno == EINTR) continue;
-      // An error is another one's datagram that came back; the next read goes on.
-      if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) break;
-      if (n < 0) continue;
-      std::string_view got(bytes.data(), static_cast<std::size_t>(n));
-      if (other_ && got.size() > 1 && static_cast<std::uint8_t>(got[1]) == otherKind_) {
-        std::string answer = other_(got, addressOf(from));
-        if (!answer.empty())
-          unsent_ += sendto(socket_.fd(), answer.data(), answer.size(), 0,
-                            reinterpret_cast<sockaddr*>(&from), size) < 0;
-      } else {
-        gossip_.datagram(got, addressOf(from), scheduler_.now());
-      }
-    }
+    int count = readSome();
     flush();
     due_.set();
-    if (taken == kAtOnce)
+    if (count == kMaxReadsAtOnce)
       co_await runtime::sleepUntil(scheduler_, scheduler_.now());
     else
       co_await socket_.in.wait();
@@ -78,14 +94,9 @@
   }
 }
 
-// Danger: a datagram that the kernel doesn't take now is lost like one on its way; the protocol
-// bears that.
 void Transport::flush() {
-  for (const auto& [to, bytes] : gossip_.takeDatagrams(scheduler_.now())) {
-    sockaddr_in address = socketAddress(to);
-    unsent_ += sendto(socket_.fd(), bytes.data(), bytes.size(), MSG_DONTWAIT,
-                      reinterpret_cast<sockaddr*>(&address), sizeof address) < 0;
-  }
+  for (const OutgoingDatagram& datagram : gossip_.takeDatagrams(scheduler_.now()))
+    send(datagram.bytes, socketAddress(datagram.to), MSG_DONTWAIT);
 }
 
 }  // namespace reedchute::membership
--- a/src/membership/transport.h
+++ b/src/membership/transport.h
@@ -1,11 +1,14 @@
-// The gossip's UDP socket: what came is told to it, what it answers is sent.
+// The gossip's UDP socket: gives received datagrams to Gossip and sends what it has ready. Runs on
+// the scheduler's thread.
 #pragma once
 
 #include <netinet/in.h>
 
+#include <cstdint>
 #include <functional>
 #include <string>
 #include <string_view>
+#include <utility>
 
 #include "membership/gossip.h"
 #include "runtime/scheduler.h"
@@ -15,33 +18,41 @@
 
 class Transport {
  public:
-  // Datagrams of another kind than packets, which go to whoever takes them; what is answered goes
-  // back.
-  using Other = std::function<std::string(std::string_view bytes, Address from)>;
-
-  // Throws std::runtime_error where the address can't be had.
-  Transport(runtime::Scheduler& s, Gossip& gossip, const sockaddr_in& listen);
-
-  void others(std::uint8_t kind, Other other) { otherKind_ = kind, other_ = std::move(other); }
-  // Runs as long as the front does.
+  // Handles datagrams of another kind than packets; what it returns is sent back.
+  using DatagramHandler = std::function<std::string(std::string_view bytes, Address from)>;
+
+  // Throws std::runtime_error where the address can't be bound.
+  Transport(runtime::Scheduler& scheduler, Gossip& gossip, const sockaddr_in& listen);
+
+  // Hands datagrams of this kind to the handler instead of the gossip.
+  void setHandler(std::uint8_t kind, DatagramHandler handler) {
+    handledKind_ = kind;
+    handler_ = std::move(handler);
+  }
+  // Both run as long as the process does.
   runtime::Task<> read();
   runtime::Task<> tick();
-  // Sends what the gossip has ready.
+  // Sends what the gossip has ready. A datagram that the kernel doesn't take now is lost like one
+  // on its way, which the protocol bears.
   void flush();
   int port() const { return runtime::portOf(socket_.fd()); }
   std::uint64_t unsent() const { return unsent_; }
 
  private:
+  int readSome();
+  void dispatch(std::string_view datagram, const sockaddr_in& from);
+  void send(std::string_view datagram, const sockaddr_in& to, int flags);
+
   runtime::Scheduler& scheduler_;
   Gossip& gossip_;
   runtime::Descriptor socket_;
   runtime::Event due_;
-  std::uint8_t otherKind_ = 0;
-  Other other_;
+  std::uint8_t handledKind_ = 0;
+  DatagramHandler handler_;
   std::uint64_t unsent_ = 0;
 };
 
-Address addressOf(const sockaddr_in& a);
-sockaddr_in socketAddress(const Address& a);
+Address addressOf(const sockaddr_in& socketAddress);
+sockaddr_in socketAddress(const Address& address);
 
 }  // namespace reedchute::membership
--- a/tests/membership/membership_test.cpp
+++ b/tests/membership/membership_test.cpp
@@ -28,29 +28,29 @@
     if (!started) return;
     for (int k = 0; k < n; ++k) start(k, {0, 1});
     pass(ms(20'000));
-    for (int k = 0; k < n; ++k) at(k).members().takeChanges();
+    for (int k = 0; k < n; ++k) at(k).membership().takeChanges();
   }
   int size() const { return static_cast<int>(hosts.size()); }
   // How many of those that run hold `of` in that state.
-  int hold(int of, State s) {
+  int hold(int of, MemberState s) {
     int n = 0;
     for (int k = 0; k < size(); ++k) {
       if (k == of || !runs(k)) continue;
-      const Member* m = at(k).members().find(nameFor(of));
-      n += m && m->proven && m->is.state == s;
+      const Member* m = at(k).membership().find(nameFor(of));
+      n += m && m->isVerified && m->latest.state == s;
     }
     return n;
   }
   // How many views, of all fronts but this one, hold it dead.
   int heldDeadBut(int one) {
     int n = 0;
-    for (int k = 0; k < size(); ++k) n += k == one ? 0 : hold(k, State::dead);
+    for (int k = 0; k < size(); ++k) n += k == one ? 0 : hold(k, MemberState::dead);
     return n;
   }
   // How many of those that run count just so many live ones, themselves included.
   int count(std::size_t live) {
     int n = 0;
-    for (int k = 0; k < size(); ++k) n += runs(k) && at(k).members().live() == live;
+    for (int k = 0; k < size(); ++k) n += runs(k) && at(k).membership().liveCount() == live;
     return n;
   }
   // Periods until it is so, or -1.
@@ -92,8 +92,8 @@
   for (int n : {10, 100}) {
     Fleet f(n);
     f.kill(4);
-    int first = f.until([&] { return f.hold(4, State::dead) > 0; });
-    int all = first + f.until([&] { return f.hold(4, State::dead) == f.running(); });
+    int first = f.until([&] { return f.hold(4, MemberState::dead) > 0; });
+    int all = first + f.until([&] { return f.hold(4, MemberState::dead) == f.running(); });
     std::printf("%d fronts, one is killed: the first gives it up %s,", n, within(first, 30));
     std::printf(" all %s; live for all: %s\n", within(all, 40),
                 f.count(static_cast<std::size_t>(n) - 1) == n - 1 ? "one less" : "?");
@@ -103,9 +103,9 @@
   int took = f.until([&] { return f.count(20) == 20; });
   std::printf("a third is killed at once, a seed with it: the rest know it %s\n", within(took, 60));
   f.leave(1);
-  took = f.until([&] { return f.hold(1, State::left) == f.running(); });
+  took = f.until([&] { return f.hold(1, MemberState::left) == f.running(); });
   std::printf("one that says that it goes: all know %s, none calls it dead: %s\n", within(took, 6),
-              f.hold(1, State::dead) == 0 ? "yes" : "no");
+              f.hold(1, MemberState::dead) == 0 ? "yes" : "no");
 }
 
 // A front that was paused must neither give up the fleet nor stay given up.
@@ -113,18 +113,19 @@
   Fleet f(30);
   f.pause(7);
   f.pass(ms(9000));
-  std::printf("paused for thirty periods: %d of 29 have given it up\n", f.hold(7, State::dead));
+  std::printf("paused for thirty periods: %d of 29 have given it up\n",
+              f.hold(7, MemberState::dead));
   f.resume(7);
   f.pass(ms(10));
   std::printf("it wakes and doubts itself: %s\n",
-              f.at(7).members().doubtsItself(f.now) ? "yes" : "no");
-  int took = f.until([&] { return f.hold(7, State::alive) == 29; });
+              f.at(7).membership().isLocallyDegraded(f.now) ? "yes" : "no");
+  int took = f.until([&] { return f.hold(7, MemberState::alive) == 29; });
   int wrong = f.heldDeadBut(7);
   std::printf("all hold it alive again %s; others given up by it or through it: %d\n",
               within(took, 60), wrong);
   f.pass(ms(10'000));
   std::printf("later it believes in itself again: %s\n",
-              f.at(7).members().doubtsItself(f.now) ? "no" : "yes");
+              f.at(7).membership().isLocallyDegraded(f.now) ? "no" : "yes");
 }
 
 // Slow for long, not dead: each of its rounds comes late.
@@ -147,13 +148,13 @@
     int dead = 0;
     for (int k = 0; k < 100; ++k) {
       f.pass(ms(600));
-      for (int h = 0; h < 30; ++h) dead += f.hold(h, State::dead);
+      for (int h = 0; h < 30; ++h) dead += f.hold(h, MemberState::dead);
     }
     f.faults = {};
     int back = f.until([&] { return f.count(30) == 30; });
     f.faults.lost = 0.33, f.faults.doubled = 0.33, f.faults.late = ms(250);
     f.kill(4);
-    int took = f.until([&] { return f.hold(4, State::dead) == 29; });
+    int took = f.until([&] { return f.hold(4, MemberState::dead) == 29; });
     std::fprintf(stderr, "given up wrongly: %.4f of all views\n", dead / (100.0 * 30 * 29));
     std::printf(
         "a third lost, a third doubled, some late, for a minute: one view in fifty, or fewer, gave "
@@ -175,21 +176,22 @@
   f.cut = [](int a, int) { return a == 5; };
   f.pass(ms(15'000));
   std::printf("one whose words are lost, and who hears all: given up by %d, it doubts itself: %s\n",
-              f.hold(5, State::dead), f.at(5).members().doubtsItself(f.now) ? "yes" : "no");
+              f.hold(5, MemberState::dead),
+              f.at(5).membership().isLocallyDegraded(f.now) ? "yes" : "no");
   std::printf("others given up through it: %d\n", f.heldDeadBut(5));
 }
 
 void lives() {
   Fleet f(10);
-  std::uint64_t was = f.hosts[2].generation;
+  std::uint64_t was = f.hosts[2].incarnation;
   f.kill(2);
   f.pass(ms(600));
   f.start(2, {0, 1});
   int took = f.until([&] {
     int n = 0;
     for (int k = 0; k < 10; ++k) {
-      const Member* m = k == 2 ? nullptr : f.at(k).members().find("f2");
-      n += m && m->is.generation > was && m->is.state == State::alive;
+      const Member* m = k == 2 ? nullptr : f.at(k).membership().find("f2");
+      n += m && m->latest.incarnation > was && m->latest.state == MemberState::alive;
     }
     return n == 9;
   });
@@ -202,12 +204,15 @@
   f.start(2, {0, 1});
   f.now = now;
   f.wake(2);
-  took = f.until([&] { return f.hold(2, State::alive) == 9 && f.at(2).members().live() == 10; });
+  took = f.until(
+      [&] { return f.hold(2, MemberState::alive) == 9 && f.at(2).membership().liveCount() == 10; });
   std::printf("again, its clock an hour back: known with a higher life %s\n", within(took, 60));
   // Another process under the same name.
   int twin = f.add("f2", "c");
   f.start(twin, {0, 1});
-  took = f.until([&] { return f.at(2).members().usurped() || f.at(twin).members().usurped(); });
+  took = f.until([&] {
+    return f.at(2).membership().hasNameConflict() || f.at(twin).membership().hasNameConflict();
+  });
   std::printf("a second process of that name: one of them yields %s\n",
               took < 0 ? "never" : "in the end");
 }
@@ -218,30 +223,32 @@
   Gossip& c = f.at(0);
   auto dropsOf = [&] {
     const auto& t = c.counters();
-    const auto& d = c.members().dropped();
+    const auto& d = c.membership().dropped();
     char text[200];
     std::snprintf(
         text, sizeof text,
         "size %d version %d key %d form %d; fleet %d life %d again %d for another %d own name %d",
-        static_cast<int>(t.bad[1]), static_cast<int>(t.bad[2]), static_cast<int>(t.bad[3]),
-        static_cast<int>(t.bad[4]), static_cast<int>(d.otherFleet),
-        static_cast<int>(d.oldGeneration), static_cast<int>(d.replayed),
-        static_cast<int>(d.misdirected), static_cast<int>(d.ownName));
+        static_cast<int>(t.rejected[1]), static_cast<int>(t.rejected[2]),
+        static_cast<int>(t.rejected[3]), static_cast<int>(t.rejected[4]),
+        static_cast<int>(d.otherFleet), static_cast<int>(d.oldIncarnation),
+        static_cast<int>(d.replayed), static_cast<int>(d.misdirected), static_cast<int>(d.ownName));
     return std::string(text);
   };
   Keys key{"0123456789abcdef0123456789abcdef"};
   Packet p;
-  p.fleet = "f", p.from = {"f1", "b", Net::addressOf(1), f.hosts[1].generation, 0, State::alive},
+  p.fleet = "f",
+  p.from = {"f1", "b", Net::addressOf(1), f.hosts[1].incarnation, 0, MemberState::alive},
   p.number = 1'000'000;
-  p.rumors.push_back({"f2", "c", Net::addressOf(2), f.hosts[2].generation, 9, State::suspect});
+  p.updates.push_back(
+      {"f2", "c", Net::addressOf(2), f.hosts[2].incarnation, 9, MemberState::suspect});
   auto give = [&](const char* what, const std::string& bytes) {
-    c.datagram(bytes, Net::addressOf(1), f.now);
+    c.receive(bytes, Net::addressOf(1), f.now);
     c.takeDatagrams(f.now);
-    const Member* m = c.members().find("f2");
-    std::printf("%s: %s; f2 is %s\n", what, dropsOf().c_str(), nameOf(m->is.state));
+    const Member* m = c.membership().find("f2");
+    std::printf("%s: %s; f2 is %s\n", what, dropsOf().c_str(), nameOf(m->latest.state));
   };
-  std::string good = *toDatagram(p, key);
-  give("another key", *toDatagram(p, {"another key of thirty-two bytes."}));
+  std::string good = *encodeDatagram(p, key);
+  give("another key", *encodeDatagram(p, {"another key of thirty-two bytes."}));
   give("cut", good.substr(0, 40));
   give("nothing", "");
   give("one bit turned", [&] {
@@ -257,20 +264,20 @@
   }());
   Packet q = p;
   q.fleet = "g";
-  give("another fleet", *toDatagram(q, key));
-  q = p, q.from.generation -= 1;
-  give("of a life that is over", *toDatagram(q, key));
+  give("another fleet", *encodeDatagram(q, key));
+  q = p, q.from.incarnation -= 1;
+  give("of a life that is over", *encodeDatagram(q, key));
   q = p, q.to = "f2";
-  give("for another", *toDatagram(q, key));
+  give("for another", *encodeDatagram(q, key));
   q = p, q.number = 0;
-  give("without a number", *toDatagram(q, key));
+  give("without a number", *encodeDatagram(q, key));
   q = p, q.from.name = "f0";
-  give("in its own name", *toDatagram(q, key));
-  q = p, q.rumors[0].generation -= 1;
-  give("of an old life of f2", *toDatagram(q, key));
+  give("in its own name", *encodeDatagram(q, key));
+  q = p, q.updates[0].incarnation -= 1;
+  give("of an old life of f2", *encodeDatagram(q, key));
   q = p, q.number += 1;
-  give("the same, genuine", *toDatagram(q, key));
-  give("and again", *toDatagram(q, key));
+  give("the same, genuine", *encodeDatagram(q, key));
+  give("and again", *encodeDatagram(q, key));
 }
 
 void keys() {
@@ -291,7 +298,7 @@
   f.kill(2), f.start(2, {0, 1}, "f", {old});
   f.pass(ms(12'000));
   std::printf("one that still has only the old one: it counts %d\n",
-              static_cast<int>(f.at(2).members().live()));
+              static_cast<int>(f.at(2).membership().liveCount()));
 }
 
 void fleetsApart() {
@@ -308,14 +315,14 @@
   for (int n : sizes) {
     Fleet f(n, 3, false);
     for (int k = 0; k < n; ++k) f.start(k, {0, 1});
-    f.ticked = [&](int host) { f.at(host).notes().say(0, std::string(64, 'n'), f.now); };
+    f.ticked = [&](int host) { f.at(host).states().publish(0, std::string(64, 'n'), f.now); };
     f.pass(ms(settles));
     for (auto& h : f.hosts) h.packets = h.bytes = 0;
     f.pass(ms(20'000));
     std::uint64_t packets = 0, bytes = 0;
     std::size_t notes = 0;
     for (auto& h : f.hosts) packets += h.packets, bytes += h.bytes;
-    for (int k = 0; k < n; ++k) notes = std::max(notes, f.at(k).notes().on(0, f.now).size());
+    for (int k = 0; k < n; ++k) notes = std::max(notes, f.at(k).states().statesOf(0, f.now).size());
     double rate = static_cast<double>(bytes) / n / 20,
            packetsASecond = static_cast<double>(packets) / n / 20;
     if (base == 0) base = rate;
@@ -347,17 +354,18 @@
   Fleet f(n, 9, false);
   Packet all;
   all.fleet = "f", all.number = 1;
-  for (int k = 0; k < n; ++k) f.start(k, {0, 1}), all.rumors.push_back(f.at(k).members().self());
+  for (int k = 0; k < n; ++k)
+    f.start(k, {0, 1}), all.updates.push_back(f.at(k).membership().self());
   for (int k = 0; k < n; ++k) {
     for (int by : {(k + 1) % n, (k + 2) % n}) {  // by two, as a member is not taken at its own word
-      all.from = f.at(by).members().self();
-      f.at(k).members().received(all, all.from.at, f.now);
+      all.from = f.at(by).membership().self();
+      f.at(k).membership().receive(all, all.from.address, f.now);
     }
-    f.at(k).members().takeOutgoing(), f.at(k).members().takeChanges();
+    f.at(k).membership().takePackets(), f.at(k).membership().takeChanges();
   }
   std::printf("%d fronts: %d count all\n", n, f.count(n));
   f.leave(5);
-  int took = f.until([&] { return f.hold(5, State::left) * 10 >= 9 * f.running(); }, 40);
+  int took = f.until([&] { return f.hold(5, MemberState::left) * 10 >= 9 * f.running(); }, 40);
   std::fprintf(stderr, "%d periods\n", took);
   std::printf("one says that it goes: nine in ten know it %s, none has lost another: %s\n",
               within(took, 20), f.count(n) + f.count(n - 1) == f.running() ? "yes" : "no");
--- a/tests/support/gossip_network.h
+++ b/tests/support/gossip_network.h
@@ -27,7 +27,7 @@
     std::unique_ptr<membership::Gossip> gossip;
     std::string name, zone;
     bool up = false, paused = false;
-    std::uint64_t generation = 0;
+    std::uint64_t incarnation = 0;
     std::uint64_t packets = 0, bytes = 0;  // sent
   };
 
@@ -45,14 +45,14 @@
              membership::Keys keys = {"0123456789abcdef0123456789abcdef"}) {
     Host& h = hosts[static_cast<std::size_t>(host)];
     h.up = true, h.paused = false;
-    h.generation = static_cast<std::uint64_t>(now.us / 1000);
-    membership::Self self{fleet,
-                          h.name,
-                          h.zone,
-                          addressOf(host),
-                          h.generation,
-                          {},
-                          seed_ * 7919 + static_cast<std::uint64_t>(host) + h.generation};
+    h.incarnation = static_cast<std::uint64_t>(now.us / 1000);
+    membership::LocalMember self{fleet,
+                                 h.name,
+                                 h.zone,
+                                 addressOf(host),
+                                 h.incarnation,
+                                 {},
+                                 seed_ * 7919 + static_cast<std::uint64_t>(host) + h.incarnation};
     for (int s : seeds) self.seeds.push_back(addressOf(s));
     h.gossip = std::make_unique<membership::Gossip>(self, parameters, bounds, std::move(keys), now);
     wake(host);
@@ -60,7 +60,7 @@
   void kill(int host) { hosts[static_cast<std::size_t>(host)].up = false; }
   void leave(int host) {
     Host& h = hosts[static_cast<std::size_t>(host)];
-    h.gossip->leave(now), flush(host), h.up = false;
+    h.gossip->leave(), flush(host), h.up = false;
   }
   void pause(int host) { hosts[static_cast<std::size_t>(host)].paused = true; }
   // What came meanwhile is there at once, as in the kernel's buffer.
@@ -68,7 +68,7 @@
     Host& h = hosts[static_cast<std::size_t>(host)];
     h.paused = false;
     auto kept = std::exchange(held_[host], {});
-    for (const Datagram& d : kept) h.gossip->datagram(d.bytes, addressOf(d.from), now);
+    for (const Datagram& d : kept) h.gossip->receive(d.bytes, addressOf(d.from), now);
     wake(host);
   }
   membership::Gossip& at(int host) { return *hosts[static_cast<std::size_t>(host)].gossip; }
@@ -115,7 +115,7 @@
       if (e.datagram.bytes.empty()) {
         if (h.gossip->dueAt() <= now) h.gossip->tick(now), ticked(e.host);
       } else {
-        h.gossip->datagram(e.datagram.bytes, addressOf(e.datagram.from), now);
+        h.gossip->receive(e.datagram.bytes, addressOf(e.datagram.from), now);
       }
       flush(e.host), wake(e.host);
     }
@@ -134,7 +134,7 @@
   std::vector<Host> hosts;
   Faults faults;
   membership::Parameters parameters;
-  membership::Notes::Bounds bounds;
+  membership::GossipStateTable::Limits bounds;
   std::ranlux24_base chance;
   std::function<bool(int from, int to)> cut = [](int, int) { return false; };
   std::function<void(int host)> ticked = [](int) {};
--- a/tests/zones/zones_fleet_test.cpp
+++ b/tests/zones/zones_fleet_test.cpp
@@ -12,7 +12,7 @@
 
 #include "gossip_network.h"
 #include "trace.h"
-#include "zones/quorum.h"
+#include "zones/zone_coordinator.h"
 
 using namespace reedchute;
 using namespace reedchute::zones;
@@ -45,7 +45,7 @@
 
 struct Front {
   double rate = 0;
-  std::unique_ptr<Quorum> quorum;
+  std::unique_ptr<ZoneCoordinator> quorum;
   struct Sight {
     TimePoint until = kNever;
     Duration block{};
@@ -63,7 +63,7 @@
 
 class Fleet : public Net {
  public:
-  Fleet(int fronts, std::uint64_t seed, bool together, Leaving rules = {})
+  Fleet(int fronts, std::uint64_t seed, bool together, EvacuationPolicy rules = {})
       : Net(seed), rules_(rules), together_(together) {
     for (int k = 0; k < 18; ++k) stores.push_back({.zone = zoneFor(k), .came = {}});
     double all = 0;
@@ -84,11 +84,11 @@
   void starts(int k) {
     start(k, {0, 1, 2});
     Front& f = fleet[static_cast<std::size_t>(k)];
-    f.quorum = std::make_unique<Quorum>(rules_, hosts[static_cast<std::size_t>(k)].name, zoneFor(k),
-                                        at(k));
+    f.quorum = std::make_unique<ZoneCoordinator>(rules_, hosts[static_cast<std::size_t>(k)].name,
+                                                 zoneFor(k), at(k));
     for (std::size_t s = 0; s < stores.size(); ++s)
       f.stores[s] = {},
-      f.quorum->store(static_cast<int>(s), stores[s].zone, static_cast<int>(s / 3));
+      f.quorum->setStore(static_cast<int>(s), stores[s].zone, static_cast<int>(s / 3));
     f.share.clear();
   }
   void zoneUp(const std::string& zone, bool up, bool cold = true) {
@@ -163,7 +163,7 @@
     Front& f = fleet[static_cast<std::size_t>(k)];
     if (together_) {
       f.quorum->round(now);
-      for (const auto& [zone, z] : f.quorum->zones().all()) {
+      for (const auto& [zone, z] : f.quorum->controller().zones()) {
         double before = shareOf(f, zone);
         f.share[zone] = z.share;
         if (before <= 0 && z.share > 0)
@@ -175,11 +175,13 @@
     for (std::size_t s = 0; s < stores.size(); ++s) {
       Front::Sight& sight = f.stores[s];
       if (sight.block == Duration{} || sight.until > now) continue;
-      const zones::ZoneState* z = together_ ? f.quorum->zones().find(stores[s].zone) : nullptr;
-      if (z && !z->probes) continue;
+      const zones::ZoneState* z = together_ ? f.quorum->controller().find(stores[s].zone) : nullptr;
+      if (z && !z->mayProbe) continue;
       ++counts.probes;
       bool answers = stores[s].up && reaches(k, static_cast<int>(s));
-      f.quorum->saw(static_cast<int>(s), answers ? Watch::Seen::answer : Watch::Seen::failed, now);
+      f.quorum->observe(
+          static_cast<int>(s),
+          answers ? ZoneObserver::Observation::answered : ZoneObserver::Observation::failed, now);
       answers ? becomesCold(sight) : blocks(sight);
     }
     double n = f.rate * kStep.seconds();
@@ -204,7 +206,7 @@
   void statement(int k) {
     Front& f = fleet[static_cast<std::size_t>(k)];
     ++counts.asked;
-    f.quorum->took();
+    f.quorum->countStatement();
     for (int tries = 0; tries < 3; ++tries) {
       double sum = 0;
       std::vector<std::pair<double, std::size_t>> fit;
@@ -224,13 +226,16 @@
       if (f.stores[s].cold) f.stores[s].budget -= 1;
       if (!store.up || !reaches(k, static_cast<int>(s))) {
         ++counts.vain;
-        f.quorum->saw(static_cast<int>(s), Watch::Seen::failed, now);
+        f.quorum->observe(static_cast<int>(s), ZoneObserver::Observation::failed, now);
         blocks(f.stores[s]);
         continue;
       }
       store.came.push_back(now);
       bool late = part() < store.lateShare;
-      f.quorum->saw(static_cast<int>(s), late ? Watch::Seen::late : Watch::Seen::answer, now);
+      f.quorum->observe(
+          static_cast<int>(s),
+          late ? ZoneObserver::Observation::answeredLate : ZoneObserver::Observation::answered,
+          now);
       // Each try in vain costs a connect time-out: after one it is late.
       late || tries > 0 ? ++counts.late : ++counts.served;
       return;
@@ -249,12 +254,13 @@
     if (!together_) return;
     broken += count([&](const Front& f) {
       int left = 0, all = 0;
-      for (const auto& [zone, z] : f.quorum->zones().all()) ++all, left += z.stage == Stage::left;
-      return left > rules_.atOnce || (all > 0 && left == all);
+      for (const auto& [zone, z] : f.quorum->controller().zones())
+        ++all, left += z.status == ZoneStatus::evacuated;
+      return left > rules_.maxEvacuated || (all > 0 && left == all);
     });
   }
 
-  Leaving rules_;
+  EvacuationPolicy rules_;
   bool together_;
 };
 
