--- a/src/membership/transport.cpp
+++ b/src/membership/transport.cpp
@@ -82,7 +82,7 @@
     if (count == kMaxReadsAtOnce)
       co_await runtime::sleepUntil(scheduler_, scheduler_.now());
     else
-      co_await socket_.in.wait();
+      co_await socket_.readable.wait();
   }
 }
 
--- a/src/membership/transport.h
+++ b/src/membership/transport.h
@@ -35,7 +35,7 @@
   // Sends what the gossip has ready. A datagram that the kernel doesn't take now is lost like one
   // on its way, which the protocol bears.
   void flush();
-  int port() const { return runtime::portOf(socket_.fd()); }
+  int port() const { return runtime::localPort(socket_.fd()); }
   std::uint64_t unsent() const { return unsent_; }
 
  private:
