--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -14,6 +14,7 @@
 #include "ledger/settings.h"
 #include "protocols/cassandra/settings.h"
 #include "proxy/startup.h"
+#include "runtime/socket.h"
 
 namespace reedchute::proxy {
 namespace {
@@ -89,8 +90,10 @@
   const std::string& seed = need(config, "seed", Kind::text).text;
   auto seedValue = parseNumber<std::uint64_t>(seed, 16);
   if (!seedValue) badValue("seed", seed);
-  if (!discovery::parseEndpointList(need(config, "known", Kind::object), g.known, why))
-    throw Malformed("the known list makes no sense: " + why);
+  auto known = discovery::parseEndpointList(need(config, "known", Kind::object));
+  if (const auto* error = std::get_if<discovery::EndpointListError>(&known))
+    throw Malformed(std::string("the known list makes no sense: ") + discovery::describe(*error));
+  g.known = std::get<discovery::EndpointList>(std::move(known));
   g.settings.add("", need(config, "settings", Kind::object));
   g.terms = engineSettingsFrom(g.settings, *seedValue, g.names);
   g.keepalive = Duration{g.settings.integer("limits.keepalive")};
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -8,7 +8,7 @@
 
 #include "config/engine_settings.h"
 #include "decision/engine.h"
-#include "discovery/endpoint_watcher.h"
+#include "discovery/endpoint_list.h"
 #include "ledger/feed.h"
 #include "protocols/cassandra/config.h"
 #include "protocols/cassandra/table_mapping.h"
--- a/src/discovery/endpoint_watcher.cpp
+++ b/src/discovery/endpoint_watcher.cpp
@@ -1,148 +1,92 @@
 #include "discovery/endpoint_watcher.h"
 
 #include <algorithm>
-#include <set>
+#include <optional>
 #include <utility>
 
-#include "codec/http/response.h"
+#include "discovery/http_connection.h"
 #include "log/log.h"
 
 namespace reedchute::discovery {
 namespace {
 
-constexpr std::int64_t kMostWaitMs = 60'000;    // the service allows no more
-constexpr std::size_t kMostInARow = 64 * 1024;  // bytes of an answer before others have their turn
-constexpr std::size_t kValuesPart = 2;          // times its body that a list may take as values
+constexpr std::int64_t kMaxWaitMs = 60'000;   // the service allows no more
+constexpr std::size_t kMaxValuesPerBody = 2;  // bytes of parsed values per byte of body
 
-const char* readMember(const json::Value& v, Endpoint& m) {
-  auto text = [&](const char* name, std::string& to) {
-    const json::Value* f = v.find(name);
-    if (!f || !f->isText()) return false;
-    to = f->text;
-    return true;
-  };
-  auto number = [&](const char* name, double& to) {
-    const json::Value* f = v.find(name);
-    if (!f || !f->isNumber()) return false;
-    to = f->number;
-    return true;
-  };
-  std::string state, address, role;
-  double group = 0, started = 0;
-  if (!text("id", m.id) || m.id.empty()) return "an entry without an id";
-  if (!text("state", state)) return "an entry without a state";
-  if (state == "up")
-    m.listed = EndpointStatus::up;
-  else if (state == "draining")
-    m.listed = EndpointStatus::draining;
-  else if (state == "removed")
-    m.listed = EndpointStatus::gone;
-  else
-    return "an entry in an unknown state";
-  if (!text("addr", address)) return "an entry without an address";
-  auto parsed = runtime::parseAddress(address);
-  if (!parsed) return "an address that can't be read";
-  m.address = *parsed;
-  // Not on the platform: where the store is spoken to in other protocols.
-  if (const json::Value* others = v.find("addrs"))
-    for (const auto& [protocol, where] : others->members) {
-      auto other = runtime::parseAddress(where.text);
-      if (!other) return "an address that can't be read";
-      m.others.emplace_back(protocol, *other);
-    }
-  if (!number("cell", group) || group < INT32_MIN || group > INT32_MAX)
-    return "an entry without a group";
-  m.group = static_cast<std::int64_t>(group);
-  text("zone", m.zone);
-  number("weight", m.weight);
-  if (number("started_ms", started) && started > 0 && started < 1e15)
-    m.startedMs = static_cast<std::int64_t>(started);
-  if (text("access", role)) m.primary = role == "writer";
-  return nullptr;
+std::variant<EndpointList, std::string> parseBody(const std::string& body,
+                                                  std::size_t maxValueBytes) {
+  json::Value document;
+  std::string why;
+  if (!json::parse(body, document, why, maxValueBytes)) return why;
+  std::variant<EndpointList, EndpointListError> parsed = parseEndpointList(document);
+  if (const auto* error = std::get_if<EndpointListError>(&parsed)) return describe(*error);
+  return std::get<EndpointList>(std::move(parsed));
 }
 
 }  // namespace
 
-bool parseEndpointList(const json::Value& from, EndpointList& into, std::string& why) {
-  const json::Value *version = from.find("version"), *full = from.find("full"),
-                    *list = from.find("servers");
-  if (!version || !version->isNumber() || !full || full->kind != json::Value::Kind::boolean ||
-      !list || list->kind != json::Value::Kind::list) {
-    why = "no list with version, full and servers";
-    return false;
-  }
-  EndpointList r;
-  r.version = static_cast<std::int64_t>(std::clamp(version->number, -1e15, 1e15));
-  r.full = full->truth;
-  std::set<std::string> ids;
-  for (const json::Value& entry : list->items) {
-    Endpoint m;
-    if (const char* wrong = readMember(entry, m)) {
-      why = wrong;
-      return false;
-    }
-    if (!ids.insert(m.id).second && r.full) {
-      why = "an id that stands twice";
-      return false;
-    }
-    r.members.push_back(std::move(m));
-  }
-  into = std::move(r);
-  return true;
-}
-
+// A discovery service that is called, and what is known of it.
 struct EndpointWatcher::Service {
-  Service(runtime::Scheduler& s, sockaddr_in at, std::string called)
-      : address(at), host(std::move(called)), wakes(s) {}
+  Service(runtime::Scheduler& scheduler, sockaddr_in address, std::string host,
+          HttpConnection::Limits limits)
+      : connection(scheduler, address, std::move(host), limits), wakes(scheduler) {}
 
-  sockaddr_in address;
-  std::string host, in;
-  std::optional<runtime::Socket> socket;
+  HttpConnection connection;
   runtime::Event wakes;
   std::int64_t version = 0;
-  bool known = false;  // `version` is of what this service knows
-  bool heard = false;  // it has answered
-  bool due = false;    // to be called without being asked for
-  bool early = false;  // its last answer had nothing new, and did not wait for it
+  bool isVersionKnown = false;  // `version` is of what this service has told
+  bool hasAnswered = false;
+  bool callsUnrequested = false;  // also on demand, it is called at once
+  bool answeredEarly = false;     // its last response had nothing new, and did not wait for it
 };
 
-EndpointWatcher::EndpointWatcher(runtime::Scheduler& s, EndpointListener& listener,
-                                 sockaddr_in service, std::string host, std::int64_t known,
-                                 Pace pace, std::size_t mostBody)
-    : scheduler_(s),
+EndpointWatcher::EndpointWatcher(runtime::Scheduler& scheduler, EndpointListener& listener,
+                                 sockaddr_in address, std::string host, std::int64_t knownVersion,
+                                 Timing timing, std::size_t maxBodyBytes)
+    : scheduler_(scheduler),
       listener_(listener),
-      pace_(pace),
-      mostBody_(mostBody),
-      service_(std::make_shared<Service>(s, service, std::move(host))) {
-  service_->version = known;
-  service_->known = pace.onDemand;
+      timing_(timing),
+      maxBodyBytes_(maxBodyBytes),
+      service_(makeService(address, std::move(host))) {
+  service_->version = knownVersion;
+  service_->isVersionKnown = timing.isOnDemand;
 }
 
 EndpointWatcher::~EndpointWatcher() = default;
 
-void EndpointWatcher::ask() {
+EndpointWatcher::ServicePtr EndpointWatcher::makeService(sockaddr_in address,
+                                                         std::string host) const {
+  HttpConnection::Limits limits{.connectTimeout = timing_.connectTimeout,
+                                .maxBodyBytes = maxBodyBytes_};
+  return std::make_shared<Service>(scheduler_, address, std::move(host), limits);
+}
+
+bool EndpointWatcher::isCurrentOrFormer(const Service& service) const {
+  return &service == service_.get() || &service == former_.get();
+}
+
+void EndpointWatcher::requestPoll() {
   service_->wakes.set();
 }
 
-void EndpointWatcher::leave(Called& s) {
-  if (s->socket) s->socket->close();
-  s->wakes.set();
-  s.reset();
+void EndpointWatcher::abandon(ServicePtr& service) {
+  service->connection.close();
+  service->wakes.set();
+  service.reset();
 }
 
-// Danger: what the old service has written counts as told, read or not; closed unread it would be
-// lost, and the new one may be slow to say it.
-void EndpointWatcher::moveTo(sockaddr_in service, std::string host) {
-  Called last = std::exchange(service_,
-                              std::make_shared<Service>(scheduler_, service, std::move(host)));
-  if (last->heard || !before_) {
-    if (before_) leave(before_);
-    before_ = last;
+// What the former service has written counts as told, read or not: closed unread it would be lost,
+// and the new service may be slow to say it.
+void EndpointWatcher::setService(sockaddr_in address, std::string host) {
+  ServicePtr last = std::exchange(service_, makeService(address, std::move(host)));
+  if (last->hasAnswered || !former_) {
+    if (former_) abandon(former_);
+    former_ = last;
     last->wakes.set();
   } else {
-    leave(last);
+    abandon(last);
   }
-  service_->due = true;
+  service_->callsUnrequested = true;
   scheduler_.spawn(follow(service_));
 }
 
@@ -150,135 +94,90 @@
   co_await follow(service_);
 }
 
-runtime::Task<> EndpointWatcher::follow(Called s) {
-  int failed = pace_.onDemand && !s->due ? 1 : 0;  // calls, one after the other
-  while (s == service_) {
-    if (failed > 0 && pace_.onDemand)
-      co_await s->wakes.wait();  // the module says when to call again
-    else if (failed > 1)
-      // Danger: a service that fails at once would be called in a loop. One call is made anew at
-      // once: a change may come in between, and counts as told.
-      co_await s->wakes.wait(scheduler_.now() + pace_.retry);
-    if (s != service_) break;
-    // A watch goes on for as long as each next call follows the last answer at once.
-    for (bool good = true; good;) {
-      good = co_await call(*s);
-      if (good) failed = 0;
-      if (good && s->early)
-        co_await runtime::sleepUntil(scheduler_, scheduler_.now() + pace_.retry);
-      if (s != service_ && s != before_) co_return;
+// Calls the service for as long as it is the current one, or the former one whose watch still
+// holds.
+runtime::Task<> EndpointWatcher::follow(ServicePtr service) {
+  int consecutiveFailures = timing_.isOnDemand && !service->callsUnrequested ? 1 : 0;
+  while (service == service_) {
+    co_await waitBeforeCall(*service, consecutiveFailures);
+    if (service != service_) break;
+    // A watch goes on for as long as each next call follows the last response at once.
+    bool hasSucceeded = true;
+    while (hasSucceeded) {
+      hasSucceeded = co_await call(*service);
+      if (hasSucceeded) consecutiveFailures = 0;
+      if (hasSucceeded && service->answeredEarly)
+        co_await runtime::sleepUntil(scheduler_, scheduler_.now() + timing_.retryDelay);
+      if (!isCurrentOrFormer(*service)) co_return;
     }
-    ++failed;
-    if (s == service_ && pace_.onDemand) listener_.listFailed();
+    ++consecutiveFailures;
+    if (service == service_ && timing_.isOnDemand) listener_.onPollFailed();
+  }
+}
+
+runtime::Task<> EndpointWatcher::waitBeforeCall(Service& service, int consecutiveFailures) {
+  if (consecutiveFailures > 0 && timing_.isOnDemand) {
+    co_await service.wakes.wait();  // the decision engine says when to call again
+    co_return;
   }
+  // A service that fails at once would be called in a loop. The first repetition is made at once,
+  // as a change may come in between and counts as told.
+  if (consecutiveFailures > 1) co_await service.wakes.wait(scheduler_.now() + timing_.retryDelay);
 }
 
-runtime::Task<bool> EndpointWatcher::call(Service& s) {
-  bool whole = !s.known;
-  std::int64_t waitMs = std::min(kMostWaitMs, pace_.wait.us / 1000);
+// Fetches the whole list, or watches for changes where the version is known.
+runtime::Task<bool> EndpointWatcher::call(Service& service) {
+  const bool wantsWhole = !service.isVersionKnown;
+  const std::int64_t lastVersion = service.version;
+  const TimePoint begun = scheduler_.now();
+  std::int64_t waitMs = std::min(kMaxWaitMs, timing_.maxHold.us / 1000);
   std::string path = "/catalog/members";
-  if (!whole) path += "?index=" + std::to_string(s.version) + "&wait=" + std::to_string(waitMs);
-  // Danger: a watch that has fallen silent looks like one with nothing to tell. Where the list is
-  // pushed the whole of it comes from this machine at once; a service that many ask may take its
-  // time.
-  Duration limit = whole && !pace_.onDemand ? pace_.silence : pace_.wait + pace_.silence;
-  std::string body;
-  TimePoint begun = scheduler_.now();
-  std::int64_t had = s.version;
-  bool got = co_await exchange(s, path, begun + limit, body);
-  // Danger: a service may answer at once that there is nothing new, and would be called in a loop.
-  if (got && take(s, body, whole)) {
-    s.early = !whole && s.version == had && scheduler_.now() - begun < pace_.retry;
+  if (!wantsWhole)
+    path += "?index=" + std::to_string(lastVersion) + "&wait=" + std::to_string(waitMs);
+  // A watch that has fallen silent looks like one with nothing to tell. Where the list is pushed
+  // the whole of it comes from this machine at once; a service that many call may take its time.
+  bool answersAtOnce = wantsWhole && !timing_.isOnDemand;
+  Duration limit = answersAtOnce ? timing_.silence : timing_.maxHold + timing_.silence;
+  std::optional<std::string> body = co_await service.connection.get(path, begun + limit);
+  if (body && acceptList(service, *body, wantsWhole)) {
+    // A service that answers at once that there is nothing new would be called in a loop.
+    service.answeredEarly = !wantsWhole && service.version == lastVersion &&
+                            scheduler_.now() - begun < timing_.retryDelay;
     co_return true;
   }
-  s.socket.reset();
-  s.in.clear();
+  service.connection.reset();
   co_return false;
 }
 
-bool EndpointWatcher::take(Service& s, const std::string& body, bool whole) {
-  json::Value value;
-  EndpointList roster;
-  std::string why;
-  if (!json::parse(body, value, why, mostBody_ * kValuesPart) ||
-      !parseEndpointList(value, roster, why)) {
-    log::line("discovery_invalid_response", "what=\"%s\"", why.c_str());
+// False where the response is of no use.
+bool EndpointWatcher::acceptList(Service& service, const std::string& body, bool askedForWhole) {
+  std::variant<EndpointList, std::string> parsed = parseBody(body,
+                                                             maxBodyBytes_ * kMaxValuesPerBody);
+  if (const auto* why = std::get_if<std::string>(&parsed)) {
+    log::line("discovery_invalid_response", "what=\"%s\"", why->c_str());
     return false;
   }
-  if (whole && !roster.full) {
+  const auto& list = std::get<EndpointList>(parsed);
+  if (askedForWhole && !list.isFull) {
     log::line("discovery_invalid_response", "what=\"changes where the whole list was asked for\"");
     return false;
   }
-  // Danger: a call that was left may have had its answer already; that is not the word of the one
-  // called now.
-  if (&s != service_.get() && &s != before_.get()) return false;
-  bool first = !std::exchange(s.heard, true);
-  if (!roster.full && roster.version < s.version) {
+  // A call that was abandoned may have had its response already; that is not the word of the
+  // service called now.
+  if (!isCurrentOrFormer(service)) return false;
+  bool isFirst = !service.hasAnswered;
+  service.hasAnswered = true;
+  if (!list.isFull && list.version < service.version) {
     log::line("discovery_version_regressed", "version=%lld held=%lld",
-              static_cast<long long>(roster.version), static_cast<long long>(s.version));
-    s.known = false;  // the service has started anew: the whole list is fetched
+              static_cast<long long>(list.version), static_cast<long long>(service.version));
+    service.isVersionKnown = false;  // the service has started anew: the whole list is fetched
     return true;
   }
-  s.version = roster.version;
-  s.known = true;
-  if (first || roster.full || !roster.members.empty()) listener_.listCame(roster);
-  if (&s == service_.get() && before_) leave(before_);
+  service.version = list.version;
+  service.isVersionKnown = true;
+  if (isFirst || list.isFull || !list.endpoints.empty()) listener_.onEndpointsChanged(list);
+  if (&service == service_.get() && former_) abandon(former_);
   return true;
 }
 
-runtime::Task<bool> EndpointWatcher::exchange(Service& s, const std::string& path, TimePoint until,
-                                              std::string& body) {
-  if (s.socket && s.socket->open()) {
-    // A kept connection that the service has closed meanwhile is noticed before it is used.
-    s.in.clear();
-    if (s.socket->read(s.in, mostBody_) != runtime::Socket::Got::nothing) s.socket->close();
-  }
-  if (!s.socket || !s.socket->open()) {
-    s.in.clear();
-    s.socket.emplace(scheduler_, runtime::startConnect(s.address));
-    bool up = co_await runtime::connected(*s.socket,
-                                          std::min(until, scheduler_.now() + pace_.connect));
-    if (!up) {
-      log::line("discovery_unreachable", "what=\"no connection\"");
-      co_return false;
-    }
-  }
-  std::string call = "GET " + path + " HTTP/1.1\r\nHost: " + s.host +
-                     "\r\nAccept: application/json\r\n\r\n";
-  bool sent = co_await runtime::writeAll(*s.socket, call, until);
-  if (!sent) co_return false;
-  http::Response response(mostBody_);
-  for (std::size_t inARow = 0;;) {
-    inARow += s.in.size();
-    s.in.erase(0, response.feed(s.in));
-    if (response.whole() || response.bad()) break;
-    // Danger: an answer without end, as fast as it can be read, would have this thread for itself
-    // and never be late.
-    if (inARow > kMostInARow) {
-      inARow = 0;
-      co_await runtime::sleepUntil(scheduler_, scheduler_.now() + Duration{1});
-    }
-    runtime::Socket::Got got = s.socket->read(s.in, kMostInARow);
-    if (got == runtime::Socket::Got::some && scheduler_.now() < until) continue;
-    if (got == runtime::Socket::Got::ended) {
-      response.ended(s.socket->wasReset());
-      break;
-    }
-    bool set = false;
-    if (got == runtime::Socket::Got::nothing) set = co_await s.socket->in.wait(until);
-    if (!set) {
-      log::line("discovery_timeout", "path=%s", path.c_str());
-      co_return false;
-    }
-  }
-  if (response.whole() && !response.keepsOpen()) s.socket->close();
-  if (!response.whole() || response.status() != 200) {
-    log::line("discovery_invalid_response", "status=%d what=\"%s\"", response.status(),
-              response.why().c_str());
-    co_return false;
-  }
-  body = response.takeBody();
-  co_return true;
-}
-
 }  // namespace reedchute::discovery
--- a/src/pipeline/router.cpp
+++ b/src/pipeline/router.cpp
@@ -51,7 +51,7 @@
 }
 
 void Router::watchList() {
-  list_->ask();
+  list_->requestPoll();
 }
 
 }  // namespace reedchute::pipeline
--- a/src/proxy/protocols.cpp
+++ b/src/proxy/protocols.cpp
@@ -70,7 +70,7 @@
   std::vector<request::ProtocolVersion> versions() const override { return speeches_; }
   bool probes() const override { return config_.probes; }
   std::optional<sockaddr_in> addressOf(const discovery::Endpoint& m) const override {
-    for (const auto& [protocol, address] : m.others)
+    for (const auto& [protocol, address] : m.otherAddresses)
       if (protocol == "cassandra") return address;
     sockaddr_in address = m.address;
     address.sin_port = htons(config_.storePort);
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -65,7 +65,7 @@
   return g;
 }
 
-discovery::EndpointWatcher::Pace listPace(const EngineSettings& t) {
+discovery::EndpointWatcher::Timing listPace(const EngineSettings& t) {
   Duration dial = t.mustAsk ? t.connectTimeout
                             : std::min(t.connectTimeout, t.drainGrace * kDialPart);
   return {std::min(t.askEvery, kToldAnyway * kWatchPart), kToldAnyway * kSilentPart, dial,
@@ -268,7 +268,7 @@
   log::line("reload", "discovery=%s", next.discoveryHost.c_str());
   config_.discovery = next.discovery;
   config_.discoveryHost = next.discoveryHost;
-  list_.moveTo(next.discovery, next.discoveryHost);
+  list_.setService(next.discovery, next.discoveryHost);
   return true;
 }
 
@@ -426,34 +426,34 @@
   statements_.touch();
 }
 
-void Proxy::listCame(const discovery::EndpointList& roster) {
+void Proxy::onEndpointsChanged(const discovery::EndpointList& roster) {
   log::line("endpoints_updated", "version=%lld full=%d entries=%zu",
-            static_cast<long long>(roster.version), roster.full, roster.members.size());
+            static_cast<long long>(roster.version), roster.isFull, roster.endpoints.size());
   tellList(roster, true);
   listed_.set();
 }
 
-void Proxy::listFailed() {
+void Proxy::onPollFailed() {
   engine_.onDiscoveryFailed(scheduler_.now());
   statements_.touch();
 }
 
 void Proxy::tellList(const discovery::EndpointList& roster, bool asked) {
   TimePoint now = scheduler_.now();
-  engine_.beginSnapshot(roster.full);
+  engine_.beginSnapshot(roster.isFull);
   // Whoever a whole list leaves out is gone, unless it names it below.
-  if (roster.full) storeIds_.each([&](int store) { gone_.try_emplace(store, now); });
-  for (const discovery::Endpoint& m : roster.members) {
+  if (roster.isFull) storeIds_.each([&](int store) { gone_.try_emplace(store, now); });
+  for (const discovery::Endpoint& m : roster.endpoints) {
     EndpointInfo e;
     e.store = storeIds_.add(m.id);
-    if (m.listed == EndpointStatus::gone)
+    if (m.status == EndpointStatus::gone)
       gone_.try_emplace(e.store, now);
     else
       gone_.erase(e.store);
     e.group = groups_.add(m.group);
     e.zone = placeOf(config_.names.zones, m.zone);
-    e.listed = m.listed;
-    e.primary = m.primary;
+    e.listed = m.status;
+    e.primary = m.isPrimary;
     e.weight = m.weight;
     if (m.startedMs > 0) e.started = startOf(e.store, WallTime{m.startedMs * 1000});
     for (const auto& p : protocols_)
@@ -462,16 +462,16 @@
           stores_.setAddress(e.store, version, *address);
     engine_.addEndpoint(e, now);
     statements_.guard().listed(e.store, e.group, e.zone, e.listed, now);
-    const char* state = m.listed == EndpointStatus::up         ? "up"
-                        : m.listed == EndpointStatus::draining ? "draining"
+    const char* state = m.status == EndpointStatus::up         ? "up"
+                        : m.status == EndpointStatus::draining ? "draining"
                                                                : "gone";
     log::line("endpoint", "store=%d id=%s group=%lld state=%s primary=%d started_ms=%lld", e.store,
-              m.id.c_str(), static_cast<long long>(m.group), state, m.primary,
+              m.id.c_str(), static_cast<long long>(m.group), state, m.isPrimary,
               static_cast<long long>(m.startedMs));
   }
   engine_.endSnapshot(asked);
-  for (const discovery::Endpoint& m : roster.members)
-    if (m.listed != EndpointStatus::up) stores_.drainStore(storeIds_.find(m.id));
+  for (const discovery::Endpoint& m : roster.endpoints)
+    if (m.status != EndpointStatus::up) stores_.drainStore(storeIds_.find(m.id));
   if (config_.terms.goneBinds)
     for (const auto& [store, since] : gone_)
       statements_.guard().dropped(store, now), stores_.drainStore(store),
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -45,8 +45,8 @@
   void left(int statement) override;
   bool roomy() const override;
   bool takes(TimePoint came) const override { return came <= takenUntil_; }
-  void listCame(const discovery::EndpointList& roster) override;
-  void listFailed() override;
+  void onEndpointsChanged(const discovery::EndpointList& roster) override;
+  void onPollFailed() override;
 
  private:
   void enter(Lifecycle p);
--- a/tests/codec/parsers_test.cpp
+++ b/tests/codec/parsers_test.cpp
@@ -9,7 +9,7 @@
 #include "codec/json/json.h"
 #include "codec/pg/messages.h"
 #include "codec/pg/statement.h"
-#include "discovery/endpoint_watcher.h"
+#include "discovery/endpoint_list.h"
 #include "request/store_report.h"
 #include "trace.h"
 
@@ -290,10 +290,19 @@
     json::Value v;
     std::string why;
     discovery::EndpointList r;
-    bool read = json::parse(text, v, why) && discovery::parseEndpointList(v, r, why);
+    bool read = json::parse(text, v, why);
+    if (read) {
+      auto parsed = discovery::parseEndpointList(v);
+      auto* error = std::get_if<discovery::EndpointListError>(&parsed);
+      read = !error;
+      if (error)
+        why = discovery::describe(*error);
+      else
+        r = std::get<discovery::EndpointList>(parsed);
+    }
     if (read)
       std::printf("version %lld, %zu entries\n", static_cast<long long>(r.version),
-                  r.members.size());
+                  r.endpoints.size());
     else
       std::printf("bad: %s\n", why.c_str());
   }
