--- a/src/protocols/postgres/client_codec.cpp
+++ b/src/protocols/postgres/client_codec.cpp
@@ -180,12 +180,12 @@
     // request. It is told with this one, of which nothing has run.
     if (alone && replies_.empty() && !door_.handler.takes(came))
       return end("57P03", "this server is shutting down: ask another", After::endsForLeaving);
-    request::ReceivedStatement taken;
+    auto decoded = door_.decoder.decode(text, door_.scheduler.now(), door_.scheduler.wall());
+    if (auto* reply = std::get_if<ImmediateReply>(&decoded)) return say(std::move(reply->bytes));
+    auto& taken = std::get<request::ReceivedStatement>(decoded);
     taken.version = door_.version;
     taken.came = came;
-    if (auto reply = door_.takeIn.read(text, door_.scheduler.now(), door_.scheduler.wall(), taken))
-      return say(std::move(*reply));
-    bool write = door_.takeIn.writes(taken.arrival.workload);
+    bool write = door_.decoder.isWrite(taken.arrival.workload);
     // Danger: a read that overtakes the write before it would not see it, nor a write the one
     // before it.
     waits_ = std::any_of(replies_.begin(), replies_.end(),
--- a/src/protocols/postgres/client_codec.h
+++ b/src/protocols/postgres/client_codec.h
@@ -15,16 +15,16 @@
 class ClientProtocol : public client::ClientProtocol {
  public:
   // `version`: the row of the stores' table in which its statements travel.
-  ClientProtocol(runtime::Scheduler& s, request::StatementHandler& d, TakeIn t,
+  ClientProtocol(runtime::Scheduler& s, request::StatementHandler& d, StatementDecoder t,
                  request::ProtocolVersion in, Pipeline p)
-      : scheduler(s), handler(d), takeIn(t), version(in), pipeline(p) {}
+      : scheduler(s), handler(d), decoder(t), version(in), pipeline(p) {}
 
   std::unique_ptr<client::ClientCodec> talk(client::ClientChannel& line) override;
   std::size_t mostMessage() const override;
 
   runtime::Scheduler& scheduler;
   request::StatementHandler& handler;
-  const TakeIn takeIn;
+  const StatementDecoder decoder;
   const request::ProtocolVersion version;
   const Pipeline pipeline;
   std::size_t kept = 0;  // bytes of answers that wait for their turn
--- /dev/null
+++ b/src/protocols/postgres/sql_state.cpp
@@ -0,0 +1,40 @@
+#include "protocols/postgres/sql_state.h"
+
+#include <algorithm>
+#include <array>
+
+namespace reedchute::protocols::postgres {
+namespace {
+
+constexpr std::string_view kReadOnlyTransaction = "25006";
+constexpr std::string_view kSnapshotTooOld = "72000";
+constexpr std::string_view kTooManyConnections = "53300";
+constexpr std::string_view kInternalError = "XX000";
+constexpr std::size_t kClassSize = 2;  // characters of a SQLSTATE that name its class
+
+// Classes by which a store says that the statement is at fault, wherever it is sent.
+constexpr std::array<std::string_view, 7> kStatementFaults{"0A", "21", "22", "23",
+                                                           "42", "44", "54"};
+
+bool blamesStatement(std::string_view sqlState) {
+  std::string_view kind = sqlState.substr(0, kClassSize);
+  return std::find(kStatementFaults.begin(), kStatementFaults.end(), kind) !=
+         kStatementFaults.end();
+}
+
+}  // namespace
+
+AttemptOutcome outcomeOf(std::string_view sqlState) {
+  if (sqlState == kReadOnlyTransaction || sqlState == kSnapshotTooOld)
+    return AttemptOutcome::notServedHere;
+  if (sqlState == kTooManyConnections) return AttemptOutcome::overloaded;
+  return blamesStatement(sqlState) ? AttemptOutcome::invalid : AttemptOutcome::error;
+}
+
+bool isLogged(std::string_view sqlState) {
+  AttemptOutcome outcome = outcomeOf(sqlState);
+  return outcome != AttemptOutcome::notServedHere && outcome != AttemptOutcome::overloaded &&
+         sqlState != kInternalError;
+}
+
+}  // namespace reedchute::protocols::postgres
--- a/src/protocols/postgres/statement_decoder.h
+++ b/src/protocols/postgres/statement_decoder.h
@@ -1,11 +1,11 @@
-// Stage 1, take in, for PostgreSQL: from the text of a query to what the module is told of it, or
-// to what is wrong with it.
+// Decodes a query of the PostgreSQL protocol: from its text to what the decision engine is told of
+// it, or to what is wrong with it. No I/O.
 #pragma once
 
 #include <cstdint>
-#include <optional>
 #include <string>
 #include <string_view>
+#include <variant>
 
 #include "base/id_index.h"
 #include "config/engine_settings.h"
@@ -15,30 +15,34 @@
 
 namespace reedchute::protocols::postgres {
 
-// A statement's text as it came, and where the digits of `d` stand.
+// A statement's text as it came, and where the digits of its time limit stand in it.
 struct Query : request::StatementPayload {
   std::size_t size() const override { return text.size(); }
   std::string text;
-  std::size_t waitAt = 0, waitSize = 0;
+  std::size_t waitOffset = 0, waitSize = 0;  // bytes
 };
 
-class TakeIn {
+// The whole response to a query that is not sent on.
+struct ImmediateReply {
+  std::string bytes;
+};
+
+class StatementDecoder {
  public:
-  TakeIn(const EngineSettings& terms, const Names& names, const IdIndex<std::int64_t>& groups,
-         const request::OpenIds& openIds)
-      : terms_(terms), names_(names), groups_(groups), openIds_(openIds) {}
+  StatementDecoder(const EngineSettings& settings, const Names& names,
+                   const IdIndex<std::int64_t>& groups, const request::OpenIds& openIds)
+      : settings_(settings), names_(names), groups_(groups), openIds_(openIds) {}
 
-  // Either fills `taken`, or returns the whole answer that the client gets at once.
-  std::optional<std::string> read(std::string_view text, TimePoint now,
-                                  const runtime::WallClock& wall,
-                                  request::ReceivedStatement& taken) const;
+  // The caller fills in version and time of arrival.
+  std::variant<request::ReceivedStatement, ImmediateReply> decode(
+      std::string_view text, TimePoint now, const runtime::WallClock& wall) const;
 
-  bool writes(int workload) const {
-    return terms_.workloads[static_cast<std::size_t>(workload)].level == Level::write;
+  bool isWrite(int workload) const {
+    return settings_.workloads[static_cast<std::size_t>(workload)].level == Level::write;
   }
 
  private:
-  const EngineSettings& terms_;
+  const EngineSettings& settings_;
   const Names& names_;
   const IdIndex<std::int64_t>& groups_;
   const request::OpenIds& openIds_;
--- a/src/protocols/postgres/upstream_connection.h
+++ b/src/protocols/postgres/upstream_connection.h
@@ -1,7 +1,8 @@
-// PostgreSQL towards the stores: a connection carries one job at a time.
+// PostgreSQL towards the stores: a connection carries one request at a time.
 #pragma once
 
 #include "upstream/connection_pools.h"
+#include "upstream/upstream_protocol.h"
 
 namespace reedchute::protocols::postgres {
 
--- a/src/proxy/protocols.cpp
+++ b/src/proxy/protocols.cpp
@@ -23,11 +23,13 @@
   Postgres(Config& config, const ProtocolContext& g)
       : config_(config),
         speech_(g.stores.addProtocol(voice_)),
-        door_(g.scheduler, g.handler,
-              protocols::postgres::TakeIn(config.terms, config.names, g.groups, g.openIds), speech_,
-              {std::max<std::size_t>(
-                   1, config.memory / kPipelinePart / pipeline::StatementTable::costOf(0)),
-               config.memory / kKeptPart}) {}
+        door_(
+            g.scheduler, g.handler,
+            protocols::postgres::StatementDecoder(config.terms, config.names, g.groups, g.openIds),
+            speech_,
+            {std::max<std::size_t>(
+                 1, config.memory / kPipelinePart / pipeline::StatementTable::costOf(0)),
+             config.memory / kKeptPart}) {}
 
   const char* name() const override { return "postgres"; }
   client::ClientProtocol& door() override { return door_; }
--- a/tests/protocols/postgres_upstream_test.cpp
+++ b/tests/protocols/postgres_upstream_test.cpp
@@ -51,7 +51,7 @@
     request::ProtocolVersion version = stores.addProtocol(*voice);
     stores.setAddress(0, version, here(static_cast<std::uint16_t>(runtime::portOf(listener.fd()))));
     query.text = "SELECT 1 /* id=1,c=any,cluster=7,d=900 */";
-    query.waitAt = query.text.find("900"), query.waitSize = 3;
+    query.waitOffset = query.text.find("900"), query.waitSize = 3;
     spoken = version;
     job = give();
     peer = accepted();
