--- a/src/proxy/protocols.cpp
+++ b/src/proxy/protocols.cpp
@@ -23,11 +23,13 @@
   Postgres(Config& config, const ProtocolContext& g)
       : config_(config),
         speech_(g.stores.addProtocol(voice_)),
-        door_(g.scheduler, g.handler,
-              protocols::postgres::TakeIn(config.terms, config.names, g.groups, g.openIds), speech_,
-              {std::max<std::size_t>(
-                   1, config.memory / kPipelinePart / pipeline::StatementTable::costOf(0)),
-               config.memory / kKeptPart}) {}
+        door_(
+            g.scheduler, g.handler,
+            protocols::postgres::StatementDecoder(config.terms, config.names, g.groups, g.openIds),
+            speech_,
+            {std::max<std::size_t>(
+                 1, config.memory / kPipelinePart / pipeline::StatementTable::costOf(0)),
+             config.memory / kKeptPart}) {}
 
   const char* name() const override { return "postgres"; }
   client::ClientProtocol& door() override { return door_; }
@@ -70,7 +72,7 @@
   std::vector<request::ProtocolVersion> versions() const override { return speeches_; }
   bool probes() const override { return config_.probes; }
   std::optional<sockaddr_in> addressOf(const discovery::Endpoint& m) const override {
-    for (const auto& [protocol, address] : m.others)
+    for (const auto& [protocol, address] : m.otherAddresses)
       if (protocol == "cassandra") return address;
     sockaddr_in address = m.address;
     address.sin_port = htons(config_.storePort);
