--- a/src/codec/cql/reply.cpp
+++ b/src/codec/cql/reply.cpp
@@ -161,30 +161,30 @@
 
 }  // namespace
 
-bool readReply(const Frame& f, Reply& r) {
-  Cursor c(f.body);
-  if (f.flags & kTracing) c.take(16);
-  if (f.flags & kWarnings)
-    for (std::uint16_t n = c.twoBytes(); n > 0 && c.good(); --n) c.string();
-  if (f.flags & kPayload && !readBytesMap(c, r.payload)) return false;
-  if (!c.good()) return false;
-  r.bodyAt = at(f.body, c);
-  if (f.opcode == Opcode::error) return readError(f, c, r);
-  if (f.opcode != Opcode::result) return true;
-  std::int32_t kind = c.fourBytes();
-  r.kind = static_cast<ResultKind>(kind);
+bool readReply(const Frame& frame, Reply& reply) {
+  Cursor cursor(frame.body);
+  if (frame.flags & kTracing) cursor.take(16);
+  if (frame.flags & kWarnings)
+    for (std::uint16_t n = cursor.twoBytes(); n > 0 && cursor.good(); --n) cursor.string();
+  if (frame.flags & kPayload && !readBytesMap(cursor, reply.payload)) return false;
+  if (!cursor.good()) return false;
+  reply.bodyAt = at(frame.body, cursor);
+  if (frame.opcode == Opcode::error) return readError(frame, cursor, reply);
+  if (frame.opcode != Opcode::result) return true;
+  std::int32_t kind = cursor.fourBytes();
+  reply.kind = static_cast<ResultKind>(kind);
   switch (kind) {
     case 1:
-      return c.ended();
+      return cursor.ended();
     case 2:
-      return readRows(f, c, r);
+      return readRows(frame, cursor, reply);
     case 3:
-      r.keyspace = c.string();
-      return c.ended();
+      reply.keyspace = cursor.string();
+      return cursor.ended();
     case 4:
-      return readPrepared(f, c, r);
+      return readPrepared(frame, cursor, reply);
     case 5:
-      return readChange(c);
+      return readChange(cursor);
     default:
       return false;
   }
--- a/src/codec/cql/reply.h
+++ b/src/codec/cql/reply.h
@@ -35,7 +35,7 @@
 
 // False where it isn't what the protocol has to the last byte. Danger: an answer cut short, or with
 // counts that lie, would reach the client as rows that never were.
-bool readReply(const Frame& f, Reply& into);
+bool readReply(const Frame& frame, Reply& reply);
 
 // Columns of the answers that the front words itself.
 enum class Type : std::uint16_t {
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -7,11 +7,14 @@
 #include <fstream>
 #include <iterator>
 #include <system_error>
+#include <utility>
+#include <variant>
 
 #include "base/parse_number.h"
 #include "config/hcl_settings.h"
 #include "ledger/settings.h"
 #include "protocols/cassandra/settings.h"
+#include "runtime/socket.h"
 #include "runtime/system_error.h"
 
 namespace reedchute::config {
@@ -56,11 +59,11 @@
 }
 
 discovery::EndpointList parseKnownEndpoints(const json::Value& value) {
-  discovery::EndpointList list;
-  std::string why;
-  if (!discovery::parseEndpointList(value, list, why))
-    throw InvalidInput("the known list makes no sense: " + why);
-  return list;
+  auto parsed = discovery::parseEndpointList(value);
+  if (const auto* error = std::get_if<discovery::EndpointListError>(&parsed))
+    throw InvalidInput(std::string("the known list makes no sense: ") +
+                       discovery::describe(*error));
+  return std::get<discovery::EndpointList>(std::move(parsed));
 }
 
 // The smaller of what the configuration states and what the process may really hold.
@@ -86,7 +89,7 @@
 
 void addLedger(Config& config, const Section& file, const std::vector<Section>& blocks) {
   if (blocks.size() > 1) file.fail("ledger", "stands twice");
-  if (!blocks.empty()) config.ledger = ledger::feedFrom(blocks.front(), config.name);
+  if (!blocks.empty()) config.ledger = ledger::usageRecorderConfigFrom(blocks.front(), config.name);
 }
 
 void addCassandra(Config& config, const Section& file, const std::vector<Section>& blocks,
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -11,8 +11,8 @@
 
 #include "config/engine_settings.h"
 #include "decision/engine.h"
-#include "discovery/endpoint_watcher.h"
-#include "ledger/feed.h"
+#include "discovery/endpoint_list.h"
+#include "ledger/usage_recorder.h"
 #include "protocols/cassandra/config.h"
 #include "protocols/cassandra/table_mapping.h"
 
@@ -34,7 +34,7 @@
   // From the HCL file, if there is one.
   std::optional<protocols::cassandra::Config> cassandra;
   std::optional<protocols::cassandra::TableMapping> tableMapping;
-  std::optional<ledger::FeedGiven> ledger;
+  std::optional<ledger::UsageRecorderConfig> ledger;
 };
 
 // Reads the file at `path`. Throws InvalidInput if it is missing or invalid, and std::system_error
--- a/src/proxy/config_reloader.cpp
+++ b/src/proxy/config_reloader.cpp
@@ -44,7 +44,7 @@
   log::line("reload", "discovery=%s", next.discoveryHost.c_str());
   config_.discoveryAddress = next.discoveryAddress;
   config_.discoveryHost = next.discoveryHost;
-  watcher_.moveTo(next.discoveryAddress, next.discoveryHost);
+  watcher_.setService(next.discoveryAddress, next.discoveryHost);
   return true;
 }
 
--- a/src/proxy/endpoint_registry.cpp
+++ b/src/proxy/endpoint_registry.cpp
@@ -25,10 +25,10 @@
 
 void EndpointRegistry::apply(const discovery::EndpointList& list, bool polled) {
   TimePoint now = scheduler_.now();
-  engine_.beginSnapshot(list.full);
+  engine_.beginSnapshot(list.isFull);
   // A store that a full list leaves out is absent; applyEntry() takes back those that it names.
-  if (list.full) ids_.stores.each([&](int store) { absentSince_.try_emplace(store, now); });
-  for (const discovery::Endpoint& endpoint : list.members) applyEntry(endpoint, now);
+  if (list.isFull) ids_.stores.each([&](int store) { absentSince_.try_emplace(store, now); });
+  for (const discovery::Endpoint& endpoint : list.endpoints) applyEntry(endpoint, now);
   engine_.endSnapshot(polled);
   withdrawUnlisted(list, now);
   statements_.touch();
@@ -37,14 +37,14 @@
 void EndpointRegistry::applyEntry(const discovery::Endpoint& endpoint, TimePoint now) {
   EndpointInfo info;
   info.store = ids_.stores.add(endpoint.id);
-  if (endpoint.listed == EndpointStatus::gone)
+  if (endpoint.status == EndpointStatus::gone)
     absentSince_.try_emplace(info.store, now);
   else
     absentSince_.erase(info.store);
   info.group = ids_.groups.add(endpoint.group);
   info.zone = indexOf(config_.names.zones, endpoint.zone);
-  info.listed = endpoint.listed;
-  info.primary = endpoint.primary;
+  info.listed = endpoint.status;
+  info.primary = endpoint.isPrimary;
   info.weight = endpoint.weight;
   if (endpoint.startedMs > 0)
     info.started = startTimeOf(info.store, WallTime{endpoint.startedMs * 1000});
@@ -52,8 +52,8 @@
   engine_.addEndpoint(info, now);
   statements_.guard().listed(info.store, info.group, info.zone, info.listed, now);
   log::line("endpoint", "store=%d id=%s group=%lld state=%s primary=%d started_ms=%lld", info.store,
-            endpoint.id.c_str(), static_cast<long long>(endpoint.group), nameOf(endpoint.listed),
-            endpoint.primary, static_cast<long long>(endpoint.startedMs));
+            endpoint.id.c_str(), static_cast<long long>(endpoint.group), nameOf(endpoint.status),
+            endpoint.isPrimary, static_cast<long long>(endpoint.startedMs));
 }
 
 void EndpointRegistry::placeInPools(int store, const discovery::Endpoint& endpoint) {
@@ -66,8 +66,8 @@
 }
 
 void EndpointRegistry::withdrawUnlisted(const discovery::EndpointList& list, TimePoint now) {
-  for (const discovery::Endpoint& endpoint : list.members)
-    if (endpoint.listed != EndpointStatus::up) pools_.drainStore(ids_.stores.find(endpoint.id));
+  for (const discovery::Endpoint& endpoint : list.endpoints)
+    if (endpoint.status != EndpointStatus::up) pools_.drainStore(ids_.stores.find(endpoint.id));
   if (!config_.engineSettings.removalMeansDrained) return;
   for (const auto& [store, since] : absentSince_) {
     statements_.guard().dropped(store, now);
--- a/src/proxy/ledger_log.cpp
+++ b/src/proxy/ledger_log.cpp
@@ -11,7 +11,7 @@
 }
 
 void LedgerLog::write() {
-  ledger::FeedState state = ledger_.state();
+  ledger::UsageRecorderState state = ledger_.state();
   if (state.is != written_.is)
     log::line("ledger", "state=%s what=\"%s\"", ledger::nameOf(state.is), state.what.c_str());
   if (state.lost != written_.lost)
--- a/src/proxy/ledger_log.h
+++ b/src/proxy/ledger_log.h
@@ -2,14 +2,14 @@
 // other counters.
 #pragma once
 
-#include "ledger/feed.h"
+#include "ledger/usage_recorder.h"
 #include "runtime/event.h"
 
 namespace reedchute::proxy {
 
 class LedgerLog {
  public:
-  LedgerLog(runtime::Scheduler& scheduler, const ledger::Feed& ledger, Duration interval)
+  LedgerLog(runtime::Scheduler& scheduler, const ledger::UsageRecorder& ledger, Duration interval)
       : scheduler_(scheduler), ledger_(ledger), interval_(interval) {}
 
   void write();
@@ -19,9 +19,9 @@
 
  private:
   runtime::Scheduler& scheduler_;
-  const ledger::Feed& ledger_;
+  const ledger::UsageRecorder& ledger_;
   Duration interval_;
-  ledger::FeedState written_;
+  ledger::UsageRecorderState written_;
 };
 
 }  // namespace reedchute::proxy
--- a/src/proxy/protocols.cpp
+++ b/src/proxy/protocols.cpp
@@ -22,11 +22,11 @@
   Postgres(config::Config& config, const ProtocolContext& context)
       : config_(config),
         version_(context.pools.addProtocol(upstreamProtocol_)),
-        clientProtocol_(context.scheduler, context.handler,
-                        protocols::postgres::TakeIn(config.engineSettings, config.names,
-                                                    context.endpointIds.groups, context.openIds),
-                        version_,
-                        {pipelineDepth(config.maxMemory), config.maxMemory / kOrderedDivisor}) {}
+        clientProtocol_(
+            context.scheduler, context.handler,
+            protocols::postgres::StatementDecoder(config.engineSettings, config.names,
+                                                  context.endpointIds.groups, context.openIds),
+            version_, {pipelineDepth(config.maxMemory), config.maxMemory / kOrderedDivisor}) {}
 
   const char* name() const override { return "postgres"; }
   client::ClientProtocol& clientProtocol() override { return clientProtocol_; }
@@ -75,7 +75,7 @@
   std::vector<request::ProtocolVersion> versions() const override { return versions_; }
   bool isForProbes() const override { return config_.probes; }
   std::optional<sockaddr_in> upstreamAddress(const discovery::Endpoint& endpoint) const override {
-    for (const auto& [protocol, address] : endpoint.others)
+    for (const auto& [protocol, address] : endpoint.otherAddresses)
       if (protocol == "cassandra") return address;
     sockaddr_in address = endpoint.address;
     address.sin_port = htons(config_.storePort);
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -26,9 +26,10 @@
   return config;
 }
 
-std::unique_ptr<ledger::Feed> openLedger(const config::Config& config) {
+std::unique_ptr<ledger::UsageRecorder> openLedger(const config::Config& config) {
   if (!config.ledger) return nullptr;
-  return std::make_unique<ledger::Feed>(*config.ledger, config.names, config.engineSettings);
+  return std::make_unique<ledger::UsageRecorder>(*config.ledger, config.names,
+                                                 config.engineSettings);
 }
 
 request::ProtocolVersion probeVersion(const Protocols& protocols) {
@@ -56,7 +57,7 @@
       router_(scheduler_, engine_, statements_, dispatcher_, responder_, pools_),
       endpoints_(scheduler_, config_, endpointIds_, engine_, statements_, pools_, protocols_),
       endpointWatcher_(scheduler_, *this, config_.discoveryAddress, config_.discoveryHost,
-                       config_.knownEndpoints.version, discoveryPace(config_.engineSettings),
+                       config_.knownEndpoints.version, discoveryTiming(config_.engineSettings),
                        endpointListMemory(config_)),
       reloader_(scheduler_, config_, endpointWatcher_),
       countersLog_({.requests = intake_.counters(),
@@ -171,14 +172,14 @@
   }
 }
 
-void Proxy::listCame(const discovery::EndpointList& list) {
+void Proxy::onEndpointsChanged(const discovery::EndpointList& list) {
   log::line("endpoints_updated", "version=%lld full=%d entries=%zu",
-            static_cast<long long>(list.version), list.full, list.members.size());
+            static_cast<long long>(list.version), list.isFull, list.endpoints.size());
   endpoints_.apply(list, true);
   firstListReceived_.set();
 }
 
-void Proxy::listFailed() {
+void Proxy::onPollFailed() {
   engine_.onDiscoveryFailed(scheduler_.now());
   statements_.touch();
 }
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -9,7 +9,7 @@
 #include "config/config.h"
 #include "decision/engine.h"
 #include "discovery/endpoint_watcher.h"
-#include "ledger/feed.h"
+#include "ledger/usage_recorder.h"
 #include "pipeline/admission.h"
 #include "pipeline/dispatcher.h"
 #include "pipeline/responder.h"
@@ -37,8 +37,8 @@
   void run();
 
  private:
-  void listCame(const discovery::EndpointList& list) override;
-  void listFailed() override;
+  void onEndpointsChanged(const discovery::EndpointList& list) override;
+  void onPollFailed() override;
 
   void createClients();
   void enter(Lifecycle phase);
@@ -54,7 +54,7 @@
   runtime::Scheduler scheduler_;
   EndpointIds endpointIds_;
   DecisionEngine engine_;
-  std::unique_ptr<ledger::Feed> ledger_;  // null where none is configured
+  std::unique_ptr<ledger::UsageRecorder> ledger_;  // null where none is configured
   pipeline::Responder responder_;
   pipeline::StatementTable statements_;
   pipeline::Admission admission_;
--- a/src/proxy/resource_limits.cpp
+++ b/src/proxy/resource_limits.cpp
@@ -65,15 +65,16 @@
   };
 }
 
-discovery::EndpointWatcher::Pace discoveryPace(const EngineSettings& settings) {
+discovery::EndpointWatcher::Timing discoveryTiming(const EngineSettings& settings) {
   Duration connect = settings.connectTimeout;
   if (!settings.pollsEndpoints) connect = std::min(connect, settings.drainGrace * kConnectPart);
   return {
-      .wait = std::min(settings.maxPollInterval, settings.endpointsAssumedKnownAfter * kWatchPart),
+      .maxHold = std::min(settings.maxPollInterval,
+                          settings.endpointsAssumedKnownAfter * kWatchPart),
       .silence = settings.endpointsAssumedKnownAfter * kSilencePart,
-      .connect = connect,
-      .retry = std::min(settings.connectTimeout, settings.drainGrace) * kRetryPart,
-      .onDemand = settings.pollsEndpoints,
+      .connectTimeout = connect,
+      .retryDelay = std::min(settings.connectTimeout, settings.drainGrace) * kRetryPart,
+      .isOnDemand = settings.pollsEndpoints,
   };
 }
 
--- a/src/proxy/resource_limits.h
+++ b/src/proxy/resource_limits.h
@@ -21,7 +21,7 @@
 client::ClientConnections::Limits clientLimits(const config::Config& config, std::size_t capacity,
                                                std::size_t connections);
 
-discovery::EndpointWatcher::Pace discoveryPace(const EngineSettings& settings);
+discovery::EndpointWatcher::Timing discoveryTiming(const EngineSettings& settings);
 
 // Bytes that an endpoint list may have as it is received.
 std::size_t endpointListMemory(const config::Config& config);
--- a/src/proxy/statement_intake.h
+++ b/src/proxy/statement_intake.h
@@ -4,7 +4,7 @@
 #pragma once
 
 #include "config/config.h"
-#include "ledger/feed.h"
+#include "ledger/usage_recorder.h"
 #include "pipeline/admission.h"
 #include "pipeline/statement_table.h"
 #include "request/request.h"
@@ -17,7 +17,7 @@
   // `ledger` may be null. Everything is borrowed and has to outlive the intake.
   StatementIntake(const runtime::Scheduler& scheduler, const config::Config& config,
                   pipeline::StatementTable& statements, pipeline::Admission& admission,
-                  const ledger::Feed* ledger)
+                  const ledger::UsageRecorder* ledger)
       : scheduler_(scheduler),
         config_(config),
         statements_(statements),
@@ -42,7 +42,7 @@
   const config::Config& config_;
   pipeline::StatementTable& statements_;
   pipeline::Admission& admission_;
-  const ledger::Feed* ledger_;
+  const ledger::UsageRecorder* ledger_;
   TimePoint acceptsUntil_ = kForever;
   request::RequestCounters counters_;
 };
