--- a/src/invariants/attempt_guard.cpp
+++ b/src/invariants/attempt_guard.cpp
@@ -47,7 +47,7 @@
   Store& s = stores_[static_cast<std::size_t>(store)];
   s.group = group, s.zone = zone;
   bool binds = as == EndpointStatus::draining ||
-               (as == EndpointStatus::gone && settings_.goneBinds);
+               (as == EndpointStatus::gone && settings_.removalMeansDrained);
   if (as == EndpointStatus::up)
     s.drainsSince = kForever;
   else if (binds)
@@ -76,7 +76,7 @@
   for (const EarlierAttempt& e : earlier) {
     if (e.sentAt == kNever || !e.mayHaveRun) continue;
     if (w.effect == Effect::nonIdempotent) return Refusal::mayHaveRun;
-    if (now - e.sentAt >= w.window) return Refusal::deduplicationWindowOver;
+    if (now - e.sentAt >= w.deduplicationWindow) return Refusal::deduplicationWindowOver;
     bool known = w.scope == Scope::everywhere ||
                  (w.scope == Scope::zone ? at(d.store).zone == at(e.store).zone
                                          : at(d.store).group == at(e.store).group);
--- a/src/pipeline/router.h
+++ b/src/pipeline/router.h
@@ -36,8 +36,8 @@
   void reject(int statement, Duration retryAfter) override;
   void abort(int statement) override;
   void probe(int store) override { dispatcher_.sendProbe(store); }
-  void release(int store) override { stores_.release(store); }
-  void watchList() override;
+  void release(int store) override { stores_.closeIdleConnections(store); }
+  void pollEndpoints() override;
   void wake(Duration after) override;
 
  private:
--- a/src/pipeline/statement_table.cpp
+++ b/src/pipeline/statement_table.cpp
@@ -133,7 +133,7 @@
   for (int k = 0; k < job.attempt && w.effect != Effect::idempotent; ++k) {
     const invariants::EarlierAttempt& earlier = st.attempts[static_cast<std::size_t>(k)];
     if (earlier.sentAt == kNever || !earlier.mayHaveRun) continue;
-    if (w.effect == Effect::nonIdempotent || whole - earlier.sentAt > w.window)
+    if (w.effect == Effect::nonIdempotent || whole - earlier.sentAt > w.deduplicationWindow)
       invariants::reportViolation(invariants::Rule::singleEffect,
                                   "id=%s store=%d attempt=%d after=%d", id, job.store, job.attempt,
                                   k);
@@ -150,7 +150,7 @@
     if (!position) return std::nullopt;
     return scheduler_.wall().pointOf(*position);
   };
-  Report report{pointOf(job.report.position), job.report.isPrimary};
+  ReplicaReport report{pointOf(job.report.position), job.report.isPrimary};
   if (job.statement < 0) {
     // Danger: a store whose answer can't be read has answered; it is not away.
     bool answered = job.outcome == AttemptOutcome::ok ||
--- a/src/request/upstream_request.h
+++ b/src/request/upstream_request.h
@@ -13,9 +13,11 @@
 #include "request/statement_payload.h"
 #include "request/store_report.h"
 
-namespace reedchute::request {
-
+namespace reedchute::upstream {
 class UpstreamConnection;
+}
+
+namespace reedchute::request {
 
 struct UpstreamRequest {
   int statement = -1;  // -1: a probe
@@ -33,8 +35,8 @@
     return std::max<std::int64_t>(0, (deadline - now).us / 1000);
   }
 
-  UpstreamConnection* connection = nullptr;  // the one that it was given to
-  std::size_t index = 0;                     // among all requests of the connection pools
+  upstream::UpstreamConnection* connection = nullptr;  // the one that it was given to
+  std::size_t index = 0;                               // among all requests of the connection pools
   TimePoint firstByteSentAt = kNever;
   TimePoint lastByteSentAt = kNever;
   std::int64_t announcedTimeoutMs = 0;
