--- a/src/client/acceptor.cpp
+++ b/src/client/acceptor.cpp
@@ -30,7 +30,7 @@
   switch (one.status) {
     case runtime::AcceptStatus::accepted:
       backoff_.reset();
-      host_.accepted(one.fd, waitedSince_);
+      host_.onAccepted(one.fd, waitedSince_);
       return true;
     case runtime::AcceptStatus::queueEmpty:
       backoff_.reset();
@@ -49,14 +49,14 @@
 TimePoint Acceptor::retryAt() {
   TimePoint now = scheduler_.now(), next = now + backoff_.nextDelay(now);
   bool lasts = now - backoff_.failingSince() >= longestPause_;
-  if (last_ == runtime::AcceptStatus::exhausted && lasts) host_.exhausted();
+  if (last_ == runtime::AcceptStatus::exhausted && lasts) host_.onDescriptorsExhausted();
   return next;
 }
 
 runtime::Task<> Acceptor::run() {
   int inARow = 0;
   while (listener_->isOpen()) {
-    if (std::optional<TimePoint> until = host_.holdUntil()) {
+    if (std::optional<TimePoint> until = host_.pauseUntil()) {
       if (waitedSince_ == kNever) waitedSince_ = scheduler_.now();
       co_await listener_->readable.wait(*until);
       continue;
--- a/src/protocols/postgres/statement_decoder.cpp
+++ b/src/protocols/postgres/statement_decoder.cpp
@@ -9,6 +9,7 @@
 #include "codec/pg/messages.h"
 #include "codec/pg/statement.h"
 #include "log/log.h"
+#include "request/idempotency_key.h"
 
 namespace reedchute::protocols::postgres {
 
@@ -106,8 +107,9 @@
   if (fields.afterMs) arrival.sinceWrite = now - wall.toSteady(WallTime{*fields.afterMs * 1000});
   statement.timeout = Duration{*fields.waitMs * 1000};
   statement.id = fields.id;
-  statement.tenant = fields.tenant.substr(0, request::kMostTenant);
-  statement.mark = request::markOf(statement.tenant, *fields.group, fields.mark);
+  statement.tenant = fields.tenant.substr(0, request::kMaxTenantBytes);
+  statement.idempotencyKey = request::idempotencyKeyOf(statement.tenant, *fields.group,
+                                                       fields.mark);
   arrival.tenant = indexOf(names_.tenants, statement.tenant);
   statement.payload = makeQuery(text, fields);
   return statement;
--- a/src/protocols/postgres/upstream_connection.cpp
+++ b/src/protocols/postgres/upstream_connection.cpp
@@ -29,8 +29,9 @@
 std::string queryOf(UpstreamRequest& request, TimePoint now) {
   if (!request.payload) return pg::query("SHOW usage");
   const auto& query = static_cast<const Query&>(*request.payload);
-  request.toldMs = request.leftMs(now);
-  return pg::query(pg::withWait(query.text, query.waitOffset, query.waitSize, request.toldMs));
+  request.announcedTimeoutMs = request.remainingMs(now);
+  return pg::query(
+      pg::withWait(query.text, query.waitOffset, query.waitSize, request.announcedTimeoutMs));
 }
 
 class Connection : public upstream::UpstreamConnection {
@@ -127,7 +128,7 @@
     std::size_t most = std::max(buffer_.size() + kMaxReadAtOnce, whole);
     runtime::Socket::ReadStatus got = socket_.read(buffer_.bytes(), most);
     if (got == runtime::Socket::ReadStatus::data) continue;
-    bool isCancelled = request_ && request_->cancelled;
+    bool isCancelled = request_ && request_->isCancelled;
     if (got == runtime::Socket::ReadStatus::closed || isCancelled) co_return Receive::ended;
     // A length that promises more than ever comes would hold the request for all of its time.
     TimePoint stallsAt = scheduler().now() + pools.limits().connectTimeout;
@@ -183,7 +184,7 @@
     // What the store sent unasked would pass for the response, and a request written to a
     // connection that has ended would be lost.
     if (!isQuiet()) {
-      if (!request_->cancelled) pools.requeue(std::exchange(request_, nullptr));
+      if (!request_->isCancelled) pools.requeue(std::exchange(request_, nullptr));
       break;
     }
     bool isUsable = co_await exchange();
@@ -238,20 +239,20 @@
 runtime::Task<bool> Connection::finishWriting(std::optional<std::string_view> rest) {
   UpstreamRequest& request = *request_;
   bool isWritten = rest && rest->empty();
-  if (isWritten) request.wholeAt = request.leftAt;
-  TimePoint writtenBy = request.leftAt + kMaxWriteTime;
+  if (isWritten) request.lastByteSentAt = request.firstByteSentAt;
+  TimePoint writtenBy = request.firstByteSentAt + kMaxWriteTime;
   if (rest && !isWritten) {
     isWriting_ = true;
-    TimePoint wholeBy = std::min({request.until, request.sendBy, writtenBy});
+    TimePoint wholeBy = std::min({request.deadline, request.sendBy, writtenBy});
     isWritten = co_await runtime::writeAll(socket_, *rest, wholeBy);
-    if (isWritten) request.wholeAt = scheduler().steadyNow();
+    if (isWritten) request.lastByteSentAt = scheduler().steadyNow();
     isWriting_ = false;
   }
   if (isWritten) co_return true;
   // A request that was cancelled while it was written, or held up on its way, says nothing about
   // the store: the kernel may take it late for this process's own sake.
   bool isLate = scheduler().now() >= std::min(request.sendBy, writtenBy);
-  bool isInnocent = request.cancelled || isLate;
+  bool isInnocent = request.isCancelled || isLate;
   request.outcome = isInnocent ? AttemptOutcome::neverSent : AttemptOutcome::connectFailed;
   co_return false;
 }
@@ -262,7 +263,7 @@
   ResponseReader reader(*request_);
   for (;;) {
     pg::Message message;
-    Receive received = co_await receive(message, request_->until, reader.hasBegun());
+    Receive received = co_await receive(message, request_->deadline, reader.hasBegun());
     if (received != Receive::message) {
       onResponseCut(received, reader);
       co_return false;
@@ -289,7 +290,7 @@
   buffer_.resetUnrequested();
   if (reader.isComplete()) {
     request_->outcome = AttemptOutcome::ok;
-    request_->answer.bytes = buffer_.takeKept();
+    request_->response.bytes = buffer_.takeKept();
   }
   buffer_.discardKept();  // an error may have come in a row's place
 }
@@ -303,15 +304,15 @@
     request.role = Role::unknown;
     request.position.reset();
     request.report = {};
-    request.outcome = request.cancelled ? AttemptOutcome::cancelled
-                                        : AttemptOutcome::malformedResponse;
+    request.outcome = request.isCancelled ? AttemptOutcome::cancelled
+                                          : AttemptOutcome::malformedResponse;
     return;
   }
   if (reader.hasFailed()) return;  // the store's word stands
-  if (request.cancelled) {
+  if (request.isCancelled) {
     request.outcome = AttemptOutcome::cancelled;
   } else if (reader.isComplete()) {
-    request.answer.bytes = buffer_.takeKept();
+    request.response.bytes = buffer_.takeKept();
     request.outcome = AttemptOutcome::ok;
   } else {
     bool isTimeout = cause == Receive::timedOut;
--- a/src/upstream/upstream_connection.h
+++ b/src/upstream/upstream_connection.h
@@ -4,7 +4,8 @@
 
 #include <cstddef>
 
-#include "request/request.h"
+#include "request/protocol_version.h"
+#include "request/upstream_request.h"
 #include "runtime/task.h"
 
 namespace reedchute::upstream {
