--- a/src/protocols/cassandra/client_codec.cpp
+++ b/src/protocols/cassandra/client_codec.cpp
@@ -278,7 +278,8 @@
           cql::errorBody(cql::kBootstrapping, "shutting down: ask another"));
       return line_.endForLeaving();
     }
-    Outcome o = door_.takeIn.read(f, keyspace_, door_.scheduler.now(), door_.scheduler.wall());
+    DecodeResult o = door_.decoder.decode(f, keyspace_, door_.scheduler.now(),
+                                          door_.scheduler.wall());
     if (!o.useKeyspace.empty()) keyspace_ = o.useKeyspace;
     if (!o.statement) return put(0, f.stream, o.opcode, o.body);
     o.statement->came = came_;
@@ -310,8 +311,8 @@
     };
     if (r.kind == cql::ResultKind::rows && r.pageState) {
       std::string put;
-      cql::addBytes(
-          put, wrapped({storeMark(door_.fleet.storeId(by)), position, std::string(*r.pageState)}));
+      cql::addBytes(put, encodePagingState({hashOf(door_.fleet.storeId(by)), position,
+                                            std::string(*r.pageState)}));
       return with(r.pageAt, r.pageSpan, put);
     }
     if (r.kind == cql::ResultKind::schemaChange) {
@@ -319,18 +320,18 @@
       std::string event;
       cql::addString(event, "SCHEMA_CHANGE");
       event += std::string_view(bytes).substr(r.bodyAt + 4);
-      door_.texts.schemaChanged();
+      door_.texts.onSchemaChanged();
       door_.schemaChanged(event);
     }
     if (r.kind == cql::ResultKind::prepared && pending.preparing) {
       std::string put;
       cql::addShortBytes(put, pending.preparing->id);
       std::string whole = with(r.idAt, 2 + r.id.size(), put);
-      PreparedRef p = door_.texts.keep(std::move(*pending.preparing));
+      PreparedRef p = door_.texts.insert(std::move(*pending.preparing));
       std::size_t before = PreparedTexts::costOf(*p);
       if (p->read.table.empty()) p->read.keyspace = r.keyspace, p->read.table = r.table;
-      p->told[version_ - cql::kLowest] = whole.substr(r.bodyAt);
-      door_.texts.grew(p, before);
+      p->resultBodies[version_ - cql::kLowest] = whole.substr(r.bodyAt);
+      door_.texts.onGrown(p, before);
       return whole;
     }
     return bytes;
--- a/src/protocols/cassandra/client_codec.h
+++ b/src/protocols/cassandra/client_codec.h
@@ -22,13 +22,13 @@
  public:
   // `versions`: the rows of the stores' table for versions 4 and 5.
   ClientProtocol(runtime::Scheduler& s, request::StatementHandler& d, const Fleet& f,
-                 const Config& g, TakeIn t, PreparedTexts& p, request::ProtocolVersion four,
-                 request::ProtocolVersion five)
+                 const Config& g, StatementDecoder t, PreparedTexts& p,
+                 request::ProtocolVersion four, request::ProtocolVersion five)
       : scheduler(s),
         handler(d),
         fleet(f),
         config(g),
-        takeIn(std::move(t)),
+        decoder(std::move(t)),
         texts(p),
         versions{four, five} {}
 
@@ -43,7 +43,7 @@
   request::StatementHandler& handler;
   const Fleet& fleet;
   const Config& config;
-  const TakeIn takeIn;
+  const StatementDecoder decoder;
   PreparedTexts& texts;
   const request::ProtocolVersion versions[2];
   std::vector<Session*> forStatus, forSchema;  // sessions that registered for these events
--- a/src/protocols/cassandra/error_outcomes.h
+++ b/src/protocols/cassandra/error_outcomes.h
@@ -1,4 +1,4 @@
-// Decides what a store's ERROR says of an execution: above all whether it may have run. No I/O.
+// What a store's ERROR says of an attempt: above all whether it may have run. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -8,9 +8,9 @@
 
 namespace reedchute::protocols::cassandra {
 
-// `turned`: the custom payload's word for why a store turned a statement away, "role" or "behind";
-// empty where it has none. Unprepared isn't here: it is no end, the text is prepared there and the
-// execution goes on.
-AttemptOutcome endingOf(std::int32_t code, std::string_view turned);
+// `reason`: the custom payload's word for why a store turned a statement away, "role" or "behind";
+// empty where it has none. Unprepared usually doesn't come here: the text is prepared there and the
+// attempt goes on.
+AttemptOutcome outcomeOf(std::int32_t code, std::string_view reason);
 
 }  // namespace reedchute::protocols::cassandra
--- a/src/protocols/cassandra/paging_state.cpp
+++ b/src/protocols/cassandra/paging_state.cpp
@@ -5,47 +5,50 @@
 #include "codec/cql/wire.h"
 
 namespace reedchute::protocols::cassandra {
-namespace {
 
 namespace cql = reedchute::cql;
 
-constexpr std::uint8_t kForm = 1;
-constexpr std::uint64_t kSeed =
-    0x7061676573746174;  // sets these hashes apart from others of the same bytes
+namespace {
+
+constexpr std::uint8_t kFormat = 1;
+constexpr std::size_t kHeaderSize = 1 + 8 + 8;  // bytes: format, store, position
+constexpr std::size_t kChecksumSize = 8;        // bytes
+// Sets these hashes apart from others of the same bytes.
+constexpr std::uint64_t kSeed = 0x7061676573746174;
 
-std::uint64_t sumOf(std::string_view bytes) {
+std::uint64_t checksumOf(std::string_view bytes) {
   return XXH3_64bits_withSeed(bytes.data(), bytes.size(), kSeed);
 }
 
 }  // namespace
 
-std::uint64_t storeMark(std::string_view storeId) {
+std::uint64_t hashOf(std::string_view storeId) {
   return XXH3_64bits(storeId.data(), storeId.size());
 }
 
-std::string wrapped(const Page& p) {
+std::string encodePagingState(const PagingState& paging) {
   std::string bytes;
-  cql::addByte(bytes, kForm);
-  cql::addLong(bytes, static_cast<std::int64_t>(p.store));
-  cql::addLong(bytes, p.position ? p.position->us : 0);
-  bytes += p.state;
-  cql::addLong(bytes, static_cast<std::int64_t>(sumOf(bytes)));
+  cql::addByte(bytes, kFormat);
+  cql::addLong(bytes, static_cast<std::int64_t>(paging.storeHash));
+  cql::addLong(bytes, paging.position ? paging.position->us : 0);
+  bytes += paging.state;
+  cql::addLong(bytes, static_cast<std::int64_t>(checksumOf(bytes)));
   return bytes;
 }
 
-std::optional<Page> unwrapped(std::string_view bytes) {
-  constexpr std::size_t kSum = 8;
-  if (bytes.size() < 1 + 8 + 8 + kSum) return std::nullopt;
-  cql::Cursor sum(bytes.substr(bytes.size() - kSum));
-  bytes.remove_suffix(kSum);
-  if (static_cast<std::uint64_t>(sum.eightBytes()) != sumOf(bytes)) return std::nullopt;
-  cql::Cursor c(bytes);
-  if (c.byte() != kForm) return std::nullopt;
-  Page p;
-  p.store = static_cast<std::uint64_t>(c.eightBytes());
-  if (std::int64_t us = c.eightBytes(); us > 0) p.position = WallTime{us};
-  p.state = c.rest();
-  return p;
+std::optional<PagingState> decodePagingState(std::string_view bytes) {
+  if (bytes.size() < kHeaderSize + kChecksumSize) return std::nullopt;
+  cql::Cursor checksum(bytes.substr(bytes.size() - kChecksumSize));
+  bytes.remove_suffix(kChecksumSize);
+  if (static_cast<std::uint64_t>(checksum.eightBytes()) != checksumOf(bytes)) return std::nullopt;
+  cql::Cursor cursor(bytes);
+  if (cursor.byte() != kFormat) return std::nullopt;
+  PagingState paging;
+  paging.storeHash = static_cast<std::uint64_t>(cursor.eightBytes());
+  std::int64_t positionUs = cursor.eightBytes();
+  if (positionUs > 0) paging.position = WallTime{positionUs};
+  paging.state = cursor.rest();
+  return paging;
 }
 
 }  // namespace reedchute::protocols::cassandra
--- a/src/protocols/cassandra/prepared_statements.cpp
+++ b/src/protocols/cassandra/prepared_statements.cpp
@@ -7,8 +7,8 @@
 namespace reedchute::protocols::cassandra {
 namespace {
 
-constexpr std::size_t kEntry = 512;  // what an entry takes beside its texts
-constexpr double kCut = 0.5;
+constexpr std::size_t kEntryBytes = 512;  // beside the entry's texts
+constexpr double kFailureFactor = 0.5;
 
 }  // namespace
 
@@ -18,8 +18,8 @@
   return {reinterpret_cast<const char*>(bytes.digest), sizeof bytes.digest};
 }
 
-std::size_t PreparedTexts::costOf(const PreparedText& t) {
-  return kEntry + t.text.size() + t.told[0].size() + t.told[1].size();
+std::size_t PreparedTexts::costOf(const PreparedText& text) {
+  return kEntryBytes + text.text.size() + text.resultBodies[0].size() + text.resultBodies[1].size();
 }
 
 PreparedRef PreparedTexts::find(std::string_view id) {
@@ -29,54 +29,57 @@
   return *it->second;
 }
 
-PreparedRef PreparedTexts::keep(PreparedText text) {
+PreparedRef PreparedTexts::insert(PreparedText text) {
   if (PreparedRef known = find(text.id)) return known;
-  auto p = std::make_shared<PreparedText>(std::move(text));
-  bytes_ += costOf(*p);
-  byUse_.push_front(p);
-  byId_.emplace(p->id, byUse_.begin());
-  evictLeastRecentlyUsed(p);
-  return p;
+  auto inserted = std::make_shared<PreparedText>(std::move(text));
+  bytes_ += costOf(*inserted);
+  byUse_.push_front(inserted);
+  byId_.emplace(inserted->id, byUse_.begin());
+  evictLeastRecentlyUsed(inserted);
+  return inserted;
 }
 
-void PreparedTexts::grew(const PreparedRef& p, std::size_t before) {
-  auto it = byId_.find(p->id);
-  if (it == byId_.end() || *it->second != p) return;  // forgotten meanwhile
-  bytes_ = bytes_ - before + costOf(*p);
-  evictLeastRecentlyUsed(p);
+void PreparedTexts::onGrown(const PreparedRef& text, std::size_t costBefore) {
+  auto it = byId_.find(text->id);
+  if (it == byId_.end() || *it->second != text) return;  // evicted meanwhile
+  bytes_ = bytes_ - costBefore + costOf(*text);
+  evictLeastRecentlyUsed(text);
 }
 
 void PreparedTexts::evictLeastRecentlyUsed(const PreparedRef& except) {
-  while (bytes_ > most_ && byUse_.back() != except) {
+  while (bytes_ > maxBytes_ && byUse_.back() != except) {
     bytes_ -= costOf(*byUse_.back());
     byId_.erase(byUse_.back()->id);
     byUse_.pop_back();
   }
 }
 
-void PreparedTexts::schemaChanged() {
-  for (const PreparedRef& p : byUse_) {
-    bytes_ -= costOf(*p);
-    for (std::string& t : p->told) t.clear(), t.shrink_to_fit();
-    bytes_ += costOf(*p);
+void PreparedTexts::onSchemaChanged() {
+  for (const PreparedRef& text : byUse_) {
+    bytes_ -= costOf(*text);
+    for (std::string& body : text->resultBodies) {
+      body.clear();
+      body.shrink_to_fit();
+    }
+    bytes_ += costOf(*text);
   }
 }
 
-const StorePrepared::Known* StorePrepared::find(const std::string& id) {
+const StorePrepared::StoreIds* StorePrepared::find(const std::string& id) {
   auto it = byId_.find(id);
   if (it == byId_.end()) return nullptr;
   room_.byUse_.splice(room_.byUse_.begin(), room_.byUse_, it->second);
-  return &it->second->known;
+  return &it->second->storeIds;
 }
 
-void StorePrepared::learn(const std::string& id, Known known) {
+void StorePrepared::record(const std::string& id, StoreIds storeIds) {
   forget(id);
-  std::list<Place>& all = room_.byUse_;
-  all.push_front({this, id, std::move(known)});
-  byId_.emplace(id, all.begin());
-  if (all.size() <= room_.most_) return;
-  all.back().of->byId_.erase(all.back().id);
-  all.pop_back();
+  std::list<Entry>& entries = room_.byUse_;
+  entries.push_front({this, id, std::move(storeIds)});
+  byId_.emplace(id, entries.begin());
+  if (entries.size() <= room_.maxEntries_) return;
+  entries.back().owner->byId_.erase(entries.back().id);
+  entries.pop_back();
 }
 
 void StorePrepared::forget(const std::string& id) {
@@ -87,13 +90,13 @@
 }
 
 void StorePrepared::forgetAll() {
-  for (const auto& [id, place] : byId_) room_.byUse_.erase(place);
+  for (const auto& [id, entry] : byId_) room_.byUse_.erase(entry);
   byId_.clear();
 }
 
-void PreparePace::ends(bool well) {
-  --out_;
-  limit_ = well ? std::min(most_, limit_ + 1) : std::max(1.0, limit_ * kCut);
+void PreparePace::onEnded(bool isPrepared) {
+  --inFlight_;
+  limit_ = isPrepared ? std::min(maxLimit_, limit_ + 1) : std::max(1.0, limit_ * kFailureFactor);
 }
 
 }  // namespace reedchute::protocols::cassandra
--- a/src/protocols/cassandra/prepared_statements.h
+++ b/src/protocols/cassandra/prepared_statements.h
@@ -1,8 +1,9 @@
-// Prepared statements: what clients know by an id of the front's, and what each store knows by ids
-// of its own. No I/O. Memory is bounded; what was used least lately goes first, and its clients are
-// told to prepare it again.
+// Prepared statements: what clients know by an id of the proxy's, and what each store knows by ids
+// of its own. No I/O. Memory is bounded: what was least recently used goes first, and its clients
+// are told to prepare it again.
 #pragma once
 
+#include <array>
 #include <cstdint>
 #include <list>
 #include <memory>
@@ -17,12 +18,11 @@
 
 // One text, as stores are given it.
 struct PreparedText {
-  std::string id;    // that clients know; the same at every front, as it follows from the text
+  std::string id;    // that clients know; the same at every proxy, as it follows from the text
   std::string text;  // with all names in full
   reedchute::cql::TextRead read;
-  std::string told[2];   // the body of RESULT that clients get, with `id` in it, by version; empty:
-                         // not known yet
-  std::string resultId;  // of version 5, as told
+  // The body of RESULT that clients get, with `id` in it, by version; empty: not known yet.
+  std::array<std::string, 2> resultBodies;
 };
 
 using PreparedRef = std::shared_ptr<PreparedText>;
@@ -30,56 +30,59 @@
 // The id of a text: 16 bytes of a hash.
 std::string preparedId(std::string_view text);
 
+// The texts that clients have prepared.
 class PreparedTexts {
  public:
-  explicit PreparedTexts(std::size_t mostBytes) : most_(mostBytes) {}
+  explicit PreparedTexts(std::size_t maxBytes) : maxBytes_(maxBytes) {}
 
-  PreparedRef find(std::string_view id);  // none: not known, or forgotten
-  // Keeps a text; known already, it is that one. Others may be forgotten for it.
-  PreparedRef keep(PreparedText text);
+  // None where it is not known, or was evicted.
+  PreparedRef find(std::string_view id);
+  // Adds a text, or returns the one that is known already. Others may be evicted for it.
+  PreparedRef insert(PreparedText text);
   // What clients were told of columns may be wrong from now on.
-  void schemaChanged();
+  void onSchemaChanged();
   std::size_t size() const { return byId_.size(); }
   std::size_t bytes() const { return bytes_; }
-  // Counts its size anew, as what clients are told of it came.
-  void grew(const PreparedRef& p, std::size_t before);
-  static std::size_t costOf(const PreparedText& t);
+  // Counts a text's size anew, as the body for its clients came. `costBefore`: its costOf() then.
+  void onGrown(const PreparedRef& text, std::size_t costBefore);
+  static std::size_t costOf(const PreparedText& text);  // bytes
 
  private:
   void evictLeastRecentlyUsed(const PreparedRef& except);
 
-  std::size_t most_, bytes_ = 0;
-  std::list<PreparedRef> byUse_;  // the one used last in front
+  std::size_t maxBytes_, bytes_ = 0;
+  std::list<PreparedRef> byUse_;  // the most recently used one in front
   std::unordered_map<std::string_view, std::list<PreparedRef>::iterator> byId_;
 };
 
-// What one store has prepared, by the front's ids. Danger: with hundreds of stores, what each may
-// have prepared would take all memory; all of them share one room, in which what was used least
-// lately goes first.
+// What one store has prepared, by the proxy's ids. With hundreds of stores, what each may have
+// prepared would take all memory, so all of them share one room, in which the least recently used
+// entry goes first.
 class StorePrepared {
  public:
-  struct Known {
+  // The ids that the store gave.
+  struct StoreIds {
     std::string id, resultId;
   };
 
  private:
-  struct Place {
-    StorePrepared* of;
+  struct Entry {
+    StorePrepared* owner;
     std::string id;
-    Known known;
+    StoreIds storeIds;
   };
 
  public:
   class Room {
    public:
-    explicit Room(std::size_t mostBytes) : most_(mostBytes / kEntry) {}
+    explicit Room(std::size_t maxBytes) : maxEntries_(maxBytes / kEntryBytes) {}
     std::size_t size() const { return byUse_.size(); }
 
    private:
     friend class StorePrepared;
-    static constexpr std::size_t kEntry = 336;  // bytes of an entry, its ids of 16 among them
-    std::size_t most_;
-    std::list<Place> byUse_;
+    static constexpr std::size_t kEntryBytes = 336;  // its ids of 16 bytes among them
+    std::size_t maxEntries_;
+    std::list<Entry> byUse_;  // the most recently used one in front
   };
 
   explicit StorePrepared(Room& room) : room_(room) {}
@@ -87,31 +90,32 @@
   StorePrepared(const StorePrepared&) = delete;
   StorePrepared& operator=(const StorePrepared&) = delete;
 
-  const Known* find(const std::string& id);
-  void learn(const std::string& id, Known known);
+  // None where the store hasn't prepared it, as far as is known.
+  const StoreIds* find(const std::string& id);
+  void record(const std::string& id, StoreIds storeIds);
   void forget(const std::string& id);
   void forgetAll();
   std::size_t size() const { return byId_.size(); }
 
  private:
   Room& room_;
-  std::unordered_map<std::string, std::list<Place>::iterator> byId_;
+  std::unordered_map<std::string, std::list<Entry>::iterator> byId_;
 };
 
-// How many texts may be in preparation at a store at once. Danger: a store that comes back knows
-// none of them, and all that are in use would be prepared there in one moment, while it is cold.
+// How many texts may be in preparation at a store at once: one more after each success, half after
+// a failure. A store that comes back knows none of them, and all that are in use would be prepared
+// there in one moment, while it is cold.
 class PreparePace {
  public:
-  // `most`: that may ever be; grown to by one, cut by half.
-  explicit PreparePace(double most) : most_(most) {}
-  bool mayBegin() const { return out_ < static_cast<int>(limit_); }
-  void begins() { ++out_; }
-  void ends(bool well);
+  explicit PreparePace(double maxLimit) : maxLimit_(maxLimit) {}
+  bool mayBegin() const { return inFlight_ < static_cast<int>(limit_); }
+  void onBegun() { ++inFlight_; }
+  void onEnded(bool isPrepared);
   double limit() const { return limit_; }
 
  private:
-  double most_, limit_ = 1;
-  int out_ = 0;
+  double maxLimit_, limit_ = 1;
+  int inFlight_ = 0;
 };
 
 }  // namespace reedchute::protocols::cassandra
--- a/src/protocols/cassandra/statement_decoder.cpp
+++ b/src/protocols/cassandra/statement_decoder.cpp
@@ -19,12 +19,13 @@
 
 std::uint64_t sessionOf(std::string_view key) {
   if (auto digits = parseNumber<std::uint64_t>(key, 16)) return *digits;
-  return storeMark(key);
+  return hashOf(key);
 }
 
 }  // namespace
 
-std::string worded(const Statement& s, std::int64_t leftMs, const std::vector<std::string>& ids) {
+std::string encodeBody(const Statement& s, std::int64_t leftMs,
+                       const std::vector<std::string>& ids) {
   std::string body;
   body.reserve(s.body.size() + 64);
   std::size_t from = 0;
@@ -35,7 +36,7 @@
       cql::addBytes(body, std::to_string(leftMs));
     } else if (p.put == Statement::Put::id) {
       std::size_t k = 0;
-      while (s.needs[k] != p.text) ++k;
+      while (s.requiredTexts[k] != p.text) ++k;
       cql::addShortBytes(body, ids[k]);
     } else {
       body += p.bytes;
@@ -45,7 +46,7 @@
 }
 
 // What is gathered of one frame.
-struct TakeIn::Reading {
+struct StatementDecoder::Reading {
   const Frame& frame;
   const std::string& keyspace;  // the session's
   TimePoint now;
@@ -54,12 +55,12 @@
   cql::TextRead text;  // of a batch: its first statement
   std::string own;     // the keyspace that bare names stand in
   StatementDescription told;
-  std::optional<Page> page;
+  std::optional<PagingState> page;
   std::unique_ptr<Statement> statement = std::make_unique<Statement>();
   request::ReceivedStatement received;
   std::optional<std::int64_t> waitMs, afterMs;
   bool whole = false;  // the answer is there
-  Outcome out;
+  DecodeResult out;
 
   void refuse(std::int32_t code, std::string_view what) {
     log::line("bad_statement", "code=%04x what=\"%.*s\"", static_cast<unsigned>(code),
@@ -75,8 +76,8 @@
 
 // A text that came, whose bytes stand at `at` in the frame's body with a length of four bytes
 // before them.
-void TakeIn::readOne(Reading& r, std::string_view text, std::size_t at, std::string_view keyspace,
-                     Statement& into) const {
+void StatementDecoder::readOne(Reading& r, std::string_view text, std::size_t at,
+                               std::string_view keyspace, Statement& into) const {
   if (text.find('\0') != std::string_view::npos)
     return r.refuse(cql::kSyntaxError, "a zero byte in the statement");
   cql::TextRead read;
@@ -110,7 +111,7 @@
   r.text = std::move(read);
 }
 
-void TakeIn::query(Reading& r) const {
+void StatementDecoder::query(Reading& r) const {
   std::size_t at = static_cast<std::size_t>(r.asked.text.data() - r.frame.body.data());
   readOne(r, r.asked.text, at, r.asked.parameters.keyspace, *r.statement);
   if (r.whole) return;
@@ -128,7 +129,7 @@
   }
 }
 
-void TakeIn::prepare(Reading& r) const {
+void StatementDecoder::prepare(Reading& r) const {
   std::size_t at = static_cast<std::size_t>(r.asked.text.data() - r.frame.body.data());
   readOne(r, r.asked.text, at, r.asked.parameters.keyspace, *r.statement);
   if (r.whole) return;
@@ -140,13 +141,13 @@
   p.id = preparedId(p.text);
   r.statement->preparedId = p.id;
   if (PreparedRef known = texts_.find(p.id)) {
-    const std::string& told = known->told[r.frame.version - cql::kLowest];
+    const std::string& told = known->resultBodies[r.frame.version - cql::kLowest];
     if (!told.empty()) return r.answer(Opcode::result, told);
   }
   r.out.pending.preparing = std::move(p);
 }
 
-void TakeIn::execute(Reading& r) const {
+void StatementDecoder::execute(Reading& r) const {
   PreparedRef p = texts_.find(r.asked.id);
   if (!p) {
     std::string body = cql::errorBody(cql::kUnprepared,
@@ -155,11 +156,11 @@
     return r.answer(Opcode::error, std::move(body));
   }
   r.text = p->read;
-  r.statement->needs.push_back(p);
+  r.statement->requiredTexts.push_back(p);
   r.statement->patches.push_back({r.asked.idAt, 2 + r.asked.id.size(), Statement::Put::id, p, {}});
 }
 
-void TakeIn::batch(Reading& r) const {
+void StatementDecoder::batch(Reading& r) const {
   cql::TextRead first;
   cql::Nature nature = r.asked.batchType == 2 ? cql::Nature::counter : cql::Nature::idempotent;
   if (r.asked.parts.empty()) return r.refuse(cql::kInvalid, "a batch of nothing");
@@ -174,9 +175,9 @@
         return r.answer(Opcode::error, std::move(body));
       }
       r.text = p->read;
-      if (std::find(r.statement->needs.begin(), r.statement->needs.end(), p) ==
-          r.statement->needs.end())
-        r.statement->needs.push_back(p);
+      if (std::find(r.statement->requiredTexts.begin(), r.statement->requiredTexts.end(), p) ==
+          r.statement->requiredTexts.end())
+        r.statement->requiredTexts.push_back(p);
       r.statement->patches.push_back({part.at, 2 + part.text.size(), Statement::Put::id, p, {}});
     } else {
       readOne(r, part.text, part.at + 4, r.asked.parameters.keyspace, *r.statement);
@@ -196,7 +197,7 @@
 }
 
 // The same names as in the comment of a statement of PostgreSQL's.
-void TakeIn::payload(Reading& r) const {
+void StatementDecoder::payload(Reading& r) const {
   auto number = [&](std::string_view value, std::optional<std::int64_t>& to) {
     to = parseNumber<std::int64_t>(value);
     if (!to) r.refuse(cql::kInvalid, "a field of the payload can't be read");
@@ -234,11 +235,11 @@
     return r.refuse(cql::kInvalid, "an id that is open already");
 }
 
-void TakeIn::finish(Reading& r) const {
+void StatementDecoder::finish(Reading& r) const {
   // Danger: a page of another front's, or one that was changed on its way, would make the read mean
   // another.
   if (const auto& state = r.asked.parameters.pageState) {
-    r.page = unwrapped(*state);
+    r.page = decodePagingState(*state);
     if (!r.page) return r.refuse(cql::kProtocolError, "a paging state that was not issued here");
     std::string bytes;
     cql::addBytes(bytes, r.page->state);
@@ -282,8 +283,8 @@
   r.out.statement = std::move(r.received);
 }
 
-Outcome TakeIn::read(const Frame& f, const std::string& keyspace, TimePoint now,
-                     const runtime::WallClock& wall) const {
+DecodeResult StatementDecoder::decode(const Frame& f, const std::string& keyspace, TimePoint now,
+                                      const runtime::WallClock& wall) const {
   Reading r{.frame = f,
             .keyspace = keyspace,
             .now = now,
--- a/src/protocols/cassandra/statement_decoder.h
+++ b/src/protocols/cassandra/statement_decoder.h
@@ -31,13 +31,14 @@
   reedchute::cql::Opcode opcode = reedchute::cql::Opcode::query;
   std::uint8_t flags = 0;
   std::string body;
-  std::vector<Patch> patches;      // in the order of their places
-  std::string preparedId;          // of a PREPARE: what clients will know it by
-  std::vector<PreparedRef> needs;  // that a store must have prepared first, each once
+  std::vector<Patch> patches;              // in the order of their places
+  std::string preparedId;                  // of a PREPARE: what clients will know it by
+  std::vector<PreparedRef> requiredTexts;  // that a store must have prepared first, each once
 };
 
-// The body for one store. `ids`: that of each of `needs` there.
-std::string worded(const Statement& s, std::int64_t leftMs, const std::vector<std::string>& ids);
+// The body for one store. `ids`: that of each of `requiredTexts` there.
+std::string encodeBody(const Statement& s, std::int64_t leftMs,
+                       const std::vector<std::string>& ids);
 
 // What a session must know of a statement until its answer.
 struct Pending {
@@ -49,7 +50,7 @@
 };
 
 // What a frame came to: a statement, or a whole answer.
-struct Outcome {
+struct DecodeResult {
   std::optional<request::ReceivedStatement> statement;
   Pending pending;
   reedchute::cql::Opcode opcode = reedchute::cql::Opcode::error;
@@ -57,10 +58,10 @@
   std::string useKeyspace;  // the session's from now on; empty: as it was
 };
 
-class TakeIn {
+class StatementDecoder {
  public:
-  TakeIn(const Config& config, const Names& names, const IdIndex<std::int64_t>& groups,
-         const request::OpenIds& openIds, const TableMapping& chart, PreparedTexts& texts)
+  StatementDecoder(const Config& config, const Names& names, const IdIndex<std::int64_t>& groups,
+                   const request::OpenIds& openIds, const TableMapping& chart, PreparedTexts& texts)
       : config_(config),
         names_(names),
         groups_(groups),
@@ -69,8 +70,8 @@
         texts_(texts),
         system_(config) {}
 
-  Outcome read(const reedchute::cql::Frame& f, const std::string& keyspace, TimePoint now,
-               const runtime::WallClock& wall) const;
+  DecodeResult decode(const reedchute::cql::Frame& f, const std::string& keyspace, TimePoint now,
+                      const runtime::WallClock& wall) const;
 
  private:
   struct Reading;
--- a/src/protocols/cassandra/streams.cpp
+++ b/src/protocols/cassandra/streams.cpp
@@ -2,39 +2,38 @@
 
 namespace reedchute::protocols::cassandra {
 
-Streams::Streams(std::size_t most) : streams_(most) {
-  for (std::size_t k = 0; k < most; ++k) free_.push_back(static_cast<int>(k));
+Streams::Streams(std::size_t capacity) : streams_(capacity) {
+  for (std::size_t k = 0; k < capacity; ++k) free_.push_back(static_cast<int>(k));
 }
 
-int Streams::begin(request::UpstreamRequest* job) {
+int Streams::begin(request::UpstreamRequest* request) {
   int stream = free_.front();
   free_.pop_front();
-  Stream& s = at(stream);
-  s = {};
-  s.state = State::parked;
-  s.job = job;
-  ++jobs_;
+  at(stream) = {};
+  at(stream).state = State::parked;
+  at(stream).request = request;
+  ++requests_;
   return stream;
 }
 
-void Streams::end(int stream, bool answerComes) {
-  Stream& s = at(stream);
-  if (s.state == State::preparing) prepared(stream);
-  s.job = nullptr;
-  --jobs_;
-  s.state = answerComes ? State::orphan : State::free;
-  if (!answerComes) free_.push_back(stream);
+void Streams::end(int stream, bool responseMayCome) {
+  Stream& here = at(stream);
+  if (here.state == State::preparing) endPreparing(stream);
+  here.request = nullptr;
+  --requests_;
+  here.state = responseMayCome ? State::orphan : State::free;
+  if (!responseMayCome) free_.push_back(stream);
 }
 
-void Streams::freed(int stream) {
+void Streams::release(int stream) {
   at(stream).state = State::free;
   free_.push_back(stream);
 }
 
-std::vector<int> Streams::busy() const {
+std::vector<int> Streams::withRequest() const {
   std::vector<int> all;
   for (std::size_t k = 0; k < streams_.size(); ++k)
-    if (streams_[k].job) all.push_back(static_cast<int>(k));
+    if (streams_[k].request) all.push_back(static_cast<int>(k));
   return all;
 }
 
@@ -45,18 +44,18 @@
   return all;
 }
 
-void Streams::prepares(int stream, const std::string& id) {
-  Stream& s = at(stream);
-  s.state = State::preparing;
-  s.preparing = id;
+void Streams::beginPreparing(int stream, const std::string& id) {
+  Stream& here = at(stream);
+  here.state = State::preparing;
+  here.preparingId = id;
   preparing_.insert(id);
 }
 
-void Streams::prepared(int stream) {
-  Stream& s = at(stream);
-  preparing_.erase(s.preparing);
-  s.preparing.clear();
-  s.state = State::parked;
+void Streams::endPreparing(int stream) {
+  Stream& here = at(stream);
+  preparing_.erase(here.preparingId);
+  here.preparingId.clear();
+  here.state = State::parked;
 }
 
 }  // namespace reedchute::protocols::cassandra
--- a/src/protocols/cassandra/upstream_connection.cpp
+++ b/src/protocols/cassandra/upstream_connection.cpp
@@ -1,15 +1,16 @@
 #include "protocols/cassandra/upstream_connection.h"
 
 #include <algorithm>
+#include <deque>
+#include <optional>
 #include <utility>
 
 #include "codec/cql/framing.h"
 #include "codec/cql/reply.h"
 #include "log/log.h"
-#include "protocols/cassandra/error_outcomes.h"
 #include "protocols/cassandra/statement_decoder.h"
 #include "protocols/cassandra/streams.h"
-#include "request/store_report.h"
+#include "protocols/cassandra/upstream_response.h"
 
 namespace reedchute::protocols::cassandra {
 
@@ -21,494 +22,547 @@
 
 namespace {
 
-constexpr std::size_t kReadAtOnce = 64 * 1024;  // before what came is looked at
-constexpr double kPreparePart =
-    1.0 / 8;                    // of the jobs that a connection carries, that may be preparations
-constexpr double kLook = 0.02;  // connect time-outs between two looks at what others prepare
-constexpr int kAgain = 2;       // times that one execution prepares anew what its store has lost
-constexpr int kInARow = 32;     // frames of one store before others have their turn
+constexpr std::size_t kMaxReadAtOnce = 64 * 1024;  // bytes, before they are parsed
+constexpr double kPreparationShare = 1.0 / 8;      // of the requests that a connection carries
+constexpr double kParkedCheckInterval = 0.02;      // connect time-outs
+constexpr int kMaxRepreparations = 2;              // of what a store has lost, by one attempt
+constexpr int kMaxFramesInARow = 32;               // of one store before others have their turn
+constexpr std::size_t kMaxOrphanShare = 2;         // one in so many streams
+constexpr Duration kTurnForOthers{1};              // microseconds
+
+std::string startupBody(const Config& config) {
+  std::string body;
+  cql::addShort(body, config.storeCompression ? 2 : 1);
+  cql::addString(body, "CQL_VERSION");
+  cql::addString(body, "3.0.0");
+  if (config.storeCompression) {
+    cql::addString(body, "COMPRESSION");
+    cql::addString(body, "lz4");
+  }
+  return body;
+}
+
+// SASL PLAIN: an identity to act for, the user and the password, set apart by zero bytes.
+std::string credentialsBody(const Config& config) {
+  std::string token(1, '\0');
+  token += config.storeUser;
+  token += '\0';
+  token += config.storePassword;
+  std::string body;
+  cql::addBytes(body, token);
+  return body;
+}
 
 class Connection : public upstream::UpstreamConnection {
  public:
-  Connection(UpstreamProtocol& voice, upstream::ConnectionPools& owner, int of,
-             request::ProtocolVersion spoken, int fd)
-      : UpstreamConnection(owner, of, spoken),
-        voice_(voice),
+  Connection(UpstreamProtocol& protocol, upstream::ConnectionPools& owner, int storeIndex,
+             request::ProtocolVersion protocolVersion, int fd)
+      : UpstreamConnection(owner, storeIndex, protocolVersion),
+        protocol_(protocol),
         socket_(owner.scheduler(), fd),
-        writerEnds_(owner.scheduler()),
+        writerEnded_(owner.scheduler()),
         framing_(owner.limits().maxRowBytes),
-        streams_(voice.config().storeStreams) {}
+        streams_(protocol.config().storeStreams) {}
 
-  void accept(UpstreamRequest* job) override {
-    incoming_.push_back(job);
+  void accept(UpstreamRequest* request) override {
+    incoming_.push_back(request);
     socket_.in.set();
   }
-  // Danger: the module may be asking; nothing ends before this connection's own turn.
+  // The decision engine may be asking, so nothing ends before this connection's own turn.
   void cancel(UpstreamRequest*) override { socket_.in.set(); }
   void close() override { socket_.close(); }
-  void drain() override {
-    if (retired_) return;
-    retired_ = true;
-    retiredAt_ = scheduler().now();
-    pools.markBusy(*this);
-    socket_.in.set();
-  }
-  std::size_t requestCount() const override { return streams_.taken() + incoming_.size(); }
+  void drain() override;
+  std::size_t requestCount() const override { return streams_.takenCount() + incoming_.size(); }
   std::size_t bufferedBytes() const override {
-    return in_.capacity() + out_.capacity() + going_.capacity() + framing_.held();
+    return in_.capacity() + out_.capacity() + beingWritten_.capacity() + framing_.held();
   }
-
   runtime::Task<bool> connect(TimePoint until) override;
   runtime::Task<> serve() override;
   runtime::Task<> end() override;
 
  private:
   runtime::Scheduler& scheduler() { return pools.scheduler(); }
-  WallTime newest() {
-    return scheduler().wall().wallOf(scheduler().now()) + pools.limits().connectTimeout;
-  }
-  bool read(TimePoint now);
+  UpstreamProtocol::StoreState& storeState() { return protocol_.storeState(store); }
+  WallTime newestPosition();
+  bool isIdle() const { return streams_.requestCount() == 0 && incoming_.empty(); }
+  bool failProtocol(const char* what);
+
+  runtime::Task<bool> exchangeHandshake(Frame& reply, TimePoint until);
+  runtime::Task<bool> readFrame(Frame& frame, TimePoint until);
+
+  bool readFrames(TimePoint now);
+  bool readMore(TimePoint now, bool& hasMore);
+  bool exceedsMemory();
+  bool onFrame(const Frame& frame);
+  bool onMalformedFrame(int stream);
+  void onPrepared(int stream, const Frame& frame, const cql::Reply& reply);
+  void onResponse(int stream, const Frame& frame, const cql::Reply& reply);
+  bool mayPrepareAgain(const Streams::Stream& stream, const Frame& frame,
+                       const cql::Reply& reply) const;
+
   void begin(int stream);
   void beginNew();
   void beginParked();
   void prepare(int stream, const PreparedRef& text);
-  void ask(int stream, const Statement* s);
-  void sweep(TimePoint now);
-  void finish(int stream, AttemptOutcome ending, bool answerComes);
-  void endAll();
-  bool handle(const Frame& f);
-  void answered(int stream, const Frame& f, cql::Reply& r);
-  void wasPrepared(int stream, const Frame& f, cql::Reply& r);
-  void learn(const cql::BytesMap& payload, UpstreamRequest& to);
-  void put(int stream, std::uint8_t flags, Opcode o, std::string_view body);
-  runtime::Task<> writer();
-  runtime::Task<bool> frameComes(Frame& f, TimePoint until);
+  void send(int stream, const Statement* statement);
+  void put(int stream, std::uint8_t flags, Opcode opcode, std::string_view body);
+  bool writeQueued(TimePoint now);
+  runtime::Task<> writeRest();
+
+  void endUnwanted(TimePoint now);
+  void complete(int stream, AttemptOutcome outcome, bool responseMayCome);
+  void completeAll();
+  AttemptOutcome outcomeAtEnd(const Streams::Stream& stream) const;
+  bool isUsedUp(TimePoint now) const;
+  TimePoint idleLimit() const;
+  TimePoint drainLimit() const { return drainedAt_ + pools.limits().connectTimeout; }
   TimePoint nextDeadline() const;
-  bool garbled(const char* what);
+  TimePoint nextWakeUp(TimePoint now) const;
 
-  UpstreamProtocol& voice_;
+  UpstreamProtocol& protocol_;
   runtime::Socket socket_;
-  runtime::Event writerEnds_;
+  runtime::Event writerEnded_;
   cql::Framing framing_;
   Streams streams_;
-  std::deque<UpstreamRequest*> incoming_;
-  std::string in_, out_,
-      going_;             // read; to be written; being written when the kernel takes no more
-  std::size_t used_ = 0;  // of what was read
-  std::uint64_t queued_ = 0, written_ = 0;  // bytes, since the connection began
-  TimePoint partSince_ = kNever, heardAt_ = kNever, retiredAt_ = kNever;
-  bool retired_ = false, writing_ = false, broken_ = false;
-  bool more_ = false;  // more than one turn's frames may have come
+  std::deque<UpstreamRequest*> incoming_;  // accepted, without a stream yet
+  std::string in_;
+  std::size_t parsedSize_ = 0;                        // of `in_`
+  std::string out_;                                   // to be written
+  std::string beingWritten_;                          // when the kernel takes no more at once
+  std::uint64_t queuedBytes_ = 0, writtenBytes_ = 0;  // since the connection began
+  TimePoint partSince_ = kNever;                      // since when a part of a frame stands in in_
+  TimePoint lastReadAt_ = kNever;
+  TimePoint drainedAt_ = kNever;
+  bool isDraining_ = false, isWriting_ = false, isBroken_ = false;
+  bool mayHaveMore_ = false;  // more than one turn's frames may have come
 };
 
-void Connection::put(int stream, std::uint8_t flags, Opcode o, std::string_view body) {
+void Connection::drain() {
+  if (isDraining_) return;
+  isDraining_ = true;
+  drainedAt_ = scheduler().now();
+  pools.markBusy(*this);
+  socket_.in.set();
+}
+
+WallTime Connection::newestPosition() {
+  return scheduler().wall().wallOf(scheduler().now()) + pools.limits().connectTimeout;
+}
+
+void Connection::put(int stream, std::uint8_t flags, Opcode opcode, std::string_view body) {
   std::size_t before = out_.size();
-  framing_.put(out_, false, voice_.version(), flags, static_cast<std::int16_t>(stream), o, body);
-  queued_ += out_.size() - before;
+  framing_.put(out_, false, protocol_.version(), flags, static_cast<std::int16_t>(stream), opcode,
+               body);
+  queuedBytes_ += out_.size() - before;
 }
 
-bool Connection::garbled(const char* what) {
+// Nothing that follows can be believed.
+bool Connection::failProtocol(const char* what) {
   log::line("upstream_protocol_error", "store=%d what=\"%s\"", store, what);
-  broken_ = true;
+  isBroken_ = true;
   return false;
 }
 
 // Writes what the kernel didn't take at once.
-runtime::Task<> Connection::writer() {
-  while (!out_.empty() && !broken_) {
-    going_ = std::exchange(out_, {});
-    std::string_view rest = going_;
-    while (!rest.empty() && !broken_) {
+runtime::Task<> Connection::writeRest() {
+  while (!out_.empty() && !isBroken_) {
+    beingWritten_ = std::exchange(out_, {});
+    std::string_view rest = beingWritten_;
+    while (!rest.empty() && !isBroken_) {
       std::optional<std::string_view> left = socket_.write(rest);
       if (!left) {
-        broken_ = true;
+        isBroken_ = true;
         break;
       }
-      written_ += rest.size() - left->size();
+      writtenBytes_ += rest.size() - left->size();
       rest = *left;
       if (rest.empty()) break;
-      bool able = co_await socket_.out.wait(scheduler().now() + pools.limits().keepalive);
-      if (!able) broken_ = true;
+      bool isWritable = co_await socket_.out.wait(scheduler().now() + pools.limits().keepalive);
+      if (!isWritable) isBroken_ = true;
     }
   }
-  going_ = {};
-  writing_ = false;
+  beingWritten_ = {};
+  isWriting_ = false;
   socket_.in.set();
-  writerEnds_.set();
+  writerEnded_.set();
 }
 
-runtime::Task<bool> Connection::frameComes(Frame& f, TimePoint until) {
+runtime::Task<bool> Connection::readFrame(Frame& frame, TimePoint until) {
   for (;;) {
     std::size_t used = 0;
-    in_.erase(0, std::exchange(used_, 0));
-    Framed got = framing_.next(in_, used, f);
-    used_ = used;
-    if (got == Framed::whole) co_return true;
-    if (got == Framed::bad) co_return garbled(framing_.why());
-    runtime::Socket::Got more = socket_.read(in_, in_.size() + kReadAtOnce);
-    if (more == runtime::Socket::Got::some) continue;
-    if (more == runtime::Socket::Got::ended) co_return false;
-    bool set = co_await socket_.in.wait(until);
-    if (!set) co_return false;
+    in_.erase(0, std::exchange(parsedSize_, 0));
+    Framed framed = framing_.next(in_, used, frame);
+    parsedSize_ = used;
+    if (framed == Framed::whole) co_return true;
+    if (framed == Framed::bad) co_return failProtocol(framing_.why());
+    runtime::Socket::Got got = socket_.read(in_, in_.size() + kMaxReadAtOnce);
+    if (got == runtime::Socket::Got::some) continue;
+    if (got == runtime::Socket::Got::ended) co_return false;
+    bool isSet = co_await socket_.in.wait(until);
+    if (!isSet) co_return false;
   }
 }
 
+// Writes what is queued and reads the reply to it; false where there is none or it is an error.
+runtime::Task<bool> Connection::exchangeHandshake(Frame& reply, TimePoint until) {
+  std::string bytes = std::exchange(out_, {});
+  writtenBytes_ += bytes.size();
+  bool isSent = co_await runtime::writeAll(socket_, bytes, until);
+  if (!isSent) co_return false;
+  bool isRead = co_await readFrame(reply, until);
+  if (!isRead || !reply.answer || reply.version != protocol_.version()) co_return false;
+  if (reply.opcode != Opcode::error) co_return true;
+  cql::Cursor cursor(reply.body);
+  log::line("upstream_rejected", "store=%d code=%04x", store,
+            static_cast<unsigned>(cursor.fourBytes()));
+  co_return false;
+}
+
 runtime::Task<bool> Connection::connect(TimePoint until) {
-  bool up = co_await runtime::connected(socket_, until);
-  if (!up) co_return false;
-  const Config& g = voice_.config();
-  std::string body;
-  cql::addShort(body, g.storeCompression ? 2 : 1);
-  cql::addString(body, "CQL_VERSION"), cql::addString(body, "3.0.0");
-  if (g.storeCompression) cql::addString(body, "COMPRESSION"), cql::addString(body, "lz4");
-  put(0, 0, Opcode::startup, body);
-  for (bool asked = false;;) {
-    std::string hello = std::exchange(out_, {});
-    written_ += hello.size();
-    bool sent = co_await runtime::writeAll(socket_, hello, until);
-    Frame f;
-    bool came = sent && co_await frameComes(f, until);
-    if (!came || !f.answer || f.version != voice_.version()) co_return false;
-    if (f.opcode == Opcode::error) {
-      cql::Cursor c(f.body);
-      log::line("upstream_rejected", "store=%d code=%04x", store,
-                static_cast<unsigned>(c.fourBytes()));
-      co_return false;
-    }
-    if (!asked && g.storeCompression) framing_.compress();
-    if (!asked && voice_.version() >= 5) framing_.segments();
-    if (f.opcode == Opcode::ready || f.opcode == Opcode::authSuccess) co_return !retired_;
-    if (f.opcode != Opcode::authenticate || asked) co_return false;
-    asked = true;
-    std::string token(1, '\0');
-    token += g.storeUser;
-    token += '\0';
-    token += g.storePassword;
-    std::string answer;
-    cql::addBytes(answer, token);
-    put(0, 0, Opcode::authResponse, answer);
+  bool isUp = co_await runtime::connected(socket_, until);
+  if (!isUp) co_return false;
+  const Config& config = protocol_.config();
+  put(0, 0, Opcode::startup, startupBody(config));
+  Frame reply;
+  bool hasReply = co_await exchangeHandshake(reply, until);
+  if (!hasReply) co_return false;
+  // Both hold from the first reply on.
+  if (config.storeCompression) framing_.compress();
+  if (protocol_.version() >= 5) framing_.segments();
+  if (reply.opcode == Opcode::authenticate) {
+    put(0, 0, Opcode::authResponse, credentialsBody(config));
+    hasReply = co_await exchangeHandshake(reply, until);
+    if (!hasReply) co_return false;
   }
+  bool isReady = reply.opcode == Opcode::ready || reply.opcode == Opcode::authSuccess;
+  co_return isReady && !isDraining_;
 }
 
-void Connection::finish(int stream, AttemptOutcome ending, bool answerComes) {
-  Streams::Stream& s = streams_.at(stream);
-  UpstreamRequest* job = s.job;
-  if (std::exchange(s.paced, false)) voice_.known(store).pace.ends(false);
-  streams_.end(stream, answerComes);
-  pools.complete(job, ending);
+void Connection::complete(int stream, AttemptOutcome outcome, bool responseMayCome) {
+  Streams::Stream& here = streams_.at(stream);
+  UpstreamRequest* request = here.request;
+  if (std::exchange(here.isPaced, false)) storeState().pace.onEnded(false);
+  streams_.end(stream, responseMayCome);
+  pools.complete(request, outcome);
 }
 
-// What an execution needs is prepared first, one text after the other and on its own stream; what
-// another job of this connection is preparing is waited for.
+// What an attempt needs is prepared first, one text after the other and on its own stream; what
+// another request of this connection is preparing is waited for.
 void Connection::begin(int stream) {
-  Streams::Stream& s = streams_.at(stream);
-  // Danger: what waited here may be written too late, for nobody, or to a store that drains by now.
-  if (retired_ || !pools.isStillWanted(*s.job))
-    return finish(stream, AttemptOutcome::neverSent, false);
-  const auto* statement = static_cast<const Statement*>(s.job->payload);
-  if (statement) {
-    UpstreamProtocol::Known& known = voice_.known(store);
-    for (const PreparedRef& text : statement->needs) {
-      if (known.prepared.find(text->id)) continue;
-      if (!streams_.preparing(text->id) && known.pace.mayBegin()) prepare(stream, text);
-      return;
-    }
+  UpstreamRequest& request = *streams_.at(stream).request;
+  // What waited here may be written too late, for nobody, or to a store that drains by now.
+  if (isDraining_ || !pools.isStillWanted(request))
+    return complete(stream, AttemptOutcome::neverSent, false);
+  const auto* statement = static_cast<const Statement*>(request.payload);
+  if (!statement) return send(stream, nullptr);
+  UpstreamProtocol::StoreState& state = storeState();
+  for (const PreparedRef& text : statement->requiredTexts) {
+    if (state.prepared.find(text->id)) continue;
+    if (!streams_.isPreparing(text->id) && state.pace.mayBegin()) prepare(stream, text);
+    return;
   }
-  ask(stream, statement);
+  send(stream, statement);
 }
 
 void Connection::prepare(int stream, const PreparedRef& text) {
   std::string body;
   cql::addLongString(body, text->text);
-  if (voice_.version() >= 5) cql::addInt(body, 0);
-  streams_.prepares(stream, text->id);
-  streams_.at(stream).paced = true;
-  voice_.known(store).pace.begins();
+  if (protocol_.version() >= 5) cql::addInt(body, 0);
+  streams_.beginPreparing(stream, text->id);
+  streams_.at(stream).isPaced = true;
+  storeState().pace.onBegun();
   put(stream, 0, Opcode::prepare, body);
 }
 
-void Connection::ask(int stream, const Statement* s) {
+void Connection::send(int stream, const Statement* statement) {
   Streams::Stream& here = streams_.at(stream);
-  if (!pools.maySend(*here.job)) return finish(stream, AttemptOutcome::neverSent, false);
-  here.state = Streams::State::asked;
-  if (s) {
+  UpstreamRequest& request = *here.request;
+  if (!pools.maySend(request)) return complete(stream, AttemptOutcome::neverSent, false);
+  here.state = Streams::State::sent;
+  if (statement) {
     std::vector<std::string> ids;
-    for (const PreparedRef& text : s->needs)
-      ids.push_back(voice_.known(store).prepared.find(text->id)->id);
-    here.job->toldMs = here.job->leftMs(scheduler().instant());
-    put(stream, s->flags, s->opcode, worded(*s, here.job->toldMs, ids));
+    for (const PreparedRef& text : statement->requiredTexts)
+      ids.push_back(storeState().prepared.find(text->id)->id);
+    request.toldMs = request.leftMs(scheduler().instant());
+    put(stream, statement->flags, statement->opcode, encodeBody(*statement, request.toldMs, ids));
   } else {
     put(stream, 0, Opcode::options, {});
   }
-  here.writtenAt = queued_;
+  here.sentAtByte = queuedBytes_;
 }
 
-// Danger: behind what the kernel doesn't take a job would be written long after its time; it waits
+// Behind what the kernel doesn't take a request would be written long after its time, so it waits
 // unwritten.
 void Connection::beginNew() {
-  while (!writing_ && out_.size() < kReadAtOnce && !streams_.full() && !retired_) {
-    UpstreamRequest* job = nullptr;
-    if (!incoming_.empty()) {
-      job = incoming_.front();
+  while (!isWriting_ && out_.size() < kMaxReadAtOnce && !streams_.isFull() && !isDraining_) {
+    UpstreamRequest* request = nullptr;
+    if (incoming_.empty()) {
+      request = pools.nextRequest(*this);
+    } else {
+      request = incoming_.front();
       incoming_.pop_front();
-    } else if (!(job = pools.nextRequest(*this))) {
-      return;
     }
-    begin(streams_.begin(job));
+    if (!request) return;
+    begin(streams_.begin(request));
   }
 }
 
 void Connection::beginParked() {
-  if (writing_) return;
+  if (isWriting_) return;
   for (int stream : streams_.parked()) begin(stream);
 }
 
 TimePoint Connection::nextDeadline() const {
   TimePoint next = kForever;
-  for (int stream : streams_.busy()) next = std::min(next, streams_.at(stream).job->until);
+  for (int stream : streams_.withRequest())
+    next = std::min(next, streams_.at(stream).request->until);
   return next;
 }
 
-// Ends the jobs whose time is up or that are not wanted any more.
-void Connection::sweep(TimePoint now) {
-  for (int stream : streams_.busy()) {
-    Streams::Stream& s = streams_.at(stream);
-    if (!s.job->cancelled && s.job->until > now) continue;
-    // What waits for the kernel to take it counts as asked: it can't be taken back. What was only
+// Ends the requests whose time is up or that are not wanted any more.
+void Connection::endUnwanted(TimePoint now) {
+  for (int stream : streams_.withRequest()) {
+    const Streams::Stream& here = streams_.at(stream);
+    const UpstreamRequest& request = *here.request;
+    if (!request.cancelled && request.until > now) continue;
+    // What waits for the kernel to take it counts as sent: it can't be taken back. What was only
     // prepared never ran, and a time-out would say that it may have.
-    bool asked = s.state == Streams::State::asked,
-         out = asked || s.state == Streams::State::preparing;
-    AttemptOutcome called = asked ? AttemptOutcome::cancelled : AttemptOutcome::neverSent,
-                   late = asked ? AttemptOutcome::timeout : AttemptOutcome::connectFailed;
-    // Danger: a connection on which nothing comes is likely dead, and each job given to it loses
-    // its time.
-    if (!s.job->cancelled && out && heardAt_ < s.job->begun) drain();
-    finish(stream, s.job->cancelled ? called : late, out);
-  }
-  // Danger: answers that never come would use up the streams one by one.
-  if (streams_.orphans() * 2 > voice_.config().storeStreams) drain();
-}
-
-// The connection is of no more use: what was written may have run, and nothing else has.
-void Connection::endAll() {
-  for (int stream : streams_.busy()) {
-    Streams::Stream& s = streams_.at(stream);
-    bool written = s.state == Streams::State::asked && s.writtenAt <= written_;
-    finish(stream,
-           s.job->cancelled ? (written ? AttemptOutcome::cancelled : AttemptOutcome::neverSent)
-           : written        ? AttemptOutcome::reset
-                            : AttemptOutcome::connectFailed,
-           false);
+    bool isSent = here.state == Streams::State::sent;
+    bool isOut = isSent || here.state == Streams::State::preparing;
+    AttemptOutcome ifCancelled = isSent ? AttemptOutcome::cancelled : AttemptOutcome::neverSent;
+    AttemptOutcome ifLate = isSent ? AttemptOutcome::timeout : AttemptOutcome::connectFailed;
+    // A connection on which nothing comes is likely dead, and each request given to it loses its
+    // time.
+    if (!request.cancelled && isOut && lastReadAt_ < request.begun) drain();
+    complete(stream, request.cancelled ? ifCancelled : ifLate, isOut);
   }
+  // Responses that never come would use up the streams one by one.
+  if (streams_.orphanCount() * kMaxOrphanShare > protocol_.config().storeStreams) drain();
+}
+
+// What was written may have run, and nothing else has.
+AttemptOutcome Connection::outcomeAtEnd(const Streams::Stream& stream) const {
+  bool isWritten = stream.state == Streams::State::sent && stream.sentAtByte <= writtenBytes_;
+  if (stream.request->cancelled)
+    return isWritten ? AttemptOutcome::cancelled : AttemptOutcome::neverSent;
+  return isWritten ? AttemptOutcome::reset : AttemptOutcome::connectFailed;
+}
+
+void Connection::completeAll() {
+  for (int stream : streams_.withRequest())
+    complete(stream, outcomeAtEnd(streams_.at(stream)), false);
   while (!incoming_.empty()) {
-    UpstreamRequest* job = incoming_.back();
+    UpstreamRequest* request = incoming_.back();
     incoming_.pop_back();
-    if (job->cancelled || retired_)
-      pools.complete(job, AttemptOutcome::neverSent);
+    if (request->cancelled || isDraining_)
+      pools.complete(request, AttemptOutcome::neverSent);
     else
-      pools.requeue(job);
+      pools.requeue(request);
   }
 }
 
-void Connection::learn(const cql::BytesMap& payload, UpstreamRequest& to) {
-  for (const auto& [name, value] : payload) {
-    if (name == "server_role") to.role = request::readRole(value);
-    if (name == "usage") to.report = request::readReport(value, newest());
-    if (name == "commit_clock")
-      if (auto at = request::readPosition(value, newest())) to.position = at;
+void Connection::onPrepared(int stream, const Frame& frame, const cql::Reply& reply) {
+  Streams::Stream& here = streams_.at(stream);
+  UpstreamProtocol::StoreState& state = storeState();
+  bool isPrepared = frame.opcode == Opcode::result && reply.kind == cql::ResultKind::prepared;
+  if (std::exchange(here.isPaced, false)) state.pace.onEnded(isPrepared);
+  if (isPrepared) {
+    state.prepared.record(here.preparingId, {std::string(reply.id), std::string(reply.resultId)});
+    streams_.endPreparing(stream);
+    return begin(stream);
   }
+  AttemptOutcome outcome = outcomeOfPreparation(frame, reply);
+  if (outcome == AttemptOutcome::invalid) setResponse(*here.request, frame, frame.flags);
+  complete(stream, outcome, false);
 }
 
-void Connection::wasPrepared(int stream, const Frame& f, cql::Reply& r) {
-  Streams::Stream& s = streams_.at(stream);
-  UpstreamProtocol::Known& known = voice_.known(store);
-  bool well = f.opcode == Opcode::result && r.kind == cql::ResultKind::prepared;
-  if (std::exchange(s.paced, false)) known.pace.ends(well);
-  if (well) {
-    known.prepared.learn(s.preparing, {std::string(r.id), std::string(r.resultId)});
-    streams_.prepared(stream);
-    return begin(stream);
-  }
-  AttemptOutcome ending = f.opcode == Opcode::error
-                              ? endingOf(r.code, cql::valueOf(r.payload, "turned"))
-                              : AttemptOutcome::malformedResponse;
-  // Nothing of the statement itself was ever sent.
-  if (ending == AttemptOutcome::error) ending = AttemptOutcome::overloaded;
-  if (ending == AttemptOutcome::invalid) {
-    s.job->answer.bytes = f.body;
-    s.job->answer.form = static_cast<unsigned>(f.flags) << 8 | static_cast<unsigned>(f.opcode);
-  }
-  finish(stream, ending, false);
-}
-
-void Connection::answered(int stream, const Frame& f, cql::Reply& r) {
-  Streams::Stream& s = streams_.at(stream);
-  UpstreamRequest& job = *s.job;
-  const auto* statement = static_cast<const Statement*>(job.payload);
-  learn(r.payload, job);
-  if (f.opcode == Opcode::error && r.code == cql::kUnprepared && statement &&
-      !statement->needs.empty() && s.again < kAgain) {
-    // Danger: it has lost its texts, likely all of them, as it was started again. Nothing ran.
-    ++s.again;
-    voice_.known(store).prepared.forgetAll();
-    s.state = Streams::State::parked;
+bool Connection::mayPrepareAgain(const Streams::Stream& stream, const Frame& frame,
+                                 const cql::Reply& reply) const {
+  const auto* statement = static_cast<const Statement*>(stream.request->payload);
+  return frame.opcode == Opcode::error && reply.code == cql::kUnprepared && statement &&
+         !statement->requiredTexts.empty() && stream.repreparations < kMaxRepreparations;
+}
+
+void Connection::onResponse(int stream, const Frame& frame, const cql::Reply& reply) {
+  Streams::Stream& here = streams_.at(stream);
+  UpstreamRequest& request = *here.request;
+  readStoreState(reply.payload, request, newestPosition());
+  if (mayPrepareAgain(here, frame, reply)) {
+    // The store has lost its texts, likely all of them, as it was started again. Nothing ran.
+    ++here.repreparations;
+    storeState().prepared.forgetAll();
+    here.state = Streams::State::parked;
     return begin(stream);
   }
-  AttemptOutcome ending = AttemptOutcome::malformedResponse;
-  if (!statement) {
-    cql::Multimap said;
-    if (f.opcode == Opcode::supported && cql::readMultimap(f.body, said)) {
-      ending = AttemptOutcome::ok;
-      for (const auto& [name, values] : said)
-        if (name == "USAGE" && !values.empty())
-          job.report = request::readReport(values.front(), newest());
-    } else if (f.opcode == Opcode::error) {
-      ending = endingOf(r.code, {});
-    }
-  } else if (f.opcode == Opcode::error) {
-    ending = endingOf(r.code, cql::valueOf(r.payload, "turned"));
-    if (ending == AttemptOutcome::error || ending == AttemptOutcome::invalid)
-      log::line("store_error", "store=%d code=%04x", store, static_cast<unsigned>(r.code));
-  } else if (f.opcode == Opcode::result) {
-    bool asWished = statement->opcode != Opcode::prepare || r.kind == cql::ResultKind::prepared;
-    if (asWished) ending = AttemptOutcome::ok;
-    if (ending == AttemptOutcome::ok && !statement->preparedId.empty())
-      voice_.known(store).prepared.learn(statement->preparedId,
-                                         {std::string(r.id), std::string(r.resultId)});
+  const auto* statement = static_cast<const Statement*>(request.payload);
+  AttemptOutcome outcome = statement ? outcomeOfStatement(frame, reply, *statement, store)
+                                     : outcomeOfProbe(frame, reply, request, newestPosition());
+  if (outcome == AttemptOutcome::ok && statement && !statement->preparedId.empty())
+    storeState().prepared.record(statement->preparedId,
+                                 {std::string(reply.id), std::string(reply.resultId)});
+  if (outcome == AttemptOutcome::malformedResponse) {
+    request.role = Role::unknown;
+    request.position.reset();
+    request.report = {};
   }
-  if (ending == AttemptOutcome::malformedResponse)
-    job.role = Role::unknown, job.position.reset(), job.report = {};
-  job.answer.bytes = f.body;
-  job.answer.form = static_cast<unsigned>(f.flags & ~cql::kCompressed) << 8 |
-                    static_cast<unsigned>(f.opcode);
-  finish(stream, job.cancelled ? AttemptOutcome::cancelled : ending, false);
+  setResponse(request, frame, static_cast<std::uint8_t>(frame.flags & ~cql::kCompressed));
+  complete(stream, request.cancelled ? AttemptOutcome::cancelled : outcome, false);
+}
+
+// Nothing of a malformed response is to be believed, least of all that the statement never ran.
+bool Connection::onMalformedFrame(int stream) {
+  const Streams::Stream& here = streams_.at(stream);
+  bool mayHaveRun = here.state == Streams::State::sent;
+  AttemptOutcome outcome = mayHaveRun ? AttemptOutcome::malformedResponse
+                                      : AttemptOutcome::connectFailed;
+  if (here.request->cancelled) outcome = AttemptOutcome::cancelled;
+  complete(stream, outcome, false);
+  return failProtocol("answer");
 }
 
 // False where nothing that follows can be believed.
-bool Connection::handle(const Frame& f) {
-  if (!f.answer || f.version != voice_.version()) return garbled("version");
-  if (f.opcode == Opcode::event) return true;  // none was asked for
-  if (!streams_.known(f.stream)) return garbled("stream");
-  Streams::Stream& s = streams_.at(f.stream);
-  // Danger: an answer that nobody asked for, or a second one, could pass for the next job's on that
+bool Connection::onFrame(const Frame& frame) {
+  if (!frame.answer || frame.version != protocol_.version()) return failProtocol("version");
+  if (frame.opcode == Opcode::event) return true;  // none was asked for
+  if (!streams_.isValid(frame.stream)) return failProtocol("stream");
+  Streams::State state = streams_.at(frame.stream).state;
+  // A response that nobody asked for, or a second one, could pass for the next request's on that
   // stream.
-  if (s.state == Streams::State::free || s.state == Streams::State::parked)
-    return garbled("unasked");
-  if (s.state == Streams::State::orphan) {
-    streams_.freed(f.stream);
+  if (state == Streams::State::free || state == Streams::State::parked)
+    return failProtocol("unasked");
+  if (state == Streams::State::orphan) {
+    streams_.release(frame.stream);
     return true;
   }
-  cql::Reply r;
-  bool sound = cql::readReply(f, r);
-  bool possible = f.opcode == Opcode::result || f.opcode == Opcode::error ||
-                  f.opcode == Opcode::supported;
-  if (!sound || !possible) {
-    // Danger: nothing of a spoilt answer is to be believed, least of all that the statement never
-    // ran.
-    bool ran = s.state == Streams::State::asked;
-    finish(f.stream,
-           s.job->cancelled ? AttemptOutcome::cancelled
-           : ran            ? AttemptOutcome::malformedResponse
-                            : AttemptOutcome::connectFailed,
-           false);
-    return garbled("answer");
-  }
-  if (s.state == Streams::State::preparing)
-    wasPrepared(f.stream, f, r);
+  cql::Reply reply;
+  bool isWellFormed = cql::readReply(frame, reply);
+  bool isExpected = frame.opcode == Opcode::result || frame.opcode == Opcode::error ||
+                    frame.opcode == Opcode::supported;
+  if (!isWellFormed || !isExpected) return onMalformedFrame(frame.stream);
+  if (state == Streams::State::preparing)
+    onPrepared(frame.stream, frame, reply);
   else
-    answered(f.stream, f, r);
+    onResponse(frame.stream, frame, reply);
+  return true;
+}
+
+// Responses that all stores send at once would together take all memory there is.
+bool Connection::exceedsMemory() {
+  if (in_.size() <= kMaxReadAtOnce) return false;
+  if (pools.bufferedBytes() <= pools.limits().maxBufferedBytes) return false;
+  log::line("upstream_memory_limit", "store=%d bytes=%zu", store, pools.bufferedBytes());
+  isBroken_ = true;
+  return true;
+}
+
+// Reads what has come; false where the connection has ended.
+bool Connection::readMore(TimePoint now, bool& hasMore) {
+  in_.erase(0, std::exchange(parsedSize_, 0));
+  if (in_.empty() && in_.capacity() > kMaxReadAtOnce) in_.shrink_to_fit();
+  if (exceedsMemory()) return false;
+  runtime::Socket::Got got = socket_.read(in_, in_.size() + kMaxReadAtOnce);
+  hasMore = got == runtime::Socket::Got::some;
+  if (got == runtime::Socket::Got::ended) return false;
+  if (hasMore) {
+    lastReadAt_ = now;
+    partSince_ = kNever;
+    return true;
+  }
+  if (in_.empty()) partSince_ = kNever;
+  // A length that promises more than ever comes would hold all requests behind it.
+  if (!in_.empty() && partSince_ == kNever) partSince_ = now;
+  if (partSince_ != kNever && now - partSince_ >= pools.limits().connectTimeout)
+    return failProtocol("stalled");
   return true;
 }
 
 // All frames that have come, as far as one turn goes; false where the connection has ended.
-bool Connection::read(TimePoint now) {
-  for (int frames = 0; frames < kInARow;) {
+bool Connection::readFrames(TimePoint now) {
+  for (int frames = 0; frames < kMaxFramesInARow;) {
     std::size_t used = 0;
-    Frame f;
-    Framed got = framing_.next(std::string_view(in_).substr(used_), used, f);
-    used_ += used;
-    if (got == Framed::bad) return garbled(framing_.why());
-    if (got == Framed::whole) {
+    Frame frame;
+    Framed framed = framing_.next(std::string_view(in_).substr(parsedSize_), used, frame);
+    parsedSize_ += used;
+    if (framed == Framed::bad) return failProtocol(framing_.why());
+    if (framed == Framed::whole) {
       ++frames;
       partSince_ = kNever;
-      if (!handle(f)) return false;
+      if (!onFrame(frame)) return false;
       continue;
     }
-    in_.erase(0, std::exchange(used_, 0));
-    if (in_.empty() && in_.capacity() > kReadAtOnce) in_.shrink_to_fit();
-    // Danger: answers that all stores send at once would together take all memory there is.
-    if (in_.size() > kReadAtOnce && pools.bufferedBytes() > pools.limits().maxBufferedBytes) {
-      log::line("upstream_memory_limit", "store=%d bytes=%zu", store, pools.bufferedBytes());
-      broken_ = true;
-      return false;
-    }
-    runtime::Socket::Got more = socket_.read(in_, in_.size() + kReadAtOnce);
-    if (more == runtime::Socket::Got::ended) return false;
-    if (more == runtime::Socket::Got::nothing) {
-      if (in_.empty()) partSince_ = kNever;
-      // Danger: a length that promises more than ever comes would hold all jobs behind it.
-      if (!in_.empty() && partSince_ == kNever) partSince_ = now;
-      if (partSince_ != kNever && now - partSince_ >= pools.limits().connectTimeout)
-        return garbled("stalled");
-      return true;
-    }
-    heardAt_ = now;
-    partSince_ = kNever;
+    bool hasMore = false;
+    if (!readMore(now, hasMore)) return false;
+    if (!hasMore) return true;
   }
-  more_ = true;
+  mayHaveMore_ = true;
   return true;
 }
 
+// Writes what is queued; false where the connection has ended.
+bool Connection::writeQueued(TimePoint now) {
+  if (out_.empty() || isWriting_) return true;
+  std::optional<std::string_view> rest = socket_.write(out_);
+  if (!rest) {
+    readFrames(now);  // what came right before the end is a response
+    return false;
+  }
+  writtenBytes_ += out_.size() - rest->size();
+  if (rest->empty()) {
+    out_.clear();
+    if (out_.capacity() > kMaxReadAtOnce) out_.shrink_to_fit();
+    return true;
+  }
+  out_.erase(0, out_.size() - rest->size());
+  isWriting_ = true;
+  scheduler().spawn(writeRest());
+  return true;
+}
+
+// The store's machine closes what has been idle for the stated time, and a request that is written
+// just then is lost: a connection is given up a connect time-out earlier.
+TimePoint Connection::idleLimit() const {
+  return idleSince + pools.limits().keepalive - pools.limits().connectTimeout;
+}
+
+// After a drain's grace nothing new may reach the store, nor what the kernel hasn't taken by then.
+bool Connection::isUsedUp(TimePoint now) const {
+  if (isIdle() && (isDraining_ || idleLimit() <= now)) return true;
+  return isDraining_ && isWriting_ && drainLimit() <= now;
+}
+
+TimePoint Connection::nextWakeUp(TimePoint now) const {
+  TimePoint next = isIdle() ? idleLimit() : nextDeadline();
+  Duration connectTimeout = pools.limits().connectTimeout;
+  if (isDraining_ && isWriting_) next = std::min(next, drainLimit());
+  // Texts may be prepared by another connection meanwhile.
+  if (!streams_.parked().empty())
+    next = std::min(next, now + connectTimeout * kParkedCheckInterval);
+  if (partSince_ != kNever) next = std::min(next, partSince_ + connectTimeout);
+  return next;
+}
+
 runtime::Task<> Connection::serve() {
-  bool alive = true;
-  idleSince = heardAt_ = scheduler().now();
-  while (alive && socket_.open()) {
+  idleSince = scheduler().now();
+  lastReadAt_ = idleSince;
+  while (socket_.open()) {
     TimePoint now = scheduler().now();
-    bool had = streams_.jobs() > 0;
-    alive = read(now) && !broken_;
-    if (!alive) break;
-    sweep(now);
+    bool hadRequests = streams_.requestCount() > 0;
+    if (!readFrames(now) || isBroken_) break;
+    endUnwanted(now);
     beginParked();
     beginNew();
-    if (!out_.empty() && !writing_) {
-      std::optional<std::string_view> rest = socket_.write(out_);
-      if (!rest) {
-        read(now);  // what came right before the end is an answer
-        break;
-      }
-      written_ += out_.size() - rest->size();
-      if (rest->empty()) {
-        out_.clear();
-        if (out_.capacity() > kReadAtOnce) out_.shrink_to_fit();
-      } else {
-        out_.erase(0, out_.size() - rest->size());
-        writing_ = true;
-        scheduler().spawn(writer());
-      }
-    }
-    bool room = !retired_ && requestCount() < voice_.config().storeStreams;
-    room ? pools.markReady(*this) : pools.markBusy(*this);
-    if (had && streams_.jobs() == 0) idleSince = now;
-    bool idle = streams_.jobs() == 0 && incoming_.empty();
-    if (idle && retired_) break;
-    // Danger: the store's machine closes what has been idle for the stated time; a job that is
-    // written just then is lost. A connection is given up a connect time-out earlier.
-    TimePoint until = idle ? idleSince + pools.limits().keepalive - pools.limits().connectTimeout
-                           : nextDeadline();
-    if (idle && until <= now) break;
-    // Danger: after a drain's grace nothing new may reach the store, nor what the kernel hasn't
-    // taken by then.
-    TimePoint graceEnds = retiredAt_ + pools.limits().connectTimeout;
-    if (retired_ && writing_ && graceEnds <= now) break;
-    if (retired_ && writing_) until = std::min(until, graceEnds);
-    // Texts may be prepared by another connection meanwhile.
-    if (!streams_.parked().empty())
-      until = std::min(until, now + pools.limits().connectTimeout * kLook);
-    if (partSince_ != kNever) until = std::min(until, partSince_ + pools.limits().connectTimeout);
-    // Danger: frames without end, as fast as they can be read, would have this thread for
-    // themselves.
-    if (std::exchange(more_, false))
-      co_await runtime::sleepUntil(scheduler(), now + Duration{1});
+    if (!writeQueued(now)) break;
+    if (!isDraining_ && requestCount() < protocol_.config().storeStreams)
+      pools.markReady(*this);
+    else
+      pools.markBusy(*this);
+    if (hadRequests && streams_.requestCount() == 0) idleSince = now;
+    if (isUsedUp(now)) break;
+    TimePoint until = nextWakeUp(now);
+    // Frames without end, as fast as they can be read, would have this thread for themselves (test
+    // endlessFrames).
+    if (std::exchange(mayHaveMore_, false))
+      co_await runtime::sleepUntil(scheduler(), now + kTurnForOthers);
     else
       co_await socket_.in.wait(until);
   }
@@ -516,17 +570,18 @@
 
 runtime::Task<> Connection::end() {
   pools.markBusy(*this);
-  broken_ = true;
+  isBroken_ = true;
   socket_.close();
-  while (writing_) co_await writerEnds_.wait();
-  endAll();
+  while (isWriting_) co_await writerEnded_.wait();
+  completeAll();
 }
 
 }  // namespace
 
-UpstreamProtocol::Known& UpstreamProtocol::known(int store) {
-  double most = std::max(1.0, static_cast<double>(config_.storeStreams) * kPreparePart);
-  return known_.try_emplace(store, room_, most).first->second;
+UpstreamProtocol::StoreState& UpstreamProtocol::storeState(int store) {
+  double streams = static_cast<double>(config_.storeStreams);
+  double maxPreparations = std::max(1.0, streams * kPreparationShare);
+  return stores_.try_emplace(store, room_, maxPreparations).first->second;
 }
 
 std::unique_ptr<upstream::UpstreamConnection> UpstreamProtocol::createConnection(
--- a/src/protocols/cassandra/upstream_connection.h
+++ b/src/protocols/cassandra/upstream_connection.h
@@ -1,15 +1,18 @@
-// The Cassandra protocol towards the stores: a connection carries many jobs at once, each on a
+// The Cassandra protocol towards the stores: a connection carries many requests at once, each on a
 // stream of its own.
 #pragma once
 
 #include <map>
+#include <memory>
 
 #include "protocols/cassandra/config.h"
 #include "protocols/cassandra/prepared_statements.h"
 #include "upstream/connection_pools.h"
+#include "upstream/upstream_protocol.h"
 
 namespace reedchute::protocols::cassandra {
 
+// One version of the protocol, and what is known of each store over all connections to it.
 class UpstreamProtocol : public upstream::UpstreamProtocol {
  public:
   UpstreamProtocol(const Config& config, int version, StorePrepared::Room& room)
@@ -20,15 +23,15 @@
                                                                  request::ProtocolVersion version,
                                                                  int fd) override;
   std::size_t maxConcurrentRequests() const override { return config_.storeStreams; }
-  void removeStore(int store) override { known_.erase(store); }
+  void removeStore(int store) override { stores_.erase(store); }
 
-  // What is known of one store, over all connections to it.
-  struct Known {
-    Known(StorePrepared::Room& room, double most) : prepared(room), pace(most) {}
+  struct StoreState {
+    StoreState(StorePrepared::Room& room, double maxPreparations)
+        : prepared(room), pace(maxPreparations) {}
     StorePrepared prepared;
     PreparePace pace;
   };
-  Known& known(int store);
+  StoreState& storeState(int store);
   const Config& config() const { return config_; }
   int version() const { return version_; }
 
@@ -36,7 +39,7 @@
   const Config& config_;
   const int version_;
   StorePrepared::Room& room_;
-  std::map<int, Known> known_;
+  std::map<int, StoreState> stores_;
 };
 
 }  // namespace reedchute::protocols::cassandra
--- a/src/proxy/protocols.cpp
+++ b/src/proxy/protocols.cpp
@@ -58,8 +58,8 @@
         five_(config_, 5, room_),
         speeches_{g.stores.addProtocol(four_), g.stores.addProtocol(five_)},
         door_(g.scheduler, g.handler, *this, config_,
-              protocols::cassandra::TakeIn(config_, config.names, g.groups, g.openIds,
-                                           *config.chart, texts_),
+              protocols::cassandra::StatementDecoder(config_, config.names, g.groups, g.openIds,
+                                                     *config.chart, texts_),
               texts_, speeches_[0], speeches_[1]) {}
 
   const char* name() const override { return "cassandra"; }
--- a/tests/protocols/cassandra_test.cpp
+++ b/tests/protocols/cassandra_test.cpp
@@ -151,10 +151,10 @@
        {0x0000, 0x000a, 0x0100, 0x1000, 0x1001, 0x1002, 0x1003, 0x1100, 0x1200, 0x1300, 0x1400,
         0x1500, 0x1600, 0x1700, 0x2000, 0x2100, 0x2200, 0x2300, 0x2400, 0x2500, 0x7777})
     std::printf("%04x %s\n", static_cast<unsigned>(code),
-                kNames2[static_cast<int>(endingOf(code, {}))]);
-  std::printf("1000 role %s\n", kNames2[static_cast<int>(endingOf(0x1000, "role"))]);
-  std::printf("1000 behind %s\n", kNames2[static_cast<int>(endingOf(0x1000, "behind"))]);
-  std::printf("1001 behind %s\n", kNames2[static_cast<int>(endingOf(0x1001, "behind"))]);
+                kNames2[static_cast<int>(outcomeOf(code, {}))]);
+  std::printf("1000 role %s\n", kNames2[static_cast<int>(outcomeOf(0x1000, "role"))]);
+  std::printf("1000 behind %s\n", kNames2[static_cast<int>(outcomeOf(0x1000, "behind"))]);
+  std::printf("1001 behind %s\n", kNames2[static_cast<int>(outcomeOf(0x1001, "behind"))]);
 }
 
 PreparedText textOf(const std::string& text) {
@@ -166,39 +166,39 @@
 void texts() {
   PreparedTexts texts(4 * 600);
   std::vector<std::string> ids;
-  for (const char* text : {"a", "b", "c", "d"}) ids.push_back(texts.keep(textOf(text))->id);
+  for (const char* text : {"a", "b", "c", "d"}) ids.push_back(texts.insert(textOf(text))->id);
   std::printf("four kept: %zu\n", texts.size());
   texts.find(ids[0]);
-  ids.push_back(texts.keep(textOf("e"))->id);
+  ids.push_back(texts.insert(textOf("e"))->id);
   std::printf("a fifth: %zu; a %d b %d c %d d %d e %d\n", texts.size(),
               texts.find(ids[0]) != nullptr, texts.find(ids[1]) != nullptr,
               texts.find(ids[2]) != nullptr, texts.find(ids[3]) != nullptr,
               texts.find(ids[4]) != nullptr);
   PreparedRef held = texts.find(ids[0]);
   std::size_t before = PreparedTexts::costOf(*held);
-  held->told[0] = std::string(5000, 'x');
-  texts.grew(held, before);
+  held->resultBodies[0] = std::string(5000, 'x');
+  texts.onGrown(held, before);
   std::printf("one that grew beyond all: %zu left, it %s\n", texts.size(),
               texts.find(ids[0]) ? "stays" : "went");
-  texts.keep(textOf("f"));
+  texts.insert(textOf("f"));
   std::printf("another comes: it %s, whoever uses it still has it: %zu bytes\n",
-              texts.find(ids[0]) ? "stays" : "went", held->told[0].size());
-  texts.schemaChanged();
+              texts.find(ids[0]) ? "stays" : "went", held->resultBodies[0].size());
+  texts.onSchemaChanged();
   std::printf("bytes after a change of the schema: %zu for %zu\n", texts.bytes(), texts.size());
   StorePrepared::Room room(700);
   StorePrepared known(room);
-  known.learn("a", {"1", ""}), known.learn("b", {"2", ""}), known.find("a"),
-      known.learn("c", {"3", ""});
+  known.record("a", {"1", ""}), known.record("b", {"2", ""}), known.find("a"),
+      known.record("c", {"3", ""});
   std::printf("a store's: a %d b %d c %d\n", known.find("a") != nullptr, known.find("b") != nullptr,
               known.find("c") != nullptr);
-  known.learn("a", {"9", ""});
+  known.record("a", {"9", ""});
   std::printf("a is learnt anew: %s, %zu known\n", known.find("a")->id.c_str(), known.size());
   StorePrepared::Room four(4 << 20);
   std::vector<std::unique_ptr<StorePrepared>> stores;
   for (int s = 0; s < 1024; ++s) {
     stores.push_back(std::make_unique<StorePrepared>(four));
     for (int t = 0; t < 200; ++t)
-      stores.back()->learn(preparedId(std::to_string(t)), {std::string(16, 'i'), ""});
+      stores.back()->record(preparedId(std::to_string(t)), {std::string(16, 'i'), ""});
   }
   std::printf("1024 stores with 200 each, in 4 MB: %zu known; of the first %zu, of the last %zu\n",
               four.size(), stores.front()->size(), stores.back()->size());
@@ -210,19 +210,19 @@
   PreparePace p(4);
   auto begun = [&] {
     int n = 0;
-    while (p.mayBegin()) p.begins(), ++n;
+    while (p.mayBegin()) p.onBegun(), ++n;
     return n;
   };
   std::printf("at first %d;", begun());
-  p.ends(true);
+  p.onEnded(true);
   std::printf(" one went well %d;", begun());
-  p.ends(true), p.ends(true);
+  p.onEnded(true), p.onEnded(true);
   std::printf(" two more %d;", begun());
-  p.ends(true), p.ends(true), p.ends(true), p.ends(true);
+  p.onEnded(true), p.onEnded(true), p.onEnded(true), p.onEnded(true);
   std::printf(" never more than %d;", begun());
-  p.ends(false);
+  p.onEnded(false);
   std::printf(" one failed: limit %.1f, %d more;", p.limit(), begun());
-  p.ends(false), p.ends(false), p.ends(false);
+  p.onEnded(false), p.onEnded(false), p.onEnded(false);
   std::printf(" all failed: limit %.1f, %d more\n", p.limit(), begun());
 }
 
@@ -230,38 +230,38 @@
   Streams s(3);
   request::UpstreamRequest jobs[4];
   int a = s.begin(&jobs[0]), b = s.begin(&jobs[1]), c = s.begin(&jobs[2]);
-  std::printf("three begun on %d %d %d, full %d\n", a, b, c, s.full());
-  s.prepares(a, "text");
-  std::printf("preparing it already: %d; parked %zu\n", s.preparing("text"), s.parked().size());
-  s.prepared(a);
-  std::printf("prepared: %d; parked %zu\n", s.preparing("text"), s.parked().size());
-  s.prepares(b, "other");
+  std::printf("three begun on %d %d %d, full %d\n", a, b, c, s.isFull());
+  s.beginPreparing(a, "text");
+  std::printf("preparing it already: %d; parked %zu\n", s.isPreparing("text"), s.parked().size());
+  s.endPreparing(a);
+  std::printf("prepared: %d; parked %zu\n", s.isPreparing("text"), s.parked().size());
+  s.beginPreparing(b, "other");
   s.end(b, true);
   std::printf("ended while its text was prepared: preparing %d, full %d, orphans %zu, jobs %zu\n",
-              s.preparing("other"), s.full(), s.orphans(), s.jobs());
+              s.isPreparing("other"), s.isFull(), s.orphanCount(), s.requestCount());
   s.end(c, false);
-  std::printf("one answered: full %d, next on %d\n", s.full(), s.begin(&jobs[3]));
-  s.freed(b);
-  std::printf("the orphan's answer came: full %d, orphans %zu\n", s.full(), s.orphans());
+  std::printf("one answered: full %d, next on %d\n", s.isFull(), s.begin(&jobs[3]));
+  s.release(b);
+  std::printf("the orphan's answer came: full %d, orphans %zu\n", s.isFull(), s.orphanCount());
 }
 
 void pages() {
-  Page p{storeMark("s-1"), WallTime{1'700'000'000'000'000}, "state"};
-  std::string bytes = wrapped(p);
-  auto back = unwrapped(bytes);
+  PagingState p{hashOf("s-1"), WallTime{1'700'000'000'000'000}, "state"};
+  std::string bytes = encodePagingState(p);
+  auto back = decodePagingState(bytes);
   std::printf("%zu bytes; back: %d, the same store %d, position %d, '%s'\n", bytes.size(),
-              back.has_value(), back->store == p.store, back->position == p.position,
+              back.has_value(), back->storeHash == p.storeHash, back->position == p.position,
               back->state.c_str());
   std::size_t found = 0, all = 0;
   for (std::size_t k = 0; k < bytes.size(); ++k, ++all) {
     std::string spoilt = bytes;
     spoilt[k] = static_cast<char>(spoilt[k] ^ 4);
-    found += !unwrapped(spoilt);
+    found += !decodePagingState(spoilt);
   }
   for (std::size_t k = 0; k < bytes.size(); ++k, ++all)
-    found += !unwrapped(std::string_view(bytes).substr(0, k));
+    found += !decodePagingState(std::string_view(bytes).substr(0, k));
   std::printf("changed or cut: %s found\n", found == all ? "all" : "not all");
-  auto without = unwrapped(wrapped({1, {}, ""}));
+  auto without = decodePagingState(encodePagingState({1, {}, ""}));
   std::printf("without a position: %d, %d\n", without.has_value(), without->position.has_value());
 }
 
@@ -281,8 +281,8 @@
   PreparedTexts texts(1 << 20);
   PreparedText known = textOf("UPDATE weather.t SET n = n + ? WHERE k = ?");
   reedchute::cql::readText(known.text, known.read);
-  texts.keep(known);
-  TakeIn takeIn(g, kNames, groups, open, c, texts);
+  texts.insert(known);
+  StatementDecoder decoder(g, kNames, groups, open, c, texts);
   TimePoint now{1'000'000'000'000};
   runtime::WallClock wall(Duration{});
   using reedchute::cql::Opcode;
@@ -294,7 +294,7 @@
     reedchute::cql::Frame f;
     f.version = 4, f.opcode = o, f.body = whole,
     f.flags = payload.empty() ? 0 : reedchute::cql::kPayload;
-    Outcome out = takeIn.read(f, keyspace, now, wall);
+    DecodeResult out = decoder.decode(f, keyspace, now, wall);
     std::printf("%s: ", what);
     if (!out.statement) {
       std::string shown = out.body.substr(0, 120);
@@ -304,8 +304,8 @@
     }
     const Arrival& a = out.statement->arrival;
     const auto& s = static_cast<const Statement&>(*out.statement->payload);
-    std::vector<std::string> ids(s.needs.size(), "STORE-ID");
-    std::string sent = worded(s, 123, ids);
+    std::vector<std::string> ids(s.requiredTexts.size(), "STORE-ID");
+    std::string sent = encodeBody(s, 123, ids);
     for (char& ch : sent)
       if (ch < ' ' || ch > '~') ch = '.';
     return std::printf(
@@ -313,7 +313,7 @@
         static_cast<long long>(out.statement->timeout.us / 1000),
         a.sinceWrite ? (", wrote " + std::to_string(a.sinceWrite->us / 1000) + " ms ago").c_str()
                      : "",
-        a.tenant >= 0 ? ", a tenant" : "", s.needs.size(), sent.c_str());
+        a.tenant >= 0 ? ", a tenant" : "", s.requiredTexts.size(), sent.c_str());
   };
   auto query = [](std::string_view text) {
     std::string body;
