--- a/src/discovery/endpoint_list.cpp
+++ b/src/discovery/endpoint_list.cpp
@@ -15,7 +15,7 @@
 
 const std::string* findText(const json::Value& entry, const char* name) {
   const json::Value* field = entry.find(name);
-  return field && field->isText() ? &field->text : nullptr;
+  return field && field->isString() ? &field->text : nullptr;
 }
 
 std::optional<double> findNumber(const json::Value& entry, const char* name) {
@@ -117,11 +117,11 @@
   const json::Value* servers = document.find("servers");
   bool hasVersion = version && version->isNumber();
   bool hasFull = full && full->kind == json::Value::Kind::boolean;
-  bool hasServers = servers && servers->kind == json::Value::Kind::list;
+  bool hasServers = servers && servers->kind == json::Value::Kind::array;
   if (!hasVersion || !hasFull || !hasServers) return EndpointListError::notAList;
   EndpointList list;
   list.version = static_cast<std::int64_t>(std::clamp(version->number, -kMaxVersion, kMaxVersion));
-  list.isFull = full->truth;
+  list.isFull = full->boolean;
   std::set<std::string> ids;
   for (const json::Value& entry : servers->items) {
     Endpoint endpoint;
--- a/src/discovery/http_connection.cpp
+++ b/src/discovery/http_connection.cpp
@@ -31,15 +31,15 @@
 void HttpConnection::closeIfStale() {
   if (!isOpen()) return;
   in_.clear();
-  runtime::Socket::Got got = socket_->read(in_, limits_.maxBodyBytes);
-  if (got != runtime::Socket::Got::nothing) socket_->close();
+  runtime::Socket::ReadStatus got = socket_->read(in_, limits_.maxBodyBytes);
+  if (got != runtime::Socket::ReadStatus::noData) socket_->close();
 }
 
 runtime::Task<bool> HttpConnection::connect(TimePoint until) {
   in_.clear();
   socket_.emplace(scheduler_, runtime::startConnect(address_));
   TimePoint connectBy = std::min(until, scheduler_.now() + limits_.connectTimeout);
-  bool isUp = co_await runtime::connected(*socket_, connectBy);
+  bool isUp = co_await runtime::awaitConnected(*socket_, connectBy);
   if (!isUp) log::line("discovery_unreachable", "what=\"no connection\"");
   co_return isUp;
 }
@@ -81,14 +81,14 @@
       readInARow = 0;
       co_await runtime::sleepUntil(scheduler_, scheduler_.now() + kTurnForOthers);
     }
-    runtime::Socket::Got got = socket_->read(in_, kMaxReadInARow);
-    if (got == runtime::Socket::Got::ended) {
+    runtime::Socket::ReadStatus got = socket_->read(in_, kMaxReadInARow);
+    if (got == runtime::Socket::ReadStatus::closed) {
       response.ended(socket_->wasReset());
       co_return true;
     }
-    if (got == runtime::Socket::Got::some && scheduler_.now() < until) continue;
+    if (got == runtime::Socket::ReadStatus::data && scheduler_.now() < until) continue;
     bool mayGoOn = false;
-    if (got == runtime::Socket::Got::nothing) mayGoOn = co_await socket_->in.wait(until);
+    if (got == runtime::Socket::ReadStatus::noData) mayGoOn = co_await socket_->readable.wait(until);
     if (!mayGoOn) {
       log::line("discovery_timeout", "path=%s", path.c_str());
       co_return false;
--- a/src/discovery/http_connection.h
+++ b/src/discovery/http_connection.h
@@ -31,7 +31,7 @@
   void reset();
 
  private:
-  bool isOpen() const { return socket_ && socket_->open(); }
+  bool isOpen() const { return socket_ && socket_->isOpen(); }
   void closeIfStale();
   runtime::Task<bool> connect(TimePoint until);
   runtime::Task<bool> readResponse(http::Response& response, const std::string& path,
--- a/src/protocols/cassandra/client_codec.cpp
+++ b/src/protocols/cassandra/client_codec.cpp
@@ -279,7 +279,7 @@
       return line_.endForLeaving();
     }
     DecodeResult o = door_.decoder.decode(f, keyspace_, door_.scheduler.now(),
-                                          door_.scheduler.wall());
+                                          door_.scheduler.wallClock());
     if (!o.useKeyspace.empty()) keyspace_ = o.useKeyspace;
     if (!o.statement) return put(0, f.stream, o.opcode, o.body);
     o.statement->came = came_;
--- a/src/protocols/cassandra/upstream_connection.cpp
+++ b/src/protocols/cassandra/upstream_connection.cpp
@@ -66,10 +66,10 @@
 
   void accept(UpstreamRequest* request) override {
     incoming_.push_back(request);
-    socket_.in.set();
+    socket_.readable.set();
   }
   // The decision engine may be asking, so nothing ends before this connection's own turn.
-  void cancel(UpstreamRequest*) override { socket_.in.set(); }
+  void cancel(UpstreamRequest*) override { socket_.readable.set(); }
   void close() override { socket_.close(); }
   void drain() override;
   std::size_t requestCount() const override { return streams_.takenCount() + incoming_.size(); }
@@ -142,11 +142,11 @@
   isDraining_ = true;
   drainedAt_ = scheduler().now();
   pools.markBusy(*this);
-  socket_.in.set();
+  socket_.readable.set();
 }
 
 WallTime Connection::newestPosition() {
-  return scheduler().wall().wallOf(scheduler().now()) + pools.limits().connectTimeout;
+  return scheduler().wallClock().toWall(scheduler().now()) + pools.limits().connectTimeout;
 }
 
 void Connection::put(int stream, std::uint8_t flags, Opcode opcode, std::string_view body) {
@@ -177,13 +177,14 @@
       writtenBytes_ += rest.size() - left->size();
       rest = *left;
       if (rest.empty()) break;
-      bool isWritable = co_await socket_.out.wait(scheduler().now() + pools.limits().keepalive);
+      bool isWritable =
+          co_await socket_.writable.wait(scheduler().now() + pools.limits().keepalive);
       if (!isWritable) isBroken_ = true;
     }
   }
   beingWritten_ = {};
   isWriting_ = false;
-  socket_.in.set();
+  socket_.readable.set();
   writerEnded_.set();
 }
 
@@ -195,10 +196,10 @@
     parsedSize_ = used;
     if (framed == Framed::whole) co_return true;
     if (framed == Framed::bad) co_return failProtocol(framing_.why());
-    runtime::Socket::Got got = socket_.read(in_, in_.size() + kMaxReadAtOnce);
-    if (got == runtime::Socket::Got::some) continue;
-    if (got == runtime::Socket::Got::ended) co_return false;
-    bool isSet = co_await socket_.in.wait(until);
+    runtime::Socket::ReadStatus got = socket_.read(in_, in_.size() + kMaxReadAtOnce);
+    if (got == runtime::Socket::ReadStatus::data) continue;
+    if (got == runtime::Socket::ReadStatus::closed) co_return false;
+    bool isSet = co_await socket_.readable.wait(until);
     if (!isSet) co_return false;
   }
 }
@@ -219,7 +220,7 @@
 }
 
 runtime::Task<bool> Connection::connect(TimePoint until) {
-  bool isUp = co_await runtime::connected(socket_, until);
+  bool isUp = co_await runtime::awaitConnected(socket_, until);
   if (!isUp) co_return false;
   const Config& config = protocol_.config();
   put(0, 0, Opcode::startup, startupBody(config));
@@ -283,7 +284,7 @@
     std::vector<std::string> ids;
     for (const PreparedRef& text : statement->requiredTexts)
       ids.push_back(storeState().prepared.find(text->id)->id);
-    request.toldMs = request.leftMs(scheduler().instant());
+    request.toldMs = request.leftMs(scheduler().steadyNow());
     put(stream, statement->flags, statement->opcode, encodeBody(*statement, request.toldMs, ids));
   } else {
     put(stream, 0, Opcode::options, {});
@@ -460,9 +461,9 @@
   in_.erase(0, std::exchange(parsedSize_, 0));
   if (in_.empty() && in_.capacity() > kMaxReadAtOnce) in_.shrink_to_fit();
   if (exceedsMemory()) return false;
-  runtime::Socket::Got got = socket_.read(in_, in_.size() + kMaxReadAtOnce);
-  hasMore = got == runtime::Socket::Got::some;
-  if (got == runtime::Socket::Got::ended) return false;
+  runtime::Socket::ReadStatus got = socket_.read(in_, in_.size() + kMaxReadAtOnce);
+  hasMore = got == runtime::Socket::ReadStatus::data;
+  if (got == runtime::Socket::ReadStatus::closed) return false;
   if (hasMore) {
     lastReadAt_ = now;
     partSince_ = kNever;
@@ -544,7 +545,7 @@
 runtime::Task<> Connection::serve() {
   idleSince = scheduler().now();
   lastReadAt_ = idleSince;
-  while (socket_.open()) {
+  while (socket_.isOpen()) {
     TimePoint now = scheduler().now();
     bool hadRequests = streams_.requestCount() > 0;
     if (!readFrames(now) || isBroken_) break;
@@ -564,7 +565,7 @@
     if (std::exchange(mayHaveMore_, false))
       co_await runtime::sleepUntil(scheduler(), now + kTurnForOthers);
     else
-      co_await socket_.in.wait(until);
+      co_await socket_.readable.wait(until);
   }
 }
 
--- a/src/protocols/postgres/client_codec.cpp
+++ b/src/protocols/postgres/client_codec.cpp
@@ -180,7 +180,7 @@
     // request. It is told with this one, of which nothing has run.
     if (alone && replies_.empty() && !door_.handler.takes(came))
       return end("57P03", "this server is shutting down: ask another", After::endsForLeaving);
-    auto decoded = door_.decoder.decode(text, door_.scheduler.now(), door_.scheduler.wall());
+    auto decoded = door_.decoder.decode(text, door_.scheduler.now(), door_.scheduler.wallClock());
     if (auto* reply = std::get_if<ImmediateReply>(&decoded)) return say(std::move(reply->bytes));
     auto& taken = std::get<request::ReceivedStatement>(decoded);
     taken.version = door_.version;
--- a/src/protocols/postgres/statement_decoder.cpp
+++ b/src/protocols/postgres/statement_decoder.cpp
@@ -92,23 +92,23 @@
   if (std::optional<Refusal> refusal = refusalOf(result)) return replyTo(*refusal);
   request::ReceivedStatement statement;
   Arrival& arrival = statement.arrival;
-  arrival.workload = placeOf(names_.workloads, fields.workload);
+  arrival.workload = indexOf(names_.workloads, fields.workload);
   if (arrival.workload < 0) return replyTo({"22023", "an unknown workload"});
   arrival.group = groups_.find(*fields.group);
   if (arrival.group < 0) return replyTo({"22023", "an unknown group"});
-  bool needsKey = names_.marked[static_cast<std::size_t>(arrival.workload)];
+  bool needsKey = names_.deduplicated[static_cast<std::size_t>(arrival.workload)];
   bool isOpen = openIds_.contains(std::string(fields.id));
   if (std::optional<Refusal> refusal = checkFields(fields, needsKey, isOpen))
     return replyTo(*refusal);
   arrival.session = sessionOf(fields.key);
   arrival.repeated = fields.repeated;
   // A commit's time is rounded up and may lie ahead of this clock; it is a write all the same.
-  if (fields.afterMs) arrival.sinceWrite = now - wall.pointOf(WallTime{*fields.afterMs * 1000});
+  if (fields.afterMs) arrival.sinceWrite = now - wall.toSteady(WallTime{*fields.afterMs * 1000});
   statement.timeout = Duration{*fields.waitMs * 1000};
   statement.id = fields.id;
   statement.tenant = fields.tenant.substr(0, request::kMostTenant);
   statement.mark = request::markOf(statement.tenant, *fields.group, fields.mark);
-  arrival.tenant = placeOf(names_.tenants, statement.tenant);
+  arrival.tenant = indexOf(names_.tenants, statement.tenant);
   statement.payload = makeQuery(text, fields);
   return statement;
 }
--- a/src/protocols/postgres/upstream_connection.cpp
+++ b/src/protocols/postgres/upstream_connection.cpp
@@ -43,7 +43,7 @@
 
   void accept(UpstreamRequest* request) override {
     request_ = request;
-    socket_.in.set();
+    socket_.readable.set();
   }
   // A response may have come already, and with it what its store is; unread it would be lost with
   // the connection (test cancelCrosses). While the request is written it is only stopped.
@@ -51,7 +51,7 @@
     if (isWriting_)
       socket_.close();
     else
-      socket_.in.set();
+      socket_.readable.set();
   }
   void close() override { socket_.close(); }
   std::size_t requestCount() const override { return request_ ? 1 : 0; }
@@ -86,17 +86,17 @@
 // A commit's time is rounded up, and clocks are read at different moments: a little ahead is no
 // untruth.
 WallTime Connection::newestPosition() {
-  return scheduler().wall().wallOf(scheduler().now()) + pools.limits().connectTimeout;
+  return scheduler().wallClock().toWall(scheduler().now()) + pools.limits().connectTimeout;
 }
 
 // Between requests: is the connection still open, and has nothing come that could be mistaken for a
 // response? The end may stand right behind what came last, and its event may not have been seen
 // yet, so everything is read up to where nothing is left (test endsUnseen).
 bool Connection::isQuiet() {
-  runtime::Socket::Got got = runtime::Socket::Got::some;
-  while (got != runtime::Socket::Got::nothing) {
+  runtime::Socket::ReadStatus got = runtime::Socket::ReadStatus::data;
+  while (got != runtime::Socket::ReadStatus::noData) {
     got = socket_.read(buffer_.bytes(), kMaxReadAtOnce);
-    if (got == runtime::Socket::Got::ended) return false;
+    if (got == runtime::Socket::ReadStatus::closed) return false;
     pg::Message message;
     while (buffer_.peek(message) == MessageBuffer::Peek::message &&
            (message.type == 'S' || message.type == 'N'))
@@ -125,14 +125,14 @@
     std::size_t whole = buffer_.reserveMessage();
     if (exceedsMemory()) co_return Receive::malformed;
     std::size_t most = std::max(buffer_.size() + kMaxReadAtOnce, whole);
-    runtime::Socket::Got got = socket_.read(buffer_.bytes(), most);
-    if (got == runtime::Socket::Got::some) continue;
+    runtime::Socket::ReadStatus got = socket_.read(buffer_.bytes(), most);
+    if (got == runtime::Socket::ReadStatus::data) continue;
     bool isCancelled = request_ && request_->cancelled;
-    if (got == runtime::Socket::Got::ended || isCancelled) co_return Receive::ended;
+    if (got == runtime::Socket::ReadStatus::closed || isCancelled) co_return Receive::ended;
     // A length that promises more than ever comes would hold the request for all of its time.
     TimePoint stallsAt = scheduler().now() + pools.limits().connectTimeout;
     bool mayStall = (hasBegun || buffer_.hasPartialMessage()) && stallsAt < until;
-    bool isSet = co_await socket_.in.wait(mayStall ? stallsAt : until);
+    bool isSet = co_await socket_.readable.wait(mayStall ? stallsAt : until);
     if (!isSet) co_return mayStall ? Receive::malformed : Receive::timedOut;
   }
 }
@@ -153,7 +153,7 @@
 }
 
 runtime::Task<bool> Connection::connect(TimePoint until) {
-  bool isUp = co_await runtime::connected(socket_, until);
+  bool isUp = co_await runtime::awaitConnected(socket_, until);
   if (!isUp) co_return false;
   std::string startup = pg::startup(kUser, kDatabase);
   bool isSent = co_await runtime::writeAll(socket_, startup, until);
@@ -174,7 +174,7 @@
 }
 
 runtime::Task<> Connection::serve() {
-  while (socket_.open()) {
+  while (socket_.isOpen()) {
     if (!request_) request_ = pools.nextRequest(*this);
     if (!request_) {
       bool isAlive = co_await waitForRequest();
@@ -199,7 +199,7 @@
   pools.markReady(*this);
   TimePoint until = idleSince + pools.limits().keepalive - pools.limits().connectTimeout;
   for (;;) {
-    bool isSet = co_await socket_.in.wait(until);
+    bool isSet = co_await socket_.readable.wait(until);
     if (request_) co_return true;
     bool isAlive = isSet && isQuiet();
     if (!isAlive) break;
@@ -212,7 +212,7 @@
 // use.
 runtime::Task<bool> Connection::exchange() {
   UpstreamRequest* request = request_;
-  std::string query = queryOf(*request, scheduler().instant());
+  std::string query = queryOf(*request, scheduler().steadyNow());
   // The process may stand still anywhere, so as little as can be lies between this look at the
   // time and the write.
   if (!pools.maySend(*request)) {
@@ -244,7 +244,7 @@
     isWriting_ = true;
     TimePoint wholeBy = std::min({request.until, request.sendBy, writtenBy});
     isWritten = co_await runtime::writeAll(socket_, *rest, wholeBy);
-    if (isWritten) request.wholeAt = scheduler().instant();
+    if (isWritten) request.wholeAt = scheduler().steadyNow();
     isWriting_ = false;
   }
   if (isWritten) co_return true;
