--- a/src/invariants/violations.cpp
+++ b/src/invariants/violations.cpp
@@ -3,28 +3,29 @@
 #include <array>
 #include <cstdarg>
 #include <cstdio>
-#include <numeric>
 
 #include "log/log.h"
 
 namespace reedchute::invariants {
 namespace {
 
+constexpr std::size_t kMaxFieldBytes = 320;  // of one log line
+
 std::array<std::uint64_t, static_cast<std::size_t>(Rule::count)> counts;
 
 }  // namespace
 
 const char* nameOf(Rule rule) {
   switch (rule) {
-    case Rule::answer:
+    case Rule::everyResponseSent:
       return "answer";
-    case Rule::client:
+    case Rule::clientPresent:
       return "client";
-    case Rule::time:
+    case Rule::withinDeadline:
       return "time";
-    case Rule::drain:
+    case Rule::drainGrace:
       return "drain";
-    case Rule::repeat:
+    case Rule::singleEffect:
       return "repeat";
     case Rule::freshness:
       return "freshness";
@@ -35,9 +36,9 @@
   }
 }
 
-void violated(Rule rule, const char* format, ...) {
+void reportViolation(Rule rule, const char* format, ...) {
   ++counts[static_cast<std::size_t>(rule)];
-  char fields[320];
+  char fields[kMaxFieldBytes];
   va_list args;
   va_start(args, format);
   std::vsnprintf(fields, sizeof fields, format, args);
@@ -45,11 +46,8 @@
   log::line("invariant_violated", "rule=%s %s", nameOf(rule), fields);
 }
 
-std::uint64_t violations(Rule rule) {
+std::uint64_t violationCount(Rule rule) {
   return counts[static_cast<std::size_t>(rule)];
 }
-std::uint64_t violations() {
-  return std::accumulate(counts.begin(), counts.end(), std::uint64_t{0});
-}
 
 }  // namespace reedchute::invariants
--- a/src/ledger/usage_recorder.cpp
+++ b/src/ledger/usage_recorder.cpp
@@ -139,14 +139,14 @@
   }
 }
 
-bool UsageRecorder::admits() const {
+bool UsageRecorder::acceptsStatements() const {
   if (!given_.refuse) return true;
   auto is = is_.load(std::memory_order_acquire);
   return is != UsageRecorderState::Is::opening && is != UsageRecorderState::Is::closed &&
          ring_->free() > kLeastFree;
 }
 
-void UsageRecorder::answered(const request::UsageRecord& m) {
+void UsageRecorder::record(const request::UsageRecord& m) {
   auto is = is_.load(std::memory_order_acquire);
   if (is == UsageRecorderState::Is::opening || is == UsageRecorderState::Is::closed) {
     ++lost_;
@@ -160,9 +160,9 @@
   a.workload = w < workloads_.size() ? workloads_[w] : std::string();
   a.group = m.group;
   a.outcome = m.completed ? Outcome::completed : m.rejected ? Outcome::rejected : Outcome::aborted;
-  a.bytesIn = m.bytesIn, a.bytesOut = m.bytesOut, a.executions = m.executions,
+  a.bytesIn = m.bytesIn, a.bytesOut = m.bytesOut, a.executions = m.attempts,
   a.protocol = m.protocol;
-  a.mark = m.mark;
+  a.mark = m.idempotencyKey;
   if (w < windows_.size()) a.window = windows_[w];
   a.at = now.at, a.period = now.period;
   if (!ring_->put(toBytes(a))) ++lost_;
--- a/src/proxy/counters_log.cpp
+++ b/src/proxy/counters_log.cpp
@@ -27,7 +27,7 @@
 
 std::size_t sessionCount(const ClientGroups& clients) {
   std::size_t total = 0;
-  for (const auto& group : clients) total += group->sessions();
+  for (const auto& group : clients) total += group->sessionCount();
   return total;
 }
 
@@ -35,7 +35,7 @@
   writeTotals();
   writeCauses();
   std::size_t pending = sources_.statements.openCount();
-  for (const auto& group : sources_.clients) pending += group->saying();
+  for (const auto& group : sources_.clients) pending += group->responsesBeingWritten();
   writeMissing(pending);
 }
 
@@ -47,21 +47,21 @@
 
 void CountersLog::writeTotals() const {
   const request::RequestCounters& requests = sources_.requests;
-  const pipeline::Responder::AnswerCounts& answers = sources_.responder.answers();
+  const pipeline::Responder::ResponseCounts& answers = sources_.responder.counts();
   log::line(
       "counters",
       "taken=%llu open=%zu sessions=%zu store_connections=%zu stores=%zu gone=%zu completed=%llu "
       "rejected=%llu "
       "aborted=%llu executions=%llu probes=%llu connects=%llu answered=%llu client_gone=%llu "
       "late=%llu",
-      log::printable(requests.taken), sources_.statements.openCount(),
+      log::printable(requests.received), sources_.statements.openCount(),
       sessionCount(sources_.clients), sources_.pools.connectionCount(), sources_.ids.stores.size(),
       sources_.endpoints.absentCount(), log::printable(answers.completed),
       log::printable(answers.rejected), log::printable(answers.aborted),
-      log::printable(sources_.dispatcher.executions()),
-      log::printable(sources_.dispatcher.probes()), log::printable(sources_.pools.openedCount()),
-      log::printable(requests.answered), log::printable(requests.gone),
-      log::printable(requests.late));
+      log::printable(sources_.dispatcher.attemptCount()),
+      log::printable(sources_.dispatcher.probeCount()),
+      log::printable(sources_.pools.openedCount()), log::printable(requests.answered),
+      log::printable(requests.clientGone), log::printable(requests.answeredLate));
 }
 
 // Why client connections were closed, why attempts were refused, and which invariants were
@@ -71,16 +71,16 @@
   for (int k = 1; k < static_cast<int>(client::CloseReason::count); ++k) {
     auto reason = static_cast<client::CloseReason>(k);
     std::uint64_t total = 0;
-    for (const auto& group : sources_.clients) total += group->ended(reason);
+    for (const auto& group : sources_.clients) total += group->closedCount(reason);
     fields.add("ended_", client::nameOf(reason), total);
   }
   for (int k = 1; k < static_cast<int>(invariants::Refusal::count); ++k) {
     auto refusal = static_cast<invariants::Refusal>(k);
-    fields.add("attempt_", invariants::nameOf(refusal), sources_.statements.refused(refusal));
+    fields.add("attempt_", invariants::nameOf(refusal), sources_.attempts.refusedCount(refusal));
   }
   for (int k = 0; k < static_cast<int>(invariants::Rule::count); ++k) {
     auto rule = static_cast<invariants::Rule>(k);
-    fields.add("violated_", invariants::nameOf(rule), invariants::violations(rule));
+    fields.add("violated_", invariants::nameOf(rule), invariants::violationCount(rule));
   }
   if (!fields.text().empty()) log::line("close_counters", "%s", fields.text().c_str());
 }
@@ -91,8 +91,8 @@
   if (missing == 0) return;
   log::line("responses_missing",
             "statements=%lld taken=%llu answered=%llu client_gone=%llu owed=%zu", missing,
-            log::printable(requests.taken), log::printable(requests.answered),
-            log::printable(requests.gone), pending);
+            log::printable(requests.received), log::printable(requests.answered),
+            log::printable(requests.clientGone), pending);
 }
 
 }  // namespace reedchute::proxy
--- a/src/proxy/counters_log.h
+++ b/src/proxy/counters_log.h
@@ -7,11 +7,12 @@
 #include <vector>
 
 #include "client/client_connections.h"
+#include "pipeline/attempt_reporter.h"
 #include "pipeline/dispatcher.h"
 #include "pipeline/responder.h"
 #include "pipeline/statement_table.h"
 #include "proxy/endpoint_registry.h"
-#include "request/request.h"
+#include "request/request_counters.h"
 #include "upstream/connection_pools.h"
 
 namespace reedchute::proxy {
@@ -25,6 +26,7 @@
 struct CounterSources {
   const request::RequestCounters& requests;
   const pipeline::StatementTable& statements;
+  const pipeline::AttemptReporter& attempts;
   const pipeline::Responder& responder;
   const pipeline::Dispatcher& dispatcher;
   const upstream::ConnectionPools& pools;
--- a/src/proxy/endpoint_registry.cpp
+++ b/src/proxy/endpoint_registry.cpp
@@ -31,7 +31,7 @@
   for (const discovery::Endpoint& endpoint : list.endpoints) applyEntry(endpoint, now);
   engine_.endSnapshot(polled);
   withdrawUnlisted(list, now);
-  statements_.touch();
+  rounds_.request();
 }
 
 void EndpointRegistry::applyEntry(const discovery::Endpoint& endpoint, TimePoint now) {
@@ -50,7 +50,7 @@
     info.started = startTimeOf(info.store, WallTime{endpoint.startedMs * 1000});
   placeInPools(info.store, endpoint);
   engine_.addEndpoint(info, now);
-  statements_.guard().listed(info.store, info.group, info.zone, info.listed, now);
+  guard_.onEndpointListed(info.store, info.group, info.zone, info.listed, now);
   log::line("endpoint", "store=%d id=%s group=%lld state=%s primary=%d started_ms=%lld", info.store,
             endpoint.id.c_str(), static_cast<long long>(endpoint.group), nameOf(endpoint.status),
             endpoint.isPrimary, static_cast<long long>(endpoint.startedMs));
@@ -70,7 +70,7 @@
     if (endpoint.status != EndpointStatus::up) pools_.drainStore(ids_.stores.find(endpoint.id));
   if (!config_.engineSettings.removalMeansDrained) return;
   for (const auto& [store, since] : absentSince_) {
-    statements_.guard().dropped(store, now);
+    guard_.onEndpointDropped(store, now);
     pools_.drainStore(store);
     pools_.closeIdleConnections(store);
   }
@@ -101,13 +101,13 @@
 
 bool EndpointRegistry::mayRemove(int store, TimePoint absentSince) const {
   if (scheduler_.now() - absentSince < config_.keepalive * kAbsentRetention) return false;
-  return pools_.isUnused(store) && !statements_.names(store);
+  return pools_.isUnused(store) && !statements_.refersToStore(store);
 }
 
 void EndpointRegistry::remove(int store) {
   log::line("endpoint_removed", "store=%d id=%s", store, ids_.stores.id(store).c_str());
   engine_.removeEndpoint(store, scheduler_.now());
-  statements_.guard().forget(store);
+  guard_.forget(store);
   pools_.removeStore(store);
   ids_.stores.release(store);
   startTimes_.erase(store);
--- a/src/proxy/endpoint_registry.h
+++ b/src/proxy/endpoint_registry.h
@@ -12,24 +12,37 @@
 #include "base/id_index.h"
 #include "config/config.h"
 #include "discovery/endpoint_watcher.h"
+#include "invariants/attempt_guard.h"
+#include "pipeline/round_trigger.h"
 #include "pipeline/statement_table.h"
 #include "proxy/protocols.h"
 #include "upstream/connection_pools.h"
 
 namespace reedchute::proxy {
 
+// The parts that endpoint lists are passed on to, and those that keep a store from removal.
+struct EndpointConsumers {
+  runtime::Scheduler& scheduler;
+  DecisionEngine& engine;
+  const pipeline::StatementTable& statements;
+  pipeline::RoundTrigger& rounds;
+  invariants::AttemptGuard& guard;
+  upstream::ConnectionPools& pools;
+};
+
 class EndpointRegistry {
  public:
   // `ids` gets the indices. Everything is borrowed and has to outlive the registry.
-  EndpointRegistry(runtime::Scheduler& scheduler, const config::Config& config, EndpointIds& ids,
-                   DecisionEngine& engine, pipeline::StatementTable& statements,
-                   upstream::ConnectionPools& pools, const Protocols& protocols)
-      : scheduler_(scheduler),
+  EndpointRegistry(const EndpointConsumers& consumers, const config::Config& config,
+                   EndpointIds& ids, const Protocols& protocols)
+      : scheduler_(consumers.scheduler),
+        engine_(consumers.engine),
+        statements_(consumers.statements),
+        rounds_(consumers.rounds),
+        guard_(consumers.guard),
+        pools_(consumers.pools),
         config_(config),
         ids_(ids),
-        engine_(engine),
-        statements_(statements),
-        pools_(pools),
         protocols_(protocols) {}
 
   // `polled`: whether the list comes from the discovery service, rather than from the
@@ -55,11 +68,13 @@
   void remove(int store);
 
   runtime::Scheduler& scheduler_;
-  const config::Config& config_;
-  EndpointIds& ids_;
   DecisionEngine& engine_;
-  pipeline::StatementTable& statements_;
+  const pipeline::StatementTable& statements_;
+  pipeline::RoundTrigger& rounds_;
+  invariants::AttemptGuard& guard_;
   upstream::ConnectionPools& pools_;
+  const config::Config& config_;
+  EndpointIds& ids_;
   const Protocols& protocols_;
   std::map<int, TimePoint> absentSince_;  // by store
   std::map<int, StartTime> startTimes_;   // by store
--- a/src/proxy/protocols.cpp
+++ b/src/proxy/protocols.cpp
@@ -39,7 +39,7 @@
 
  private:
   static std::size_t pipelineDepth(std::size_t memory) {
-    std::size_t smallest = pipeline::StatementTable::costOf(0);
+    std::size_t smallest = pipeline::StatementTable::reservationFor(0);
     return std::max<std::size_t>(1, memory / kPipelineDivisor / smallest);
   }
 
@@ -59,11 +59,11 @@
         upstreamV4_(config_, 4, storePrepared_),
         upstreamV5_(config_, 5, storePrepared_),
         versions_{context.pools.addProtocol(upstreamV4_), context.pools.addProtocol(upstreamV5_)},
-        clientProtocol_(
-            context.scheduler, context.handler, *this, config_,
-            protocols::cassandra::TakeIn(config_, config.names, context.endpointIds.groups,
-                                         context.openIds, *config.tableMapping, preparedTexts_),
-            preparedTexts_, versions_[0], versions_[1]) {}
+        clientProtocol_(context.scheduler, context.handler, *this, config_,
+                        protocols::cassandra::StatementDecoder(
+                            config_, config.names, context.endpointIds.groups, context.openIds,
+                            *config.tableMapping, preparedTexts_),
+                        preparedTexts_, versions_[0], versions_[1]) {}
 
   const char* name() const override { return "cassandra"; }
   client::ClientProtocol& clientProtocol() override { return clientProtocol_; }
--- a/src/proxy/protocols.h
+++ b/src/proxy/protocols.h
@@ -10,7 +10,9 @@
 #include "base/id_index.h"
 #include "client/client_connections.h"
 #include "config/config.h"
-#include "request/request.h"
+#include "request/open_statement_ids.h"
+#include "request/protocol_version.h"
+#include "request/statement_handler.h"
 #include "upstream/connection_pools.h"
 
 namespace reedchute::proxy {
@@ -27,7 +29,7 @@
   request::StatementHandler& handler;
   upstream::ConnectionPools& pools;
   const EndpointIds& endpointIds;
-  const request::OpenIds& openIds;
+  const request::OpenStatementIds& openIds;
 };
 
 class Protocol {
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -46,22 +46,32 @@
       engine_(config_.engineSettings, scheduler_.now()),
       ledger_(openLedger(config_)),
       responder_(endpointIds_.groups),
-      statements_(scheduler_, engine_, responder_, config_.engineSettings),
-      admission_(engine_, statements_),
-      intake_(scheduler_, config_, statements_, admission_, ledger_.get()),
-      pools_(scheduler_, statements_, upstreamLimits(config_)),
+      rounds_(scheduler_),
+      guard_(config_.engineSettings),
+      attempts_(scheduler_, engine_, responder_, statements_, rounds_, guard_,
+                config_.engineSettings),
+      admission_(engine_, statements_, rounds_),
+      intake_(scheduler_, config_, statements_, rounds_, admission_, ledger_.get()),
+      pools_(scheduler_, attempts_, upstreamLimits(config_)),
       protocols_(createProtocols(
           config_, {scheduler_, intake_, pools_, endpointIds_, statements_.openIds()})),
       dispatcher_(scheduler_, statements_, pools_, config_.engineSettings.connectTimeout,
                   probeVersion(protocols_)),
-      router_(scheduler_, engine_, statements_, dispatcher_, responder_, pools_),
-      endpoints_(scheduler_, config_, endpointIds_, engine_, statements_, pools_, protocols_),
+      router_(scheduler_, engine_, statements_, rounds_, dispatcher_, responder_, pools_),
+      endpoints_({.scheduler = scheduler_,
+                  .engine = engine_,
+                  .statements = statements_,
+                  .rounds = rounds_,
+                  .guard = guard_,
+                  .pools = pools_},
+                 config_, endpointIds_, protocols_),
       endpointWatcher_(scheduler_, *this, config_.discoveryAddress, config_.discoveryHost,
                        config_.knownEndpoints.version, discoveryTiming(config_.engineSettings),
                        endpointListMemory(config_)),
       reloader_(scheduler_, config_, endpointWatcher_),
       countersLog_({.requests = intake_.counters(),
                     .statements = statements_,
+                    .attempts = attempts_,
                     .responder = responder_,
                     .dispatcher = dispatcher_,
                     .pools = pools_,
@@ -70,11 +80,11 @@
                     .clients = clients_}),
       shutdownRequested_(scheduler_),
       firstListReceived_(scheduler_) {
-  router_.list(&endpointWatcher_);
+  router_.setEndpointWatcher(&endpointWatcher_);
   scheduler_.onClockStep(config_.engineSettings.tick,
                          [this](Duration ahead) { onClockStep(ahead); });
   if (ledger_) {
-    responder_.meter(ledger_.get());
+    responder_.setUsageMeter(ledger_.get());
     ledgerLog_.emplace(scheduler_, *ledger_, config_.engineSettings.tick * kLedgerLogTicks);
   }
   createClients();
@@ -108,7 +118,7 @@
   spawnTasks();
   listen();
   scheduler_.spawn(serveOnceListed());
-  scheduler_.run([this] { router_.round(); });
+  scheduler_.run([this] { router_.runRound(); });
   countersLog_.writeFinal();
   enter(Lifecycle::ended);
   log::flushSuppressed();
@@ -117,7 +127,7 @@
 void Proxy::spawnTasks() {
   scheduler_.spawn(signalWatcher_->run());
   scheduler_.spawn(reloader_.run());
-  scheduler_.spawn(router_.alarm());
+  scheduler_.spawn(router_.runWakeTimer());
   scheduler_.spawn(endpointWatcher_.run());
   scheduler_.spawn(shutDownOnSignal());
   scheduler_.spawn(logCounters());
@@ -143,7 +153,7 @@
   Duration timeout = config_.engineSettings.connectTimeout * kFirstListTimeout;
   co_await firstListReceived_.wait(scheduler_.now() + timeout);
   if (lifecycle_ == Lifecycle::shuttingDown) co_return;
-  for (const auto& group : clients_) group->open();
+  for (const auto& group : clients_) group->startAccepting();
   if (lifecycle_ == Lifecycle::starting) enter(Lifecycle::serving);
 }
 
@@ -181,7 +191,7 @@
 
 void Proxy::onPollFailed() {
   engine_.onDiscoveryFailed(scheduler_.now());
-  statements_.touch();
+  rounds_.request();
 }
 
 // A read that waits for its connection was found fresh by the clock as it was, so it is routed
@@ -191,11 +201,11 @@
   engine_.onClockStepped(ahead);
   pools_.cancelUnsent([&](const request::UpstreamRequest& request) {
     if (request.statement < 0 || ahead <= Duration{}) return false;
-    int workload = statements_.row(request.statement).workload;
+    int workload = statements_.at(request.statement).workload;
     Level level = config_.engineSettings.workloads[static_cast<std::size_t>(workload)].level;
     return level == Level::bounded || level == Level::fresh;
   });
-  statements_.touch();
+  rounds_.request();
 }
 
 }  // namespace reedchute::proxy
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -9,10 +9,13 @@
 #include "config/config.h"
 #include "decision/engine.h"
 #include "discovery/endpoint_watcher.h"
+#include "invariants/attempt_guard.h"
 #include "ledger/usage_recorder.h"
 #include "pipeline/admission.h"
+#include "pipeline/attempt_reporter.h"
 #include "pipeline/dispatcher.h"
 #include "pipeline/responder.h"
+#include "pipeline/round_trigger.h"
 #include "pipeline/router.h"
 #include "pipeline/statement_table.h"
 #include "proxy/config_reloader.h"
@@ -57,6 +60,9 @@
   std::unique_ptr<ledger::UsageRecorder> ledger_;  // null where none is configured
   pipeline::Responder responder_;
   pipeline::StatementTable statements_;
+  pipeline::RoundTrigger rounds_;
+  invariants::AttemptGuard guard_;
+  pipeline::AttemptReporter attempts_;
   pipeline::Admission admission_;
   StatementIntake intake_;
   upstream::ConnectionPools pools_;
--- a/src/proxy/resource_limits.cpp
+++ b/src/proxy/resource_limits.cpp
@@ -54,14 +54,14 @@
     return std::max<std::size_t>(1, total * connections / capacity);
   };
   return {
-      .sessions = connections,
+      .maxSessions = connections,
       .linger = unit,
-      .patience = config.keepalive,
-      .grace = unit * kFirstByteGrace,
-      .silence = unit * kMessageTimeout,
-      .idle = unit * kIdleTimeout,
-      .idleMost = shareOf(config.maxDescriptors / kIdleClientDivisor),
-      .bytes = shareOf(config.maxMemory / kClientMemoryDivisor),
+      .writeProgressTimeout = config.keepalive,
+      .firstRequestGrace = unit * kFirstByteGrace,
+      .messageTimeout = unit * kMessageTimeout,
+      .idleTimeout = unit * kIdleTimeout,
+      .maxIdle = shareOf(config.maxDescriptors / kIdleClientDivisor),
+      .maxBufferBytes = shareOf(config.maxMemory / kClientMemoryDivisor),
   };
 }
 
--- a/src/proxy/statement_intake.h
+++ b/src/proxy/statement_intake.h
@@ -6,8 +6,10 @@
 #include "config/config.h"
 #include "ledger/usage_recorder.h"
 #include "pipeline/admission.h"
+#include "pipeline/round_trigger.h"
 #include "pipeline/statement_table.h"
-#include "request/request.h"
+#include "request/request_counters.h"
+#include "request/statement_handler.h"
 #include "runtime/scheduler.h"
 
 namespace reedchute::proxy {
@@ -16,19 +18,20 @@
  public:
   // `ledger` may be null. Everything is borrowed and has to outlive the intake.
   StatementIntake(const runtime::Scheduler& scheduler, const config::Config& config,
-                  pipeline::StatementTable& statements, pipeline::Admission& admission,
-                  const ledger::UsageRecorder* ledger)
+                  pipeline::StatementTable& statements, pipeline::RoundTrigger& rounds,
+                  pipeline::Admission& admission, const ledger::UsageRecorder* ledger)
       : scheduler_(scheduler),
         config_(config),
         statements_(statements),
+        rounds_(rounds),
         admission_(admission),
         ledger_(ledger) {}
 
   int admit(request::ReceivedStatement received, request::ResponseSink& sink,
             int requestId) override;
-  void left(int statement) override;
-  bool roomy() const override;
-  bool takes(TimePoint came) const override { return came <= acceptsUntil_; }
+  void onClientLeft(int statement) override;
+  bool hasCapacity() const override;
+  bool acceptsReceivedAt(TimePoint time) const override { return time <= acceptsUntil_; }
 
   // Statements that arrive later than this are refused.
   void closeAt(TimePoint time) { acceptsUntil_ = time; }
@@ -41,6 +44,7 @@
   const runtime::Scheduler& scheduler_;
   const config::Config& config_;
   pipeline::StatementTable& statements_;
+  pipeline::RoundTrigger& rounds_;
   pipeline::Admission& admission_;
   const ledger::UsageRecorder* ledger_;
   TimePoint acceptsUntil_ = kForever;
