--- a/src/protocols/cassandra/statement_decoder.h
+++ b/src/protocols/cassandra/statement_decoder.h
@@ -62,7 +62,8 @@
 class StatementDecoder {
  public:
   StatementDecoder(const Config& config, const Names& names, const IdIndex<std::int64_t>& groups,
-                   const request::OpenStatementIds& openIds, const TableMapping& chart, PreparedTexts& texts)
+                   const request::OpenStatementIds& openIds, const TableMapping& chart,
+                   PreparedTexts& texts)
       : config_(config),
         names_(names),
         groups_(groups),
--- a/src/protocols/cassandra/upstream_connection.cpp
+++ b/src/protocols/cassandra/upstream_connection.cpp
@@ -211,7 +211,7 @@
   bool isSent = co_await runtime::writeAll(socket_, bytes, until);
   if (!isSent) co_return false;
   bool isRead = co_await readFrame(reply, until);
-  if (!isRead || !reply.response || reply.version != protocol_.version()) co_return false;
+  if (!isRead || !reply.answer || reply.version != protocol_.version()) co_return false;
   if (reply.opcode != Opcode::error) co_return true;
   cql::Cursor cursor(reply.body);
   log::line("upstream_rejected", "store=%d code=%04x", store,
@@ -285,7 +285,8 @@
     for (const PreparedRef& text : statement->requiredTexts)
       ids.push_back(storeState().prepared.find(text->id)->id);
     request.announcedTimeoutMs = request.remainingMs(scheduler().steadyNow());
-    put(stream, statement->flags, statement->opcode, encodeBody(*statement, request.announcedTimeoutMs, ids));
+    put(stream, statement->flags, statement->opcode,
+        encodeBody(*statement, request.announcedTimeoutMs, ids));
   } else {
     put(stream, 0, Opcode::options, {});
   }
@@ -423,7 +424,7 @@
 
 // False where nothing that follows can be believed.
 bool Connection::onFrame(const Frame& frame) {
-  if (!frame.response || frame.version != protocol_.version()) return failProtocol("version");
+  if (!frame.answer || frame.version != protocol_.version()) return failProtocol("version");
   if (frame.opcode == Opcode::event) return true;  // none was asked for
   if (!streams_.isValid(frame.stream)) return failProtocol("stream");
   Streams::State state = streams_.at(frame.stream).state;
--- a/src/protocols/cassandra/upstream_response.cpp
+++ b/src/protocols/cassandra/upstream_response.cpp
@@ -58,7 +58,8 @@
 
 void setResponse(request::UpstreamRequest& request, const Frame& frame, std::uint8_t flags) {
   request.response.bytes = frame.body;
-  request.response.form = static_cast<unsigned>(flags) << 8 | static_cast<unsigned>(frame.opcode);
+  request.response.frameHeader = static_cast<unsigned>(flags) << 8 |
+                                 static_cast<unsigned>(frame.opcode);
 }
 
 }  // namespace reedchute::protocols::cassandra
