--- a/src/client/acceptor.h
+++ b/src/client/acceptor.h
@@ -16,11 +16,11 @@
   virtual ~AcceptorHost() = default;
   // `waitedSince`: the earliest moment since which it may have waited to be accepted; kNever: it
   // has come just now.
-  virtual void accepted(int fd, TimePoint waitedSince) = 0;
+  virtual void onAccepted(int fd, TimePoint waitedSince) = 0;
   // Until when nobody is to be accepted; nothing: somebody may be, now.
-  virtual std::optional<TimePoint> holdUntil() = 0;
+  virtual std::optional<TimePoint> pauseUntil() = 0;
   // No descriptor or memory has been left for so long that somebody should make room.
-  virtual void exhausted() = 0;
+  virtual void onDescriptorsExhausted() = 0;
 };
 
 class Acceptor {
@@ -46,7 +46,7 @@
   std::unique_ptr<runtime::Descriptor> listener_;
   runtime::Backoff backoff_;
   TimePoint waitedSince_ = kNever;  // the queue was last seen empty before; kNever: it is
-  runtime::AcceptStatus last_ = runtime::AcceptStatus::noneWaits;
+  runtime::AcceptStatus last_ = runtime::AcceptStatus::queueEmpty;
 };
 
 }  // namespace reedchute::client
--- a/src/ctl/commands.cpp
+++ b/src/ctl/commands.cpp
@@ -183,7 +183,7 @@
 
 std::string readKeyFile(const std::string& path) {
   std::string key = ledger::keyInFile(path);
-  if (key.empty()) throw Malformed(path + ": no key in it");
+  if (key.empty()) throw InvalidInput(path + ": no key in it");
   return key;
 }
 
@@ -263,7 +263,7 @@
 }
 
 ExitCode checkSettings(const std::string& file) {
-  config::Block block = config::readFile(file);
+  config::Block block = config::readBlockFile(file);
   config::Section all(file, block);
   for (config::Section section : all.blocks("cassandra"))
     protocols::cassandra::parseConfig(std::move(section));
--- a/src/ctl/commands.h
+++ b/src/ctl/commands.h
@@ -29,7 +29,7 @@
   std::int64_t bytesOut = 0;
 };
 
-// Throws Malformed where there is no key in the file.
+// Throws InvalidInput where there is no key in the file.
 std::string readKeyFile(const std::string& path);
 
 // `key`: of the ledger's chain.
--- a/src/ctl/ledger_reader.cpp
+++ b/src/ctl/ledger_reader.cpp
@@ -94,7 +94,7 @@
 ledger::Period parsePeriod(const std::string& text) {
   std::tm time{};
   const char* end = strptime(text.c_str(), kPeriodFormat, &time);
-  if (!end || *end) throw Malformed("--period must be as show tells it: 2026-12-01T00:00Z");
+  if (!end || *end) throw InvalidInput("--period must be as show tells it: 2026-12-01T00:00Z");
   return {timegm(&time)};
 }
 
--- a/src/ctl/ledger_reader.h
+++ b/src/ctl/ledger_reader.h
@@ -35,7 +35,7 @@
 
 // The beginning of a period as operators write it: 2026-12-01T00:00Z.
 std::string periodText(ledger::Period period);
-// Throws Malformed.
+// Throws InvalidInput.
 ledger::Period parsePeriod(const std::string& text);
 
 // A CSV cell, in quotes where it needs them.
--- a/src/ledger/settings.h
+++ b/src/ledger/settings.h
@@ -11,7 +11,7 @@
 // The key in a file, without the end of its line; empty where there is none.
 std::string keyInFile(const std::string& path);
 
-// Throws Malformed, with file, line and key of the setting. Reads the key files.
+// Throws InvalidInput, with file, line and key of the setting. Reads the key files.
 UsageRecorderConfig usageRecorderConfigFrom(config::Section section, const std::string& instance);
 
 }  // namespace reedchute::ledger
--- a/src/ledger/usage_recorder.cpp
+++ b/src/ledger/usage_recorder.cpp
@@ -58,7 +58,7 @@
 // The names of the workloads, and of the one that each further number stands for.
 std::vector<std::string> workloadNames(const Names& names) {
   std::vector<std::string> workloads = names.workloads;
-  for (int workload : names.standsFor)
+  for (int workload : names.templateOf)
     workloads.push_back(workload < 0 ? std::string()
                                      : names.workloads[static_cast<std::size_t>(workload)]);
   return workloads;
@@ -169,12 +169,12 @@
   return isRecording(phase_.load(std::memory_order_acquire));
 }
 
-bool UsageRecorder::admits() const {
+bool UsageRecorder::acceptsStatements() const {
   if (!config_.refusesWhenBehind) return true;
   return canRecord() && ring_->freeBytes() > kMinFreeBytes;
 }
 
-void UsageRecorder::answered(const request::UsageRecord& usage) {
+void UsageRecorder::record(const request::UsageRecord& usage) {
   if (!canRecord()) {
     ++lost_;
     return;
@@ -193,8 +193,8 @@
   entry.outcome = outcomeOf(usage);
   entry.bytesIn = usage.bytesIn;
   entry.bytesOut = usage.bytesOut;
-  entry.idempotencyKey = usage.mark;
-  entry.attempts = usage.executions;
+  entry.idempotencyKey = usage.idempotencyKey;
+  entry.attempts = usage.attempts;
   entry.protocol = usage.protocol;
   if (workload < deduplicationWindows_.size())
     entry.deduplicationWindow = deduplicationWindows_[workload];
--- a/src/ledger/usage_recorder.h
+++ b/src/ledger/usage_recorder.h
@@ -1,6 +1,6 @@
 // The ledger beside a running proxy: an entry is put into a ring before its statement is answered,
-// and a thread of the ledger's own writes it to the disk. The proxy's thread calls admits(),
-// answered() and state(); none of them blocks.
+// and a thread of the ledger's own writes it to the disk. The proxy's thread calls
+// acceptsStatements(), record() and state(); none of them blocks.
 #pragma once
 
 #include <atomic>
@@ -14,7 +14,7 @@
 #include "config/engine_settings.h"
 #include "ledger/ledger_writer.h"
 #include "ledger/mapped_memory.h"
-#include "request/request.h"
+#include "request/usage_meter.h"
 
 namespace reedchute::ledger {
 
@@ -53,8 +53,8 @@
   // Writes what is in the ring, as far as the disk takes it.
   ~UsageRecorder() override;
 
-  bool admits() const override;
-  void answered(const request::UsageRecord& usage) override;
+  bool acceptsStatements() const override;
+  void record(const request::UsageRecord& usage) override;
   UsageRecorderState state() const;
 
  private:
--- a/src/protocols/cassandra/client_codec.h
+++ b/src/protocols/cassandra/client_codec.h
@@ -5,6 +5,7 @@
 
 #include "client/client_connections.h"
 #include "protocols/cassandra/statement_decoder.h"
+#include "request/statement_handler.h"
 #include "runtime/scheduler.h"
 
 namespace reedchute::protocols::cassandra {
@@ -22,18 +23,18 @@
  public:
   // `versions`: the rows of the stores' table for versions 4 and 5.
   ClientProtocol(runtime::Scheduler& s, request::StatementHandler& d, const Fleet& f,
-                 const Config& g, TakeIn t, PreparedTexts& p, request::ProtocolVersion four,
-                 request::ProtocolVersion five)
+                 const Config& g, StatementDecoder t, PreparedTexts& p,
+                 request::ProtocolVersion four, request::ProtocolVersion five)
       : scheduler(s),
         handler(d),
         fleet(f),
         config(g),
-        takeIn(std::move(t)),
+        decoder(std::move(t)),
         texts(p),
         versions{four, five} {}
 
-  std::unique_ptr<client::ClientCodec> talk(client::ClientChannel& line) override;
-  std::size_t mostMessage() const override;
+  std::unique_ptr<client::ClientCodec> newCodec(client::ClientChannel& line) override;
+  std::size_t maxMessageBytes() const override;
   // Tells those who asked for it that this front goes down.
   void leaving();
   // A change of the schema went through this front: `event` is the body of EVENT.
@@ -43,7 +44,7 @@
   request::StatementHandler& handler;
   const Fleet& fleet;
   const Config& config;
-  const TakeIn takeIn;
+  const StatementDecoder decoder;
   PreparedTexts& texts;
   const request::ProtocolVersion versions[2];
   std::vector<Session*> forStatus, forSchema;  // sessions that registered for these events
--- a/src/upstream/connection_pools.h
+++ b/src/upstream/connection_pools.h
@@ -8,7 +8,9 @@
 #include <memory>
 #include <vector>
 
-#include "request/request.h"
+#include "request/attempt_owner.h"
+#include "request/protocol_version.h"
+#include "request/upstream_request.h"
 #include "runtime/socket.h"
 #include "upstream/connection_pool.h"
 #include "upstream/descriptor_queue.h"
