--- a/src/protocols/cassandra/statement_decoder.cpp
+++ b/src/protocols/cassandra/statement_decoder.cpp
@@ -255,8 +255,8 @@
   r.told.consistency = r.asked.parameters.consistency;
   MappedStatement placed;
   bool preparing = r.out.pending.preparing.has_value();
-  auto why = preparing ? chart_.placePrepare(r.told, groups_, placed)
-                       : chart_.place(r.told, groups_, placed);
+  auto why = preparing ? mapping_.mapPreparation(r.told, groups_, placed)
+                       : mapping_.map(r.told, groups_, placed);
   if (why) return r.refuse(cql::kInvalid, *why);
   Arrival& a = r.received.arrival;
   a.workload = placed.workload, a.group = placed.group;
--- a/src/protocols/cassandra/statement_decoder.h
+++ b/src/protocols/cassandra/statement_decoder.h
@@ -61,12 +61,13 @@
 class StatementDecoder {
  public:
   StatementDecoder(const Config& config, const Names& names, const IdIndex<std::int64_t>& groups,
-                   const request::OpenIds& openIds, const TableMapping& chart, PreparedTexts& texts)
+                   const request::OpenIds& openIds, const TableMapping& mapping,
+                   PreparedTexts& texts)
       : config_(config),
         names_(names),
         groups_(groups),
         openIds_(openIds),
-        chart_(chart),
+        mapping_(mapping),
         texts_(texts),
         system_(config) {}
 
@@ -88,7 +89,7 @@
   const Names& names_;
   const IdIndex<std::int64_t>& groups_;
   const request::OpenIds& openIds_;
-  const TableMapping& chart_;
+  const TableMapping& mapping_;
   PreparedTexts& texts_;
   const SystemTables system_;
 };
--- a/tests/protocols/cassandra_test.cpp
+++ b/tests/protocols/cassandra_test.cpp
@@ -73,7 +73,7 @@
                 marks ? "drop" : "don't drop", t.workloads.size());
     auto tell = [&](const char* what, const StatementDescription& told) {
       MappedStatement p;
-      if (auto why = c.place(told, groups, p))
+      if (auto why = c.map(told, groups, p))
         std::printf("%s: refused, %s\n", what, why->c_str());
       else
         std::printf("%s: %s; group %lld%s\n", what, rowName(t, p.workload).c_str(),
@@ -140,7 +140,7 @@
                                  .workload = {},
                                  .mark = {},
                                  .group = {}};
-    auto why = c.placePrepare(prepare, groups, p);
+    auto why = c.mapPreparation(prepare, groups, p);
     std::printf("preparing: %s\n", why ? why->c_str() : rowName(t, p.workload).c_str());
   }
 }
