--- a/src/protocols/cassandra/upstream_connection.cpp
+++ b/src/protocols/cassandra/upstream_connection.cpp
@@ -284,8 +284,9 @@
     std::vector<std::string> ids;
     for (const PreparedRef& text : statement->requiredTexts)
       ids.push_back(storeState().prepared.find(text->id)->id);
-    request.toldMs = request.leftMs(scheduler().steadyNow());
-    put(stream, statement->flags, statement->opcode, encodeBody(*statement, request.toldMs, ids));
+    request.announcedTimeoutMs = request.remainingMs(scheduler().steadyNow());
+    put(stream, statement->flags, statement->opcode,
+        encodeBody(*statement, request.announcedTimeoutMs, ids));
   } else {
     put(stream, 0, Opcode::options, {});
   }
@@ -316,7 +317,7 @@
 TimePoint Connection::nextDeadline() const {
   TimePoint next = kForever;
   for (int stream : streams_.withRequest())
-    next = std::min(next, streams_.at(stream).request->until);
+    next = std::min(next, streams_.at(stream).request->deadline);
   return next;
 }
 
@@ -325,7 +326,7 @@
   for (int stream : streams_.withRequest()) {
     const Streams::Stream& here = streams_.at(stream);
     const UpstreamRequest& request = *here.request;
-    if (!request.cancelled && request.until > now) continue;
+    if (!request.isCancelled && request.deadline > now) continue;
     // What waits for the kernel to take it counts as sent: it can't be taken back. What was only
     // prepared never ran, and a time-out would say that it may have.
     bool isSent = here.state == Streams::State::sent;
@@ -334,8 +335,8 @@
     AttemptOutcome ifLate = isSent ? AttemptOutcome::timeout : AttemptOutcome::connectFailed;
     // A connection on which nothing comes is likely dead, and each request given to it loses its
     // time.
-    if (!request.cancelled && isOut && lastReadAt_ < request.begun) drain();
-    complete(stream, request.cancelled ? ifCancelled : ifLate, isOut);
+    if (!request.isCancelled && isOut && lastReadAt_ < request.startedAt) drain();
+    complete(stream, request.isCancelled ? ifCancelled : ifLate, isOut);
   }
   // Responses that never come would use up the streams one by one.
   if (streams_.orphanCount() * kMaxOrphanShare > protocol_.config().storeStreams) drain();
@@ -344,7 +345,7 @@
 // What was written may have run, and nothing else has.
 AttemptOutcome Connection::outcomeAtEnd(const Streams::Stream& stream) const {
   bool isWritten = stream.state == Streams::State::sent && stream.sentAtByte <= writtenBytes_;
-  if (stream.request->cancelled)
+  if (stream.request->isCancelled)
     return isWritten ? AttemptOutcome::cancelled : AttemptOutcome::neverSent;
   return isWritten ? AttemptOutcome::reset : AttemptOutcome::connectFailed;
 }
@@ -355,7 +356,7 @@
   while (!incoming_.empty()) {
     UpstreamRequest* request = incoming_.back();
     incoming_.pop_back();
-    if (request->cancelled || isDraining_)
+    if (request->isCancelled || isDraining_)
       pools.complete(request, AttemptOutcome::neverSent);
     else
       pools.requeue(request);
@@ -407,7 +408,7 @@
     request.report = {};
   }
   setResponse(request, frame, static_cast<std::uint8_t>(frame.flags & ~cql::kCompressed));
-  complete(stream, request.cancelled ? AttemptOutcome::cancelled : outcome, false);
+  complete(stream, request.isCancelled ? AttemptOutcome::cancelled : outcome, false);
 }
 
 // Nothing of a malformed response is to be believed, least of all that the statement never ran.
@@ -416,7 +417,7 @@
   bool mayHaveRun = here.state == Streams::State::sent;
   AttemptOutcome outcome = mayHaveRun ? AttemptOutcome::malformedResponse
                                       : AttemptOutcome::connectFailed;
-  if (here.request->cancelled) outcome = AttemptOutcome::cancelled;
+  if (here.request->isCancelled) outcome = AttemptOutcome::cancelled;
   complete(stream, outcome, false);
   return failProtocol("answer");
 }
--- a/src/protocols/cassandra/upstream_response.cpp
+++ b/src/protocols/cassandra/upstream_response.cpp
@@ -16,10 +16,10 @@
 void readStoreState(const cql::BytesMap& payload, request::UpstreamRequest& request,
                     WallTime newest) {
   for (const auto& [name, value] : payload) {
-    if (name == "server_role") request.role = request::readRole(value);
-    if (name == "usage") request.report = request::readReport(value, newest);
+    if (name == "server_role") request.role = request::parseStoreRole(value);
+    if (name == "usage") request.report = request::parseStoreReport(value, newest);
     if (name == "commit_clock")
-      if (std::optional<WallTime> position = request::readPosition(value, newest))
+      if (std::optional<WallTime> position = request::parseStorePosition(value, newest))
         request.position = position;
   }
 }
@@ -38,7 +38,7 @@
     return AttemptOutcome::malformedResponse;
   for (const auto& [name, values] : options)
     if (name == "USAGE" && !values.empty())
-      request.report = request::readReport(values.front(), newest);
+      request.report = request::parseStoreReport(values.front(), newest);
   return AttemptOutcome::ok;
 }
 
@@ -57,8 +57,9 @@
 }
 
 void setResponse(request::UpstreamRequest& request, const Frame& frame, std::uint8_t flags) {
-  request.answer.bytes = frame.body;
-  request.answer.form = static_cast<unsigned>(flags) << 8 | static_cast<unsigned>(frame.opcode);
+  request.response.bytes = frame.body;
+  request.response.frameHeader = static_cast<unsigned>(flags) << 8 |
+                                 static_cast<unsigned>(frame.opcode);
 }
 
 }  // namespace reedchute::protocols::cassandra
--- a/src/protocols/cassandra/upstream_response.h
+++ b/src/protocols/cassandra/upstream_response.h
@@ -4,7 +4,7 @@
 #include "codec/cql/reply.h"
 #include "codec/cql/wire.h"
 #include "protocols/cassandra/statement_decoder.h"
-#include "request/request.h"
+#include "request/upstream_request.h"
 
 namespace reedchute::protocols::cassandra {
 
--- a/src/protocols/postgres/response_reader.cpp
+++ b/src/protocols/postgres/response_reader.cpp
@@ -43,7 +43,7 @@
   bool isProbe = request_.statement < 0;
   if (isProbe)
     if (std::optional<std::string_view> value = pg::firstColumn(payload))
-      request_.report = request::readReport(*value, newest);
+      request_.report = request::parseStoreReport(*value, newest);
   return advance(State::described, State::row);
 }
 
@@ -51,7 +51,7 @@
   bool mayFollow = !isComplete() && !hasFailed();
   state_ = State::failed;
   std::string_view sqlState = pg::errorField(message.payload, 'C');
-  request_.answer.bytes = message.whole;
+  request_.response.bytes = message.whole;
   request_.outcome = outcomeOf(sqlState);
   if (isLogged(sqlState) && request_.statement >= 0)
     log::line("store_error", "store=%d code=%.5s", request_.store, std::string(sqlState).c_str());
@@ -62,10 +62,10 @@
   std::optional<std::string_view> name = pg::takeString(payload);
   std::optional<std::string_view> value = pg::takeString(payload);
   if (!name || !value) return;
-  if (*name == "server_role") request_.role = request::readRole(*value);
-  if (*name == "usage") request_.report = request::readReport(*value, newest);
+  if (*name == "server_role") request_.role = request::parseStoreRole(*value);
+  if (*name == "usage") request_.report = request::parseStoreReport(*value, newest);
   if (*name == "commit_clock")
-    if (std::optional<WallTime> position = request::readPosition(*value, newest))
+    if (std::optional<WallTime> position = request::parseStorePosition(*value, newest))
       request_.position = position;
 }
 
--- a/src/protocols/postgres/response_reader.h
+++ b/src/protocols/postgres/response_reader.h
@@ -5,8 +5,9 @@
 
 #include <string_view>
 
+#include "base/time.h"
 #include "codec/pg/messages.h"
-#include "request/request.h"
+#include "request/upstream_request.h"
 
 namespace reedchute::protocols::postgres {
 
--- a/src/protocols/postgres/statement_decoder.h
+++ b/src/protocols/postgres/statement_decoder.h
@@ -10,7 +10,8 @@
 #include "base/id_index.h"
 #include "config/engine_settings.h"
 #include "decision/engine.h"
-#include "request/request.h"
+#include "request/open_statement_ids.h"
+#include "request/received_statement.h"
 #include "runtime/wall_clock.h"
 
 namespace reedchute::protocols::postgres {
@@ -30,7 +31,7 @@
 class StatementDecoder {
  public:
   StatementDecoder(const EngineSettings& settings, const Names& names,
-                   const IdIndex<std::int64_t>& groups, const request::OpenIds& openIds)
+                   const IdIndex<std::int64_t>& groups, const request::OpenStatementIds& openIds)
       : settings_(settings), names_(names), groups_(groups), openIds_(openIds) {}
 
   // The caller fills in version and time of arrival.
@@ -45,7 +46,7 @@
   const EngineSettings& settings_;
   const Names& names_;
   const IdIndex<std::int64_t>& groups_;
-  const request::OpenIds& openIds_;
+  const request::OpenStatementIds& openIds_;
 };
 
 }  // namespace reedchute::protocols::postgres
--- a/src/proxy/protocols.cpp
+++ b/src/proxy/protocols.cpp
@@ -28,7 +28,7 @@
             protocols::postgres::StatementDecoder(config.terms, config.names, g.groups, g.openIds),
             speech_,
             {std::max<std::size_t>(
-                 1, config.memory / kPipelinePart / pipeline::StatementTable::costOf(0)),
+                 1, config.memory / kPipelinePart / pipeline::StatementTable::reservationFor(0)),
              config.memory / kKeptPart}) {}
 
   const char* name() const override { return "postgres"; }
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -10,12 +10,17 @@
 #include "client/client_connections.h"
 #include "config/config.h"
 #include "discovery/endpoint_watcher.h"
+#include "invariants/attempt_guard.h"
 #include "pipeline/admission.h"
+#include "pipeline/attempt_reporter.h"
 #include "pipeline/dispatcher.h"
 #include "pipeline/responder.h"
+#include "pipeline/round_trigger.h"
 #include "pipeline/router.h"
 #include "pipeline/statement_table.h"
 #include "proxy/protocols.h"
+#include "request/request_counters.h"
+#include "request/statement_handler.h"
 #include "upstream/connection_pools.h"
 
 namespace reedchute::proxy {
@@ -42,9 +47,9 @@
   Lifecycle phase() const { return lifecycle_; }
 
   int admit(request::ReceivedStatement taken, request::ResponseSink& sink, int requestId) override;
-  void left(int statement) override;
-  bool roomy() const override;
-  bool takes(TimePoint came) const override { return came <= takenUntil_; }
+  void onClientLeft(int statement) override;
+  bool hasCapacity() const override;
+  bool acceptsReceivedAt(TimePoint came) const override { return came <= takenUntil_; }
   void onEndpointsChanged(const discovery::EndpointList& roster) override;
   void onPollFailed() override;
 
@@ -84,6 +89,9 @@
   std::unique_ptr<ledger::UsageRecorder> ledger_;
   pipeline::Responder responder_;
   pipeline::StatementTable statements_;
+  pipeline::RoundTrigger rounds_;
+  invariants::AttemptGuard guard_;
+  pipeline::AttemptReporter attempts_;
   upstream::ConnectionPools stores_;
   std::vector<std::unique_ptr<Protocol>> protocols_;
   pipeline::Dispatcher dispatcher_;
--- a/src/upstream/connection_pools.cpp
+++ b/src/upstream/connection_pools.cpp
@@ -45,7 +45,7 @@
 
 UpstreamRequest* ConnectionPools::submit(std::unique_ptr<UpstreamRequest> submitted) {
   UpstreamRequest* request = submitted.get();
-  request->place = requests_.size();
+  request->index = requests_.size();
   requests_.push_back(std::move(submitted));
   ConnectionPool& pool = poolOf(*request);
   if (pool.ready.empty()) {
@@ -57,16 +57,16 @@
   UpstreamConnection* connection = pool.pickReady(settledBefore);
   if (connection->requestCount() + 1 >= maxConcurrentRequests(request->version))
     std::erase(pool.ready, connection);
-  request->on = connection;
+  request->connection = connection;
   connection->accept(request);
   return request;
 }
 
 void ConnectionPools::cancel(UpstreamRequest* request) {
-  if (request->cancelled) return;
-  request->cancelled = true;
+  if (request->isCancelled) return;
+  request->isCancelled = true;
   // One that waits for a connection is passed over when its turn comes.
-  if (request->on) request->on->cancel(request);
+  if (request->connection) request->connection->cancel(request);
 }
 
 void ConnectionPools::drainStore(int store) {
@@ -82,7 +82,7 @@
 
 void ConnectionPools::cancelUnsent(const std::function<bool(const UpstreamRequest&)>& which) {
   for (const std::unique_ptr<UpstreamRequest>& request : requests_)
-    if (request->leftAt == kNever && which(*request)) request->sendBy = kNever;
+    if (request->firstByteSentAt == kNever && which(*request)) request->sendBy = kNever;
   std::vector<UpstreamRequest*> unsent;
   auto collect = [&](UpstreamRequest* request) {
     if (request->sendBy != kNever) return false;
@@ -199,11 +199,11 @@
   for (UpstreamRequest* request : pool.waiting) {
     bool isCovered = position < covered;
     ++position;
-    if (isCovered || request->unplaced) continue;
+    if (isCovered || request->lackedConnectionSlot) continue;
     double maxWait = request->statement >= 0 ? kStatementMaxWait : kProbeMaxWait;
-    bool waitedTooLong = now - request->begun >= limits_.connectTimeout * maxWait;
+    bool waitedTooLong = now - request->startedAt >= limits_.connectTimeout * maxWait;
     if (!waitedTooLong && isStillWanted(*request)) continue;
-    request->unplaced = true;
+    request->lackedConnectionSlot = true;
     unplaced.push_back(request);
   }
 }
@@ -235,14 +235,14 @@
   // A process that has used up its share of a core stands still in the middle of a round; a bounded
   // read judged by the round's beginning would be sent stale.
   TimePoint now = scheduler_.steadyNow();
-  return !request.cancelled && request.until > now && request.sendBy > now &&
-         owner_.wanted(request);
+  return !request.isCancelled && request.deadline > now && request.sendBy > now &&
+         owner_.isWanted(request);
 }
 
 bool ConnectionPools::maySend(UpstreamRequest& request) {
   TimePoint now = scheduler_.steadyNow();
-  if (!owner_.mayLeave(request, now)) return false;
-  request.leftAt = now;
+  if (!owner_.maySend(request, now)) return false;
+  request.firstByteSentAt = now;
   return true;
 }
 
@@ -252,7 +252,7 @@
     UpstreamRequest* request = waiting.front();
     waiting.pop_front();
     if (isStillWanted(*request)) {
-      request->on = &connection;
+      request->connection = &connection;
       return request;
     }
     complete(request, AttemptOutcome::neverSent);
@@ -273,19 +273,19 @@
 }
 
 void ConnectionPools::requeue(UpstreamRequest* request) {
-  request->on = nullptr;
-  ++request->returns;
+  request->connection = nullptr;
+  ++request->requeueCount;
   // A store that closes each connection as soon as it is up would be dialled in a loop (test
   // closesAtOnce).
-  if (request->returns > kMaxRequeues) return complete(request, AttemptOutcome::connectFailed);
+  if (request->requeueCount > kMaxRequeues) return complete(request, AttemptOutcome::connectFailed);
   poolOf(*request).waiting.push_front(request);
 }
 
 // Takes the request out of the table, where the last one moves to its place.
 std::unique_ptr<UpstreamRequest> ConnectionPools::release(UpstreamRequest* request) {
-  std::size_t place = request->place;
+  std::size_t place = request->index;
   std::swap(requests_[place], requests_.back());
-  requests_[place]->place = place;
+  requests_[place]->index = place;
   std::unique_ptr<UpstreamRequest> released = std::move(requests_.back());
   requests_.pop_back();
   return released;
@@ -293,9 +293,9 @@
 
 void ConnectionPools::complete(UpstreamRequest* request, AttemptOutcome outcome) {
   request->outcome = outcome;
-  request->on = nullptr;
+  request->connection = nullptr;
   std::unique_ptr<UpstreamRequest> released = release(request);
-  owner_.ended(*released);
+  owner_.onRequestEnded(*released);
 }
 
 runtime::Task<bool> ConnectionPools::tryConnect(UpstreamConnection& connection) {
@@ -326,7 +326,7 @@
   while (remaining > 0 && !waiting.empty()) {
     UpstreamRequest* request = waiting.front();
     waiting.pop_front();
-    bool isWanted = !request->cancelled && owner_.wanted(*request);
+    bool isWanted = !request->isCancelled && owner_.isWanted(*request);
     complete(request, isWanted ? AttemptOutcome::connectFailed : AttemptOutcome::neverSent);
     if (isWanted) --remaining;
   }
