--- a/src/protocols/cassandra/statement_decoder.h
+++ b/src/protocols/cassandra/statement_decoder.h
@@ -62,13 +62,13 @@
 class StatementDecoder {
  public:
   StatementDecoder(const Config& config, const Names& names, const IdIndex<std::int64_t>& groups,
-                   const request::OpenStatementIds& openIds, const TableMapping& chart,
+                   const request::OpenStatementIds& openIds, const TableMapping& mapping,
                    PreparedTexts& texts)
       : config_(config),
         names_(names),
         groups_(groups),
         openIds_(openIds),
-        chart_(chart),
+        mapping_(mapping),
         texts_(texts),
         system_(config) {}
 
@@ -90,7 +90,7 @@
   const Names& names_;
   const IdIndex<std::int64_t>& groups_;
   const request::OpenStatementIds& openIds_;
-  const TableMapping& chart_;
+  const TableMapping& mapping_;
   PreparedTexts& texts_;
   const SystemTables system_;
 };
