--- a/src/client/acceptor.cpp
+++ b/src/client/acceptor.cpp
@@ -5,18 +5,15 @@
 namespace reedchute::client {
 namespace {
 
-constexpr int kInARow = 16;              // connections before others have their turn
-constexpr Duration kShortestPause{500};  // after a call that failed
-// Longest pauses that whoever waits in the kernel as the listener is to close is tried for.
-constexpr double kDrainPauses = 4;
+constexpr int kMaxAcceptedInARow = 16;  // connections, before others have their turn
+constexpr Duration kYield{1};           // until the next turn of the scheduler
+constexpr Duration kMinPause{500};      // after a call that failed
+constexpr double kDrainPauses = 4;      // longest pauses, for draining the kernel's queue
 
 }  // namespace
 
-Acceptor::Acceptor(runtime::Scheduler& scheduler, AcceptorHost& host, Duration longestPause)
-    : scheduler_(scheduler),
-      host_(host),
-      longestPause_(longestPause),
-      backoff_(kShortestPause, longestPause) {}
+Acceptor::Acceptor(runtime::Scheduler& scheduler, AcceptorHost& host, Duration maxPause)
+    : scheduler_(scheduler), host_(host), maxPause_(maxPause), backoff_(kMinPause, maxPause) {}
 
 int Acceptor::listen(const sockaddr_in& address) {
   listener_ = std::make_unique<runtime::Descriptor>(scheduler_, runtime::listenOn(address));
@@ -25,67 +22,68 @@
 }
 
 bool Acceptor::acceptOne() {
-  runtime::Accepted one = runtime::acceptOn(listener_->fd());
-  last_ = one.status;
-  switch (one.status) {
+  runtime::Accepted accepted = runtime::acceptOn(listener_->fd());
+  lastStatus_ = accepted.status;
+  switch (accepted.status) {
     case runtime::AcceptStatus::accepted:
       backoff_.succeeded();
-      host_.onAccepted(one.fd, waitedSince_);
+      host_.onAccepted(accepted.fd, waitedSince_);
       return true;
     case runtime::AcceptStatus::noneWaits:
       backoff_.succeeded();
       waitedSince_ = kNever;
       return false;
     default:
-      log::line("accept_failed", "errno=%d exhausted=%d", one.error,
-                one.status == runtime::AcceptStatus::exhausted);
+      log::line("accept_failed", "errno=%d exhausted=%d", accepted.error,
+                accepted.status == runtime::AcceptStatus::exhausted);
       if (waitedSince_ == kNever) waitedSince_ = scheduler_.now();
       return true;
   }
 }
 
-// After a call that failed. Danger: an error tells of one connection or of one moment, and no edge
-// tells when the next call would succeed; and one that lasts would be called in a loop.
+// After a call that failed. An error tells of one connection or of one moment, and no edge tells
+// when the next call would succeed (test acceptMoment); one that lasts would be met in a loop.
 TimePoint Acceptor::retryAt() {
-  TimePoint now = scheduler_.now(), next = now + backoff_.after(now);
-  bool lasts = now - backoff_.failingSince() >= longestPause_;
-  if (last_ == runtime::AcceptStatus::exhausted && lasts) host_.onDescriptorsExhausted();
+  TimePoint now = scheduler_.now();
+  TimePoint next = now + backoff_.after(now);
+  bool hasLasted = now - backoff_.failingSince() >= maxPause_;
+  if (lastStatus_ == runtime::AcceptStatus::exhausted && hasLasted) host_.onDescriptorsExhausted();
   return next;
 }
 
 runtime::Task<> Acceptor::run() {
-  int inARow = 0;
+  int acceptedInARow = 0;
   while (listener_->open()) {
     if (std::optional<TimePoint> until = host_.pauseUntil()) {
       if (waitedSince_ == kNever) waitedSince_ = scheduler_.now();
       co_await listener_->in.wait(*until);
       continue;
     }
-    bool more = acceptOne();
-    if (!more) {
+    bool mayHaveMore = acceptOne();
+    if (!mayHaveMore) {
       co_await listener_->in.wait();
-      inARow = 0;
-    } else if (last_ != runtime::AcceptStatus::accepted) {
+      acceptedInARow = 0;
+    } else if (lastStatus_ != runtime::AcceptStatus::accepted) {
       TimePoint next = retryAt();
       co_await runtime::sleepUntil(scheduler_, next);
-    } else if (++inARow >= kInARow) {
-      // Danger: clients that come again at once without end would keep all others waiting.
-      inARow = 0;
-      co_await runtime::sleepUntil(scheduler_, scheduler_.now() + Duration{1});
+    } else if (++acceptedInARow >= kMaxAcceptedInARow) {
+      // Clients that reconnect without end would keep all others waiting.
+      acceptedInARow = 0;
+      co_await runtime::sleepUntil(scheduler_, scheduler_.now() + kYield);
     }
   }
 }
 
 runtime::Task<> Acceptor::drainAndClose() {
   if (!listener_ || !listener_->open()) co_return;
-  TimePoint until = scheduler_.now() + longestPause_ * kDrainPauses;
-  int inARow = 0;
+  TimePoint until = scheduler_.now() + maxPause_ * kDrainPauses;
+  int acceptedInARow = 0;
   while (listener_->open() && scheduler_.now() < until && acceptOne()) {
     TimePoint next = scheduler_.now();
-    if (last_ != runtime::AcceptStatus::accepted)
+    if (lastStatus_ != runtime::AcceptStatus::accepted)
       next = retryAt();
-    else if (++inARow % kInARow == 0)
-      next = next + Duration{1};
+    else if (++acceptedInARow % kMaxAcceptedInARow == 0)
+      next = next + kYield;
     if (next > scheduler_.now()) co_await runtime::sleepUntil(scheduler_, next);
   }
   listener_->close();
--- a/src/client/session.cpp
+++ b/src/client/session.cpp
@@ -3,91 +3,109 @@
 #include <poll.h>
 
 #include <algorithm>
+#include <optional>
 #include <utility>
 
 #include "log/log.h"
 
 namespace reedchute::client {
-const char* nameOf(CloseReason reason) {
-  switch (reason) {
-    case CloseReason::clientClosed:
-      return "client";
-    case CloseReason::finalMessage:
-      return "last_word";
-    case CloseReason::idle:
-      return "idle";
-    case CloseReason::evicted:
-      return "makes_room";
-    case CloseReason::draining:
-      return "leaving";
-    case CloseReason::slowReader:
-      return "reads_nothing";
-    case CloseReason::writeFailed:
-      return "write_failed";
-    case CloseReason::taskFailed:
-      return "fault";
-    default:
-      return "none";
-  }
-}
 
-Session::Session(runtime::Scheduler& s, ClientProtocol& protocol, int fd, std::size_t mostUnsaid)
-    : scheduler(s), socket(s, fd), talk(protocol.newCodec(*this)), mostUnsaid_(mostUnsaid) {}
+Session::Session(runtime::Scheduler& scheduler, ClientProtocol& protocol, int fd,
+                 std::size_t maxQueuedBytes, TimePoint acceptableSince, Duration maxAcceptWait)
+    : socket(scheduler, fd),
+      codec(protocol.newCodec(*this)),
+      scheduler_(scheduler),
+      maxQueuedBytes_(maxQueuedBytes),
+      maxAcceptWait_(maxAcceptWait),
+      acceptableSince_(acceptableSince) {}
 
-void Session::sendResponse(std::string bytes, TimePoint until) {
-  said.push_back(until);
+void Session::sendResponse(std::string bytes, TimePoint deadline) {
+  queued.responseDeadlines.push_back(deadline);
   send(std::move(bytes));
 }
 
 void Session::send(std::string bytes) {
-  // Danger: one that asks on many streams and reads nothing would have answers gathered without
-  // end.
-  if (out.size() + bytes.size() > mostUnsaid_ && writing) {
-    log::line("client_reads_nothing", "bytes=%zu", out.size());
-    gone = true;
+  // A client that sends requests on many streams and reads nothing would have responses gathered
+  // without end.
+  if (isWriting && queued.bytes.size() + bytes.size() > maxQueuedBytes_) {
+    log::line("client_reads_nothing", "bytes=%zu", queued.bytes.size());
+    hasClientEnded = true;
     return close(CloseReason::slowReader);
   }
-  if (out.empty())
-    out = std::move(bytes);
+  if (queued.bytes.empty())
+    queued.bytes = std::move(bytes);
   else
-    out += bytes;
+    queued.bytes += bytes;
   socket.in.set();
 }
 
-// Danger: the process may have stood still since this round's events were read, and its client may
-// have gone meanwhile.
+void Session::finish(CloseReason why) {
+  if (closeReason == CloseReason::none) closeReason = why;
+  isEnding = true;
+}
+
+void Session::close(CloseReason why) {
+  if (closeReason == CloseReason::none) closeReason = why;
+  socket.close();
+}
+
+// The process may have stood still since the events of this round were read, so the kernel is asked
+// once more (test leavesInRound).
 bool Session::isClientGone() const {
   if (!socket.open() || socket.peerEnded()) return true;
-  if (!scheduler.roundIsOld()) return false;
-  pollfd look{socket.fd(), POLLRDHUP, 0};
-  return poll(&look, 1, 0) > 0 && (look.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
+  if (!scheduler_.roundIsOld()) return false;
+  pollfd descriptor{socket.fd(), POLLRDHUP, 0};
+  if (poll(&descriptor, 1, 0) <= 0) return false;
+  return (descriptor.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
 }
 
-void Session::drop(std::size_t n) {
-  used += n;
-  arrivals.consume(n);
-  if (used < in.size()) return;
-  in.clear(), used = 0;
-  if (in.capacity() > kReadAheadBytes) in.shrink_to_fit();
+void Session::consume(std::size_t count) {
+  consumed_ += count;
+  arrivals_.consume(count);
+  if (consumed_ < input_.size()) return;
+  input_.clear();
+  consumed_ = 0;
+  if (input_.capacity() > kReadAheadBytes) input_.shrink_to_fit();
 }
 
-runtime::Socket::Got Session::more(std::size_t most) {
-  if (used > 0) in.erase(0, used), used = 0;
-  // Danger: what stood unread for a while, as there was no room for it, came at any moment of that.
-  std::size_t had = in.size();
-  TimePoint now = scheduler.now(), since = unseenSince;
-  if (since == kNever) {
-    since = socket.unreadSince();
-  } else {
-    std::optional<Duration> ago = runtime::sinceLastBytes(socket.fd());
-    since = std::max(since, now - ago.value_or(oldestUnseen));
-  }
-  runtime::Socket::Got got = socket.read(in, most);
-  // It may be read in pieces, of which the last came as early as the first.
-  if (socket.sawEmpty()) unseenSince = kNever;
-  arrivals.append(in.size() - had, since == kNever ? now : std::min(since, now));
-  gone |= got == runtime::Socket::Got::ended && socket.open();
+// Since when the bytes that are read next may have been there. A new connection's may have come at
+// any moment since it could have been accepted.
+TimePoint Session::earliestArrival() const {
+  if (acceptableSince_ == kNever) return socket.unreadSince();
+  Duration ago = runtime::sinceLastBytes(socket.fd()).value_or(maxAcceptWait_);
+  return std::max(acceptableSince_, scheduler_.now() - ago);
+}
+
+runtime::Socket::Got Session::read(std::size_t maxBytes) {
+  input_.erase(0, std::exchange(consumed_, 0));
+  std::size_t before = input_.size();
+  TimePoint now = scheduler_.now();
+  TimePoint since = earliestArrival();
+  runtime::Socket::Got got = socket.read(input_, maxBytes);
+  // Input may be read in pieces, the last of which came as early as the first.
+  if (socket.sawEmpty()) acceptableSince_ = kNever;
+  arrivals_.append(input_.size() - before, since == kNever ? now : std::min(since, now));
+  if (got == runtime::Socket::Got::ended && socket.open()) hasClientEnded = true;
   return got;
 }
 
+runtime::Socket::Got Session::discardAndRead() {
+  input_.clear();
+  consumed_ = 0;
+  return socket.read(input_, kReadAheadBytes);
+}
+
+bool Session::isAwaitingRequest() const {
+  return codec->hasCompletedStartup() && unread().empty() && codec->pendingResponses() == 0;
+}
+
+std::size_t Session::unsentResponses() const {
+  return queued.responseDeadlines.size() + sending.responseDeadlines.size() +
+         codec->bufferedResponses();
+}
+
+std::size_t Session::bufferBytes() const {
+  return input_.capacity() + queued.bytes.capacity() + sending.bytes.capacity();
+}
+
 }  // namespace reedchute::client
--- a/src/client/session.h
+++ b/src/client/session.h
@@ -1,7 +1,8 @@
-// One client's connection: its socket and buffers, when its bytes came, and how it is to end. What
-// is spoken on it is its protocol's ClientCodec.
+// One client's connection: its socket, its buffers and what is known of its client. What is spoken
+// on it is its ClientCodec's business, and when it is read and written its SessionLoop's.
 #pragma once
 
+#include <cstddef>
 #include <list>
 #include <memory>
 #include <string>
@@ -9,83 +10,87 @@
 #include <vector>
 
 #include "client/arrival_times.h"
+#include "client/client_limits.h"
 #include "client/client_protocol.h"
+#include "client/close_reason.h"
 #include "runtime/socket.h"
 
 namespace reedchute::client {
 
-inline constexpr std::size_t kReadAheadBytes =
-    16 * 1024;  // read while an answer is still owed, by whomever
-
-// Why a connection with a client ended.
-enum class CloseReason {
-  none,          // it goes on
-  clientClosed,  // its client closed or reset it
-  finalMessage,  // it was told its last word: garbled, turned away, too slow, or it said good-bye
-  idle,          // it rested, and its place was wanted or its time was over
-  evicted,       // closed for somebody else's sake
-  draining,      // the front is told to end
-  slowReader,    // its client leaves too much unread
-  writeFailed,   // its answer couldn't be written in its client's time
-  taskFailed,    // an exception
-  count
+// Bytes for the client, and the deadlines of the responses among them.
+struct OutputBuffer {
+  std::string bytes;
+  std::vector<TimePoint> responseDeadlines;
 };
-const char* nameOf(CloseReason reason);
 
 class Session : public ClientChannel {
  public:
-  // `mostUnsaid`: bytes that wait to be written, beyond which it is cut.
-  Session(runtime::Scheduler& scheduler, ClientProtocol& protocol, int fd, std::size_t mostUnsaid);
+  // `maxQueuedBytes`: where the client leaves more than this unread, it is disconnected.
+  // `acceptableSince`: since when the connection may have waited to be accepted; kNever: it has
+  // just come. `maxAcceptWait`: for how long at most, where the kernel doesn't tell.
+  Session(runtime::Scheduler& scheduler, ClientProtocol& protocol, int fd,
+          std::size_t maxQueuedBytes, TimePoint acceptableSince, Duration maxAcceptWait);
 
   // ClientChannel
-  void sendResponse(std::string bytes, TimePoint until) override;
   void send(std::string bytes) override;
+  void sendResponse(std::string bytes, TimePoint deadline) override;
   void closeAfterFlush() override { finish(CloseReason::finalMessage); }
   void closeForDrain() override { finish(CloseReason::draining); }
   void closeNow() override { close(CloseReason::finalMessage); }
   bool isClientGone() const override;
 
-  // It ends once all that was said is written; the first reason stands.
-  void finish(CloseReason why) {
-    if (reason == CloseReason::none) reason = why;
-    ending = true;
-  }
-  // It ends at once.
-  void close(CloseReason why) {
-    if (reason == CloseReason::none) reason = why;
-    socket.close();
-  }
+  // Ends the session once its output is written. The first reason given stands.
+  void finish(CloseReason why);
+  // Ends the session at once.
+  void close(CloseReason why);
+
+  // What was read and is not decoded yet.
+  std::string_view unread() const { return std::string_view(input_).substr(consumed_); }
+  std::size_t inputBytes() const { return input_.size(); }
+  const ArrivalTimes& arrivals() const { return arrivals_; }
+  // The first `count` bytes of unread() are done with.
+  void consume(std::size_t count);
+  // Reads what has come, at most until there are `maxBytes` of input.
+  runtime::Socket::Got read(std::size_t maxBytes);
+  // Drops all input, and reads some more of what has come.
+  runtime::Socket::Got discardAndRead();
 
-  // The bytes after `used` are the session's next ones.
-  std::string_view left() const { return std::string_view(in).substr(used); }
-  void drop(std::size_t n);
-  // Reads on, at most until there are so many.
-  runtime::Socket::Got more(std::size_t most);
-  std::size_t held() const { return in.capacity() + out.capacity() + going.capacity(); }
+  // Nothing is pending, and no message has begun.
+  bool isAwaitingRequest() const;
+  // Whole responses that the kernel hasn't taken yet.
+  std::size_t unsentResponses() const;
+  std::size_t bufferBytes() const;
 
-  runtime::Scheduler& scheduler;
   runtime::Socket socket;
-  std::unique_ptr<ClientCodec> talk;
-  std::string in, out, going;  // `going`: what is being written
-  std::vector<TimePoint> said,
-      goes;  // until when clients wait for the answers that are whole in `out` and in `going`
-  std::size_t used = 0;
-  ArrivalTimes arrivals;           // of the bytes of `in` after `used`
-  TimePoint unseenSince = kNever;  // since when it may have waited to be accepted
-  Duration oldestUnseen;  // that it is taken to have waited at most, where the kernel doesn't tell
-  std::list<Session*>::iterator place, waitPlace;
-  std::list<Session*>* waits = nullptr;  // the list that it stands in while it waits for its client
-  TimePoint waitsSince;
-  TimePoint begun = kNever;       // when its first unfinished message was first waited for
-  TimePoint restsSince = kNever;  // when it last came to owe nothing and have nothing
-  CloseReason reason = CloseReason::none;
-  bool asked = false, ending = false, writing = false;
-  bool gone = false,
-       garbled = false;  // its client ended the connection, or the talk by what it sent
-  int inARow = 0;        // messages taken since it last had nothing to read
+  std::unique_ptr<ClientCodec> codec;
+  OutputBuffer queued;   // to be written
+  OutputBuffer sending;  // being written
+  CloseReason closeReason = CloseReason::none;
+  bool isEnding = false;   // once its output is written
+  bool isWriting = false;  // `sending` must not move
+  bool hasSentRequest = false;
+  bool hasClientEnded = false;        // the client closed the connection, or reads nothing
+  bool endedByMessage = false;        // what the client sent has ended the session
+  int decodedInARow = 0;              // messages, since the session last had nothing to read
+  TimePoint messageBegunAt = kNever;  // when its first unfinished message was first waited for
+  TimePoint idleSince = kNever;       // when it last came to await a request
+
+  // Where SessionRegistry holds it.
+  std::list<Session*>::iterator place;
+  std::list<Session*>::iterator waitPlace;
+  std::list<Session*>* waitQueue = nullptr;  // none while it doesn't wait for its client
+  TimePoint waitingSince;
 
  private:
-  std::size_t mostUnsaid_;
+  TimePoint earliestArrival() const;
+
+  runtime::Scheduler& scheduler_;
+  const std::size_t maxQueuedBytes_;
+  const Duration maxAcceptWait_;
+  TimePoint acceptableSince_;  // kNever once all that waited in the kernel is read
+  std::string input_;
+  std::size_t consumed_ = 0;  // bytes of input_
+  ArrivalTimes arrivals_;     // of unread()
 };
 
 }  // namespace reedchute::client
