--- a/src/client/acceptor.cpp
+++ b/src/client/acceptor.cpp
@@ -16,21 +16,21 @@
     : scheduler_(scheduler), host_(host), maxPause_(maxPause), backoff_(kMinPause, maxPause) {}
 
 int Acceptor::listen(const sockaddr_in& address) {
-  listener_ = std::make_unique<runtime::Descriptor>(scheduler_, runtime::listenOn(address));
+  listener_ = std::make_unique<runtime::Descriptor>(scheduler_, runtime::openListener(address));
   waitedSince_ = scheduler_.now();
-  return runtime::portOf(listener_->fd());
+  return runtime::localPort(listener_->fd());
 }
 
 bool Acceptor::acceptOne() {
-  runtime::Accepted accepted = runtime::acceptOn(listener_->fd());
+  runtime::Accepted accepted = runtime::acceptConnection(listener_->fd());
   lastStatus_ = accepted.status;
   switch (accepted.status) {
     case runtime::AcceptStatus::accepted:
-      backoff_.succeeded();
+      backoff_.reset();
       host_.onAccepted(accepted.fd, waitedSince_);
       return true;
-    case runtime::AcceptStatus::noneWaits:
-      backoff_.succeeded();
+    case runtime::AcceptStatus::queueEmpty:
+      backoff_.reset();
       waitedSince_ = kNever;
       return false;
     default:
@@ -45,7 +45,7 @@
 // when the next call would succeed (test acceptMoment); one that lasts would be met in a loop.
 TimePoint Acceptor::retryAt() {
   TimePoint now = scheduler_.now();
-  TimePoint next = now + backoff_.after(now);
+  TimePoint next = now + backoff_.nextDelay(now);
   bool hasLasted = now - backoff_.failingSince() >= maxPause_;
   if (lastStatus_ == runtime::AcceptStatus::exhausted && hasLasted) host_.onDescriptorsExhausted();
   return next;
@@ -53,15 +53,15 @@
 
 runtime::Task<> Acceptor::run() {
   int acceptedInARow = 0;
-  while (listener_->open()) {
+  while (listener_->isOpen()) {
     if (std::optional<TimePoint> until = host_.pauseUntil()) {
       if (waitedSince_ == kNever) waitedSince_ = scheduler_.now();
-      co_await listener_->in.wait(*until);
+      co_await listener_->readable.wait(*until);
       continue;
     }
     bool mayHaveMore = acceptOne();
     if (!mayHaveMore) {
-      co_await listener_->in.wait();
+      co_await listener_->readable.wait();
       acceptedInARow = 0;
     } else if (lastStatus_ != runtime::AcceptStatus::accepted) {
       TimePoint next = retryAt();
@@ -75,10 +75,10 @@
 }
 
 runtime::Task<> Acceptor::drainAndClose() {
-  if (!listener_ || !listener_->open()) co_return;
+  if (!listener_ || !listener_->isOpen()) co_return;
   TimePoint until = scheduler_.now() + maxPause_ * kDrainPauses;
   int acceptedInARow = 0;
-  while (listener_->open() && scheduler_.now() < until && acceptOne()) {
+  while (listener_->isOpen() && scheduler_.now() < until && acceptOne()) {
     TimePoint next = scheduler_.now();
     if (lastStatus_ != runtime::AcceptStatus::accepted)
       next = retryAt();
--- a/src/client/acceptor.h
+++ b/src/client/acceptor.h
@@ -46,7 +46,7 @@
   runtime::Backoff backoff_;
   // Since when a connection may wait; kNever: the kernel's queue was empty when last looked at.
   TimePoint waitedSince_ = kNever;
-  runtime::AcceptStatus lastStatus_ = runtime::AcceptStatus::noneWaits;
+  runtime::AcceptStatus lastStatus_ = runtime::AcceptStatus::queueEmpty;
 };
 
 }  // namespace reedchute::client
--- a/src/client/session.cpp
+++ b/src/client/session.cpp
@@ -36,7 +36,7 @@
     queued.bytes = std::move(bytes);
   else
     queued.bytes += bytes;
-  socket.in.set();
+  socket.readable.set();
 }
 
 void Session::finish(CloseReason why) {
@@ -52,8 +52,8 @@
 // The process may have stood still since the events of this round were read, so the kernel is asked
 // once more (test leavesInRound).
 bool Session::isClientGone() const {
-  if (!socket.open() || socket.peerEnded()) return true;
-  if (!scheduler_.roundIsOld()) return false;
+  if (!socket.isOpen() || socket.hasPeerClosed()) return true;
+  if (!scheduler_.isRoundStale()) return false;
   pollfd descriptor{socket.fd(), POLLRDHUP, 0};
   if (poll(&descriptor, 1, 0) <= 0) return false;
   return (descriptor.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
@@ -72,24 +72,24 @@
 // any moment since it could have been accepted.
 TimePoint Session::earliestArrival() const {
   if (acceptableSince_ == kNever) return socket.unreadSince();
-  Duration ago = runtime::sinceLastBytes(socket.fd()).value_or(maxAcceptWait_);
+  Duration ago = runtime::timeSinceLastReceive(socket.fd()).value_or(maxAcceptWait_);
   return std::max(acceptableSince_, scheduler_.now() - ago);
 }
 
-runtime::Socket::Got Session::read(std::size_t maxBytes) {
+runtime::Socket::ReadStatus Session::read(std::size_t maxBytes) {
   input_.erase(0, std::exchange(consumed_, 0));
   std::size_t before = input_.size();
   TimePoint now = scheduler_.now();
   TimePoint since = earliestArrival();
-  runtime::Socket::Got got = socket.read(input_, maxBytes);
+  runtime::Socket::ReadStatus status = socket.read(input_, maxBytes);
   // Input may be read in pieces, the last of which came as early as the first.
-  if (socket.sawEmpty()) acceptableSince_ = kNever;
+  if (socket.lastReadDrained()) acceptableSince_ = kNever;
   arrivals_.append(input_.size() - before, since == kNever ? now : std::min(since, now));
-  if (got == runtime::Socket::Got::ended && socket.open()) hasClientEnded = true;
-  return got;
+  if (status == runtime::Socket::ReadStatus::closed && socket.isOpen()) hasClientEnded = true;
+  return status;
 }
 
-runtime::Socket::Got Session::discardAndRead() {
+runtime::Socket::ReadStatus Session::discardAndRead() {
   input_.clear();
   consumed_ = 0;
   return socket.read(input_, kReadAheadBytes);
--- a/src/client/session.h
+++ b/src/client/session.h
@@ -51,9 +51,9 @@
   // The first `count` bytes of unread() are done with.
   void consume(std::size_t count);
   // Reads what has come, at most until there are `maxBytes` of input.
-  runtime::Socket::Got read(std::size_t maxBytes);
+  runtime::Socket::ReadStatus read(std::size_t maxBytes);
   // Drops all input, and reads some more of what has come.
-  runtime::Socket::Got discardAndRead();
+  runtime::Socket::ReadStatus discardAndRead();
 
   // Nothing is pending, and no message has begun.
   bool isAwaitingRequest() const;
--- a/src/client/session_loop.cpp
+++ b/src/client/session_loop.cpp
@@ -19,7 +19,7 @@
 
 runtime::Task<> SessionLoop::run() {
   co_await serveRequests();
-  if (!session_.isEnding || !session_.socket.open()) co_return;
+  if (!session_.isEnding || !session_.socket.isOpen()) co_return;
   if (session_.closeReason == CloseReason::finalMessage)
     co_await closeAfterFinalMessage();
   else
@@ -28,7 +28,7 @@
 
 // What a client that has gone had sent ahead is not served any more.
 bool SessionLoop::isServing() const {
-  return !session_.isEnding && session_.socket.open() && !session_.socket.peerEnded();
+  return !session_.isEnding && session_.socket.isOpen() && !session_.socket.hasPeerClosed();
 }
 
 runtime::Task<> SessionLoop::serveRequests() {
@@ -77,9 +77,9 @@
 }
 
 runtime::Task<bool> SessionLoop::readMore() {
-  runtime::Socket::Got got = session_.read(context_.protocol.maxMessageBytes() + 1);
-  if (got == runtime::Socket::Got::ended) co_return false;
-  if (got == runtime::Socket::Got::some) {
+  runtime::Socket::ReadStatus status = session_.read(context_.protocol.maxMessageBytes() + 1);
+  if (status == runtime::Socket::ReadStatus::closed) co_return false;
+  if (status == runtime::Socket::ReadStatus::data) {
     session_.idleSince = kNever;
     // Hundreds of clients that each send most of a long message would together take all memory.
     std::size_t allBytes = context_.registry.bufferBytes();
@@ -110,7 +110,7 @@
     until = session_.idleSince + context_.limits.firstRequestGrace * kDrainIdleGraces;
   if (until > now) {
     WaitFor what = session_.hasSentRequest ? WaitFor::nextRequest : WaitFor::firstRequest;
-    bool isSet = co_await context_.registry.wait(session_, session_.socket.in, what, until);
+    bool isSet = co_await context_.registry.wait(session_, session_.socket.readable, what, until);
     if (isSet) co_return;
   }
   if (context_.registry.isDraining())
@@ -120,7 +120,7 @@
 }
 
 runtime::Task<> SessionLoop::waitForMessage() {
-  runtime::Event& readable = session_.socket.in;
+  runtime::Event& readable = session_.socket.readable;
   // The end of the connection would take the pending responses with it, so it isn't closed while
   // some are: neither to make room nor for a slow message.
   if (session_.codec->pendingResponses() > 0) {
@@ -154,14 +154,14 @@
 // goesBehindMuch).
 runtime::Task<> SessionLoop::waitForResponse() {
   while (session_.codec->isPaused() && session_.queued.bytes.empty()) {
-    bool hasEnded = !session_.socket.open() || session_.socket.peerEnded() ||
-                    session_.read(maxReadAheadBytes()) == runtime::Socket::Got::ended;
+    bool hasEnded = !session_.socket.isOpen() || session_.socket.hasPeerClosed() ||
+                    session_.read(maxReadAheadBytes()) == runtime::Socket::ReadStatus::closed;
     if (hasEnded) {
       settle();
       session_.close(CloseReason::clientClosed);
       co_return;
     }
-    co_await session_.socket.in.wait();
+    co_await session_.socket.readable.wait();
   }
 }
 
@@ -169,18 +169,18 @@
 // the client still sends is read and dropped.
 runtime::Task<> SessionLoop::closeAfterFinalMessage() {
   bool isWritten = co_await writer_.flush();
-  session_.socket.endWriting();
+  session_.socket.shutdownWrite();
   TimePoint until = context_.scheduler.now() + context_.limits.linger;
   std::size_t discarded = 0;
-  while (isWritten && session_.socket.open() && discarded < kMaxDiscardedBytes) {
-    runtime::Socket::Got got = session_.discardAndRead();
+  while (isWritten && session_.socket.isOpen() && discarded < kMaxDiscardedBytes) {
+    runtime::Socket::ReadStatus status = session_.discardAndRead();
     discarded += session_.inputBytes();
-    if (got == runtime::Socket::Got::ended) break;
-    if (got == runtime::Socket::Got::some) {
+    if (status == runtime::Socket::ReadStatus::closed) break;
+    if (status == runtime::Socket::ReadStatus::data) {
       co_await yieldToOthers();
       continue;
     }
-    bool isSet = co_await context_.registry.wait(session_, session_.socket.in, WaitFor::close,
+    bool isSet = co_await context_.registry.wait(session_, session_.socket.readable, WaitFor::close,
                                                  until);
     if (!isSet) break;
   }
@@ -192,10 +192,10 @@
 // brings.
 runtime::Task<> SessionLoop::closeLeavingInputUnread() {
   bool isWaiting = co_await writer_.flush();
-  session_.socket.endWriting();
+  session_.socket.shutdownWrite();
   TimePoint until = context_.scheduler.now() + context_.limits.linger;
-  while (isWaiting && session_.socket.open() && !session_.socket.peerEnded())
-    isWaiting = co_await context_.registry.wait(session_, session_.socket.in, WaitFor::close,
+  while (isWaiting && session_.socket.isOpen() && !session_.socket.hasPeerClosed())
+    isWaiting = co_await context_.registry.wait(session_, session_.socket.readable, WaitFor::close,
                                                 until);
 }
 
@@ -206,7 +206,7 @@
   std::size_t unsent = session_.unsentResponses();
   std::size_t pending = codec.pendingResponses();
   bool isByClient = session_.hasClientEnded || session_.endedByMessage ||
-                    session_.socket.peerEnded();
+                    session_.socket.hasPeerClosed();
   const char* reason = nameOf(session_.closeReason);
   if (unsent + pending > 0 && isByClient)
     log::line("client_left", "end=%s open=%zu unsaid=%zu", reason, pending, unsent);
--- a/src/client/session_registry.cpp
+++ b/src/client/session_registry.cpp
@@ -31,7 +31,7 @@
 
 void SessionRegistry::drain() {
   isDraining_ = true;
-  for (Session* session : sessions_) session->socket.in.set();
+  for (Session* session : sessions_) session->socket.readable.set();
 }
 
 std::list<Session*>& SessionRegistry::queueFor(WaitFor what) {
@@ -73,8 +73,8 @@
 // connection, and a request that was read would have no response.
 bool SessionRegistry::hasSentNothing(Session& session) const {
   std::size_t maxBytes = session.inputBytes() + kReadAheadBytes;
-  if (session.read(maxBytes) != runtime::Socket::Got::some) return true;
-  session.socket.in.set();
+  if (session.read(maxBytes) != runtime::Socket::ReadStatus::data) return true;
+  session.socket.readable.set();
   return false;
 }
 
--- a/src/client/session_writer.cpp
+++ b/src/client/session_writer.cpp
@@ -27,7 +27,7 @@
   for (;;) {
     std::optional<std::string_view> rest = session_.socket.write(unsent);
     if (!rest) {
-      if (session_.socket.open()) session_.hasClientEnded = true;
+      if (session_.socket.isOpen()) session_.hasClientEnded = true;
       co_return false;
     }
     if (rest->empty()) co_return true;
@@ -52,7 +52,7 @@
 // A client that reads nothing holds a place: once it has made no progress for a while it may be
 // closed to make room.
 runtime::Task<bool> SessionWriter::waitUntilWritable(TimePoint until) {
-  runtime::Event& writable = session_.socket.out;
+  runtime::Event& writable = session_.socket.writable;
   TimePoint evictableFrom = std::min(
       until, context_.scheduler.now() + context_.limits.writeProgressTimeout);
   bool isWritable = co_await writable.wait(evictableFrom);
--- a/src/pipeline/attempt_reporter.cpp
+++ b/src/pipeline/attempt_reporter.cpp
@@ -86,7 +86,7 @@
 
 std::optional<TimePoint> AttemptReporter::timeOf(std::optional<WallTime> position) const {
   if (!position) return std::nullopt;
-  return scheduler_.wall().pointOf(*position);
+  return scheduler_.wallClock().toSteady(*position);
 }
 
 ReplicaReport AttemptReporter::reportOf(const request::UpstreamRequest& request) const {
--- a/src/pipeline/round_trigger.h
+++ b/src/pipeline/round_trigger.h
@@ -12,7 +12,7 @@
   // Called with every event that the engine is told of.
   void request() {
     isRequested_ = true;
-    scheduler_.again();
+    scheduler_.requestAnotherRound();
   }
   bool isRequested() const { return isRequested_; }
   void onRoundEnded() { isRequested_ = false; }
--- a/src/pipeline/router.cpp
+++ b/src/pipeline/router.cpp
@@ -54,7 +54,7 @@
 }
 
 void Router::pollEndpoints() {
-  endpointWatcher_->ask();
+  endpointWatcher_->requestPoll();
 }
 
 }  // namespace reedchute::pipeline
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -10,6 +10,7 @@
 #include "invariants/violations.h"
 #include "log/log.h"
 #include "proxy/startup.h"
+#include "runtime/system_error.h"
 
 namespace reedchute::proxy {
 namespace {
@@ -65,7 +66,7 @@
   return g;
 }
 
-discovery::EndpointWatcher::Pace listPace(const EngineSettings& t) {
+discovery::EndpointWatcher::Timing listPace(const EngineSettings& t) {
   Duration dial = t.pollsEndpoints ? t.connectTimeout
                                    : std::min(t.connectTimeout, t.drainGrace * kDialPart);
   return {std::min(t.maxPollInterval, kToldAnyway * kWatchPart), kToldAnyway * kSilentPart, dial,
@@ -145,15 +146,16 @@
       told_(scheduler_),
       listed_(scheduler_) {
   router_.setEndpointWatcher(&list_);
-  scheduler_.onStep(config_.terms.tick, [this](Duration ahead) { clockStepped(ahead); });
+  scheduler_.onClockStep(config_.terms.tick, [this](Duration ahead) { clockStepped(ahead); });
   if (config_.ledger) {
-    ledger_ = std::make_unique<ledger::Feed>(*config_.ledger, config_.names, config_.terms);
+    ledger_ = std::make_unique<ledger::UsageRecorder>(*config_.ledger, config_.names,
+                                                      config_.terms);
     responder_.setUsageMeter(ledger_.get());
   }
   std::size_t places = clientPlaces(config_), reserved = 0;
   for (const auto& p : protocols_) reserved += p->connections();
   if (reserved * 2 > places)
-    throw Malformed("the doors' connections need more than half of the places for clients");
+    throw InvalidInput("the doors' connections need more than half of the places for clients");
   for (const auto& p : protocols_)
     clients_.push_back(std::make_unique<client::ClientConnections>(
         scheduler_, p->door(), counters_,
@@ -210,7 +212,7 @@
   tellEnds();
   tellMissing(0);
   enter(Lifecycle::ended);
-  log::flushCounts();
+  log::flushSuppressed();
 }
 
 // Danger: what the list's agent has counts as told from the first moment, and the list known from
@@ -235,7 +237,7 @@
       // Danger: no edge comes for a signal that stands there already.
       continue;
     } else {
-      co_await signals.in.wait();
+      co_await signals.readable.wait();
     }
   }
 }
@@ -248,9 +250,9 @@
     runtime::Backoff backoff(config_.terms.tick * kReloadFirst, config_.terms.connectTimeout);
     TimePoint until = scheduler_.now() + kReloadTried;
     while (!reload() && scheduler_.now() < until) {
-      TimePoint next = scheduler_.now() + backoff.after(scheduler_.now());
+      TimePoint next = scheduler_.now() + backoff.nextDelay(scheduler_.now());
       bool signalled = co_await reloads_.wait(next);
-      if (signalled) until = scheduler_.now() + kReloadTried, backoff.succeeded();
+      if (signalled) until = scheduler_.now() + kReloadTried, backoff.reset();
     }
   }
 }
@@ -270,7 +272,7 @@
   log::line("reload", "discovery=%s", next.discoveryHost.c_str());
   config_.discovery = next.discovery;
   config_.discoveryHost = next.discoveryHost;
-  list_.moveTo(next.discovery, next.discoveryHost);
+  list_.setService(next.discovery, next.discoveryHost);
   return true;
 }
 
@@ -364,12 +366,12 @@
     for (const auto& c : clients_) owed += c->responsesBeingWritten();
     tellMissing(owed);
     if (ledger_) tellLedger();
-    log::flushCounts();
+    log::flushSuppressed();
   }
 }
 
 void Proxy::tellLedger() {
-  ledger::FeedState s = ledger_->state();
+  ledger::UsageRecorderState s = ledger_->state();
   if (s.is != ledgerWas_.is)
     log::line("ledger", "state=%s what=\"%s\"", ledger::nameOf(s.is), s.what.c_str());
   if (s.lost != ledgerWas_.lost)
@@ -430,34 +432,34 @@
   rounds_.request();
 }
 
-void Proxy::listCame(const discovery::EndpointList& roster) {
+void Proxy::onEndpointsChanged(const discovery::EndpointList& roster) {
   log::line("endpoints_updated", "version=%lld full=%d entries=%zu",
-            static_cast<long long>(roster.version), roster.full, roster.members.size());
+            static_cast<long long>(roster.version), roster.isFull, roster.endpoints.size());
   tellList(roster, true);
   listed_.set();
 }
 
-void Proxy::listFailed() {
+void Proxy::onPollFailed() {
   engine_.onDiscoveryFailed(scheduler_.now());
   rounds_.request();
 }
 
 void Proxy::tellList(const discovery::EndpointList& roster, bool asked) {
   TimePoint now = scheduler_.now();
-  engine_.beginSnapshot(roster.full);
+  engine_.beginSnapshot(roster.isFull);
   // Whoever a whole list leaves out is gone, unless it names it below.
-  if (roster.full) storeIds_.each([&](int store) { gone_.try_emplace(store, now); });
-  for (const discovery::Endpoint& m : roster.members) {
+  if (roster.isFull) storeIds_.each([&](int store) { gone_.try_emplace(store, now); });
+  for (const discovery::Endpoint& m : roster.endpoints) {
     EndpointInfo e;
     e.store = storeIds_.add(m.id);
-    if (m.listed == EndpointStatus::gone)
+    if (m.status == EndpointStatus::gone)
       gone_.try_emplace(e.store, now);
     else
       gone_.erase(e.store);
     e.group = groups_.add(m.group);
-    e.zone = placeOf(config_.names.zones, m.zone);
-    e.listed = m.listed;
-    e.primary = m.primary;
+    e.zone = indexOf(config_.names.zones, m.zone);
+    e.listed = m.status;
+    e.primary = m.isPrimary;
     e.weight = m.weight;
     if (m.startedMs > 0) e.started = startOf(e.store, WallTime{m.startedMs * 1000});
     for (const auto& p : protocols_)
@@ -466,16 +468,16 @@
           stores_.setAddress(e.store, version, *address);
     engine_.addEndpoint(e, now);
     guard_.onEndpointListed(e.store, e.group, e.zone, e.listed, now);
-    const char* state = m.listed == EndpointStatus::up         ? "up"
-                        : m.listed == EndpointStatus::draining ? "draining"
+    const char* state = m.status == EndpointStatus::up         ? "up"
+                        : m.status == EndpointStatus::draining ? "draining"
                                                                : "gone";
     log::line("endpoint", "store=%d id=%s group=%lld state=%s primary=%d started_ms=%lld", e.store,
-              m.id.c_str(), static_cast<long long>(m.group), state, m.primary,
+              m.id.c_str(), static_cast<long long>(m.group), state, m.isPrimary,
               static_cast<long long>(m.startedMs));
   }
   engine_.endSnapshot(asked);
-  for (const discovery::Endpoint& m : roster.members)
-    if (m.listed != EndpointStatus::up) stores_.drainStore(storeIds_.find(m.id));
+  for (const discovery::Endpoint& m : roster.endpoints)
+    if (m.status != EndpointStatus::up) stores_.drainStore(storeIds_.find(m.id));
   if (config_.terms.removalMeansDrained)
     for (const auto& [store, since] : gone_)
       guard_.onEndpointDropped(store, now), stores_.drainStore(store),
@@ -488,7 +490,7 @@
 // than now.
 TimePoint Proxy::startOf(int store, WallTime told) {
   Start& known = starts_[store];
-  TimePoint at = std::min(scheduler_.wall().pointOf(told), scheduler_.now());
+  TimePoint at = std::min(scheduler_.wallClock().toSteady(told), scheduler_.now());
   if (told > known.told) known = {told, std::max(at, known.at + Duration{1})};
   return known.at;
 }
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -50,8 +50,8 @@
   void onClientLeft(int statement) override;
   bool hasCapacity() const override;
   bool acceptsReceivedAt(TimePoint came) const override { return came <= takenUntil_; }
-  void listCame(const discovery::EndpointList& roster) override;
-  void listFailed() override;
+  void onEndpointsChanged(const discovery::EndpointList& roster) override;
+  void onPollFailed() override;
 
  private:
   void enter(Lifecycle p);
@@ -86,7 +86,7 @@
   IdIndex<std::int64_t> groups_;
   runtime::Event reloads_;  // a signal to read the configuration has come
   DecisionEngine engine_;
-  std::unique_ptr<ledger::Feed> ledger_;
+  std::unique_ptr<ledger::UsageRecorder> ledger_;
   pipeline::Responder responder_;
   pipeline::StatementTable statements_;
   pipeline::RoundTrigger rounds_;
@@ -103,7 +103,7 @@
   runtime::Event told_;              // a signal to end has come
   runtime::Event listed_;            // the list has come
   request::RequestCounters counters_;
-  ledger::FeedState ledgerWas_;
+  ledger::UsageRecorderState ledgerWas_;
 };
 
 }  // namespace reedchute::proxy
--- a/src/upstream/connection_pools.cpp
+++ b/src/upstream/connection_pools.cpp
@@ -234,13 +234,13 @@
 bool ConnectionPools::isStillWanted(const UpstreamRequest& request) const {
   // A process that has used up its share of a core stands still in the middle of a round; a bounded
   // read judged by the round's beginning would be sent stale.
-  TimePoint now = scheduler_.instant();
+  TimePoint now = scheduler_.steadyNow();
   return !request.isCancelled && request.deadline > now && request.sendBy > now &&
          owner_.isWanted(request);
 }
 
 bool ConnectionPools::maySend(UpstreamRequest& request) {
-  TimePoint now = scheduler_.instant();
+  TimePoint now = scheduler_.steadyNow();
   if (!owner_.maySend(request, now)) return false;
   request.firstByteSentAt = now;
   return true;
--- a/tests/codec/parsers_test.cpp
+++ b/tests/codec/parsers_test.cpp
@@ -9,7 +9,7 @@
 #include "codec/json/json.h"
 #include "codec/pg/messages.h"
 #include "codec/pg/statement.h"
-#include "discovery/endpoint_watcher.h"
+#include "discovery/endpoint_list.h"
 #include "request/store_report.h"
 #include "trace.h"
 
@@ -26,12 +26,12 @@
     case Kind::null:
       return "null";
     case Kind::boolean:
-      return v.truth ? "true" : "false";
+      return v.boolean ? "true" : "false";
     case Kind::number:
       return v.text;
-    case Kind::text:
+    case Kind::string:
       return "'" + v.text + "'";
-    case Kind::list:
+    case Kind::array:
       for (const json::Value& item : v.items) s += (s.empty() ? "" : " ") + shown(item);
       return "[" + s + "]";
     default:
@@ -290,10 +290,19 @@
     json::Value v;
     std::string why;
     discovery::EndpointList r;
-    bool read = json::parse(text, v, why) && discovery::parseEndpointList(v, r, why);
+    bool read = json::parse(text, v, why);
+    if (read) {
+      auto parsed = discovery::parseEndpointList(v);
+      auto* error = std::get_if<discovery::EndpointListError>(&parsed);
+      read = !error;
+      if (error)
+        why = discovery::describe(*error);
+      else
+        r = std::get<discovery::EndpointList>(parsed);
+    }
     if (read)
       std::printf("version %lld, %zu entries\n", static_cast<long long>(r.version),
-                  r.members.size());
+                  r.endpoints.size());
     else
       std::printf("bad: %s\n", why.c_str());
   }
