--- a/src/client/session_loop.cpp
+++ b/src/client/session_loop.cpp
@@ -214,7 +214,7 @@
     invariants::reportViolation(invariants::Rule::everyResponseSent, "end=%s statements=%zu",
                                 reason, unsent + pending);
   if (pending > 0) codec.onClientClosed();
-  // What the proxy owed must not count as given up by its client.
+  // A response that the proxy failed to send is not one that its client gave up.
   counters.clientGone = isByClient ? counters.clientGone + unsent : goneBefore;
   session_.queued.responseDeadlines.clear();
   session_.sending.responseDeadlines.clear();
--- a/src/invariants/violations.h
+++ b/src/invariants/violations.h
@@ -9,7 +9,7 @@
 enum class Rule {
   everyResponseSent,  // a statement that was read has its response before its connection ends
   clientPresent,      // nothing is sent to a store for a client that has gone
-  withinDeadline,     // nor after its deadline, and no store is told more time than is left
+  withinDeadline,     // nor after its deadline; no store is announced more time than is left
   drainGrace,         // nothing is sent to a draining store after the grace
   singleEffect,       // no retry repeats an effect
   freshness,          // no bounded read is sent later than its store is known to be fresh
--- a/src/pipeline/round_trigger.h
+++ b/src/pipeline/round_trigger.h
@@ -1,4 +1,4 @@
-// Asks the scheduler for another decision round once the engine has been told something.
+// Asks the scheduler for another decision round once the engine has new facts to decide on.
 #pragma once
 
 #include "runtime/scheduler.h"
@@ -9,7 +9,7 @@
  public:
   explicit RoundTrigger(runtime::Scheduler& scheduler) : scheduler_(scheduler) {}
 
-  // Called with every event that the engine is told of.
+  // Called with every event that is passed to the engine.
   void request() {
     isRequested_ = true;
     scheduler_.requestAnotherRound();
--- a/src/request/request_counters.h
+++ b/src/request/request_counters.h
@@ -8,7 +8,7 @@
 
 namespace reedchute::request {
 
-// PROTOCOL: a response that comes up to so long after its deadline earns nothing; later it is lost.
+// A response up to so long after its deadline counts as answered, if late; a later one as lost.
 inline constexpr Duration kLateAnswerGrace{500'000};
 
 // Each statement that was received is answered, or its client went before, or it is outstanding.
--- a/src/request/upstream_request.h
+++ b/src/request/upstream_request.h
@@ -30,7 +30,8 @@
   TimePoint sendBy = kForever;  // it is not written after this
 
   // How long the proxy still waits for the response, for protocols that announce it. Counted at the
-  // write: a store that is told more works on for a client that has gone (test toldLeft).
+  // write: a store that was announced more would work on for a client that has gone (test
+  // toldLeft).
   std::int64_t remainingMs(TimePoint now) const {
     return std::max<std::int64_t>(0, (deadline - now).us / 1000);
   }
