--- /dev/null
+++ b/src/decision/admission.cpp
@@ -0,0 +1,146 @@
+#include "decision/admission.h"
+
+#include <algorithm>
+#include <cmath>
+
+#include "decision/indexed_array.h"
+#include "decision/replica_selection.h"
+#include "decision/retry_policy.h"
+#include "decision/statement_actions.h"
+#include "decision/store_modules.h"
+
+namespace reedchute {
+namespace {
+
+constexpr double kStartTimes = 2;       // typical times that must be left before the SLO time,
+constexpr double kMostStartTime = 0.7;  // up to this share of it, but at least one
+constexpr double kLateWait = 0.45;      // of its client's time that a late statement may wait
+constexpr double kWorthWaiting = 0.5;   // late share from which a late statement waits for room
+constexpr double kLongestGap = 4;       // rate memories between two arrivals that count
+
+}  // namespace
+
+Admission::Admission(const EngineSettings& settings, const StoreModules& stores,
+                     std::vector<StatementState>& statements)
+    : settings_(settings),
+      stores_(stores),
+      statements_(statements),
+      tenants_(settings.tenants.size()) {
+  for (const Tenant& tenant : settings.tenants) allQuotas_ += tenant.quota;
+}
+
+void Admission::ensureGroup(int group) {
+  ensureIndex(waiting_, group);
+}
+
+double Admission::updateRates(int tenant, double passed) {
+  double memory = stores_.rateMemory.seconds();
+  double fade = std::exp(-passed / memory);
+  double sum = 0;
+  for (std::size_t index = 0; index < tenants_.size(); ++index) {
+    bool isCounted = static_cast<int>(index) == tenant;
+    tenants_[index].rate = tenants_[index].rate * fade + (isCounted ? 1 / memory : 0);
+    sum += tenants_[index].rate;
+  }
+  return sum;
+}
+
+// Beyond its share a tenant's work is worth little. Shares are taken as this proxy's part of all
+// traffic.
+void Admission::countTenant(StatementState& statement, TimePoint now) {
+  if (statement.tenant < 0 || allQuotas_ <= 0) return;
+  Duration memory = stores_.rateMemory;
+  double passed = (now - std::max(tenantsCountedAt_, now - memory * kLongestGap)).seconds();
+  tenantsCountedAt_ = now;
+  double allRates = updateRates(statement.tenant, passed);
+  double part = std::max(1.0 / settings_.proxyCount, allRates / allQuotas_);
+  for (std::size_t index = 0; index < tenants_.size(); ++index) {
+    double quota = settings_.tenants[index].quota * part;
+    double most = std::max(1.0, quota * memory.seconds());
+    tenants_[index].tokens = std::min(tenants_[index].tokens + quota * passed, most);
+  }
+  TenantUsage& usage = tenants_[statement.tenant];
+  statement.isOverQuota = usage.tokens < 1;
+  if (!statement.isOverQuota) usage.tokens -= 1;
+}
+
+void Admission::enqueue(const StatementState& statement) {
+  waiting_[statement.group].push_back(statement.id);
+}
+
+Duration Admission::startTime(int workload) const {
+  Duration typical = stores_.statistics.typicalTime(workload);
+  Duration most = settings_.workloads[workload].slo * kMostStartTime;
+  return std::max(typical, std::min(typical * kStartTimes, most));
+}
+
+bool Admission::isLate(const StatementState& statement, TimePoint now) const {
+  Duration slo = settings_.workloads[statement.workload].slo;
+  return now + startTime(statement.workload) > statement.arrived + slo;
+}
+
+double Admission::importance(const StatementState& statement, TimePoint now) const {
+  const Workload& workload = settings_.workloads[statement.workload];
+  double quotaFactor = statement.isOverQuota ? settings_.overQuotaImportance : 1;
+  double lateFactor = isLate(statement, now) ? workload.lateShare : 1;
+  return workload.importance * quotaFactor * lateFactor;
+}
+
+void Admission::sortWaiting(int group, TimePoint now) {
+  std::vector<int>& waiting = waiting_[group];
+  std::erase_if(waiting,
+                [&](int id) { return !statements_[id].isOpen || statements_[id].isOutstanding(); });
+  std::stable_sort(waiting.begin(), waiting.end(), [&](int one, int other) {
+    return importance(statements_[one], now) > importance(statements_[other], now);
+  });
+}
+
+// Where one bounded read finds no store, the others of its workload find none either.
+void Admission::dispatch(int group, ReplicaSelection& selection, const RetryPolicy& retries,
+                         StatementActions& actions, const Round& round) {
+  sortWaiting(group, round.now);
+  isBlocked_.assign(settings_.workloads.size(), 0);
+  stillWaiting_.clear();
+  for (int id : waiting_[group]) {
+    StatementState& statement = statements_[id];
+    int store = kNoStore;
+    if (statement.notBefore <= round.now && !isBlocked_[statement.workload]) {
+      store = selection.route(statement, round.now);
+      if (store >= 0 && !retries.mayRetryAt(store, statement, round.now)) store = kNoStore;
+      bool isBounded = settings_.workloads[statement.workload].level == Level::bounded;
+      if (store < 0 && isBounded) isBlocked_[statement.workload] = 1;
+    }
+    if (store >= 0)
+      actions.send(statement, store, round);
+    else
+      stillWaiting_.push_back(id);
+  }
+  waiting_[group].swap(stillWaiting_);
+}
+
+// Past its SLO time a statement waits for a primary, or if it is still worth much, and leaves its
+// client time to retry.
+bool Admission::isWorthKeeping(const StatementState& statement, TimePoint now) const {
+  if (!isLate(statement, now)) return true;
+  const Workload& workload = settings_.workloads[statement.workload];
+  bool awaitsPrimary = workload.level != Level::any &&
+                       !stores_.hasUsablePrimary(statement.group, now);
+  bool isWorthMuch = workload.lateShare >= kWorthWaiting ||
+                     (awaitsPrimary && workload.lateShare > 0);
+  bool hasWaited = now - statement.arrived > (statement.giveUpAt - statement.arrived) * kLateWait;
+  return isWorthMuch && !hasWaited;
+}
+
+void Admission::shed(int group, const RetryPolicy& retries, StatementActions& actions,
+                     const Round& round) {
+  TimePoint now = round.now;
+  for (int id : waiting_[group]) {
+    StatementState& statement = statements_[id];
+    bool isHopeless = now + startTime(statement.workload) > statement.giveUpAt ||
+                      !retries.mayRetry(statement, now);
+    if (isHopeless || !isWorthKeeping(statement, now)) actions.giveUp(statement, round);
+  }
+  std::erase_if(waiting_[group], [&](int id) { return !statements_[id].isOpen; });
+}
+
+}  // namespace reedchute
--- /dev/null
+++ b/src/decision/endpoint_list.h
@@ -0,0 +1,71 @@
+// Which stores the endpoint list holds, and when the list is polled.
+//
+// Owns each store's group, zone, status and static weight, the members of groups, the share of
+// traffic of zones, and the backoff between polls.
+#pragma once
+
+#include <vector>
+
+#include "base/time.h"
+#include "decision/random.h"
+#include "decision/types.h"
+
+namespace reedchute {
+
+class EndpointList {
+ public:
+  EndpointList(const EngineSettings& settings, TimePoint now);
+
+  int size() const { return static_cast<int>(group_.size()); }
+  void reset(int store);
+  void ensureGroup(int group);
+  void ensureZone(int zone);
+
+  int groupCount() const { return static_cast<int>(members_.size()); }
+  const std::vector<int>& members(int group) const { return members_[group]; }
+  int groupSize(int group) const { return static_cast<int>(members_[group].size()); }
+  // The group or zone of a store, or -1.
+  int group(int store) const { return group_[store]; }
+  int zone(int store) const { return zone_[store]; }
+  double weight(int store) const { return weight_[store]; }
+  bool isUp(int store) const { return status_[store] == EndpointStatus::up; }
+
+  // A snapshot of the list: it begins, its endpoints are added, it ends. Endpoints that a whole
+  // snapshot lacks are gone.
+  void beginSnapshot(bool whole);
+  void addEndpoint(const EndpointInfo& endpoint);
+  void endSnapshot();
+  void remove(int store);
+
+  // Sets the zone's share of its usual traffic, and returns the former one.
+  double setZoneShare(int zone, double share, bool mayProbe);
+  // The share of the zone that the store stands in.
+  double zoneShare(int store) const;
+  bool mayProbe(int store) const;
+
+  // Polls: true where one is due now, which then counts as made.
+  bool takePoll(TimePoint now);
+  void onPolled() { pollBackoff_ = firstPollBackoff_; }
+  void onPollFailed(RandomSource& random, TimePoint now);
+
+ private:
+  struct Zone {
+    double share = 1;
+    bool mayProbe = true;
+  };
+
+  const EngineSettings& settings_;
+  std::vector<std::vector<int>> members_;  // of each group
+  std::vector<Zone> zones_;
+  std::vector<int> group_;
+  std::vector<int> zone_;
+  std::vector<EndpointStatus> status_;
+  std::vector<double> weight_;
+  std::vector<char> isInSnapshot_;
+  TimePoint pollAt_ = kNever;
+  Duration firstPollBackoff_;
+  Duration maxPollBackoff_;
+  Duration pollBackoff_;
+};
+
+}  // namespace reedchute
--- /dev/null
+++ b/src/decision/freshness.cpp
@@ -0,0 +1,110 @@
+#include "decision/freshness.h"
+
+#include <algorithm>
+
+#include "decision/indexed_array.h"
+
+namespace reedchute {
+namespace {
+
+// Of the bound: a drained replica returns below it. It stands above the age that a report has when
+// it comes in, or few replicas would return.
+constexpr double kReturnBelow = 0.92;
+constexpr double kLagCut = 0.25;  // of the bound: more lag than that cuts the limit
+constexpr std::size_t kMaxSessions = 100'000;
+
+}  // namespace
+
+Freshness::Freshness(const EngineSettings& settings, Duration smallestBound)
+    : settings_(settings), smallestBound_(smallestBound) {}
+
+void Freshness::reset(int store) {
+  std::size_t workloads = settings_.workloads.size();
+  assignAt(position_, store, kNever);
+  assignAt(drained_, store, std::vector<char>(workloads, 1));
+  assignAt(returnedAt_, store, std::vector<TimePoint>(workloads, kNever));
+}
+
+// Reads compete with the thread that applies the log; where the replica lags, fewer of them let it
+// catch up.
+bool Freshness::onPosition(int store, TimePoint position, Duration reportAge, TimePoint now) {
+  if (position < position_[store]) return false;
+  position_[store] = position;
+  Duration lag = now - position;
+  bool fallsBehind = false;
+  for (std::size_t index = 0; index < settings_.workloads.size(); ++index) {
+    const Workload& workload = settings_.workloads[index];
+    if (workload.level != Level::bounded) continue;
+    Duration bound = workload.stalenessBound;
+    if (lag < bound && lag - reportAge >= bound * kLagCut) fallsBehind = true;
+    if (lag >= bound) {
+      drained_[store][index] = 1;
+    } else if (drained_[store][index] && lag < bound * kReturnBelow) {
+      drained_[store][index] = 0;
+      returnedAt_[store][index] = now;
+    }
+  }
+  return fallsBehind;
+}
+
+bool Freshness::isDrainedForAllBounds(int store) const {
+  for (std::size_t index = 0; index < settings_.workloads.size(); ++index)
+    if (settings_.workloads[index].level == Level::bounded && !drained_[store][index]) return false;
+  return true;
+}
+
+bool Freshness::isWellWithinBounds(int store, TimePoint now) const {
+  return now - position_[store] < smallestBound_ * kReturnBelow;
+}
+
+bool Freshness::suffices(int store, const StatementState& statement, TimePoint now) const {
+  const Workload& workload = settings_.workloads[statement.workload];
+  switch (workload.level) {
+    case Level::any:
+      return true;
+    case Level::write:
+      return false;
+    case Level::bounded: {
+      if (isDrained(store, statement.workload)) return false;
+      // A store that checks reads itself may be of unknown age.
+      if (settings_.storesRejectStaleReads) return true;
+      Duration ageWhenSent = now + settings_.tick - position_[store];
+      return ageWhenSent < workload.stalenessBound;
+    }
+    default:
+      return position_[store] >= statement.requiredPosition;
+  }
+}
+
+TimePoint Freshness::requiredPosition(const Arrival& arrival, TimePoint now) const {
+  Level level = settings_.workloads[arrival.workload].level;
+  if (level == Level::fresh) return now;
+  if (level != Level::session) return kNever;
+  if (settings_.readsCarrySessionToken) {
+    if (!arrival.sinceWrite) return kNever;
+    return now - *arrival.sinceWrite + settings_.tick;
+  }
+  auto known = lastCommits_.find(arrival.session);
+  return known == lastCommits_.end() ? commitFloor_ : known->second;
+}
+
+// Sessions would pile up for as long as a proxy runs. Past the cap all count as having written last
+// at the time of the latest commit.
+void Freshness::onCommit(std::uint64_t session, TimePoint position) {
+  if (lastCommits_.size() >= kMaxSessions) {
+    for (const auto& known : lastCommits_) commitFloor_ = std::max(commitFloor_, known.second);
+    lastCommits_.clear();
+  }
+  TimePoint& last = lastCommits_.try_emplace(session, commitFloor_).first->second;
+  last = std::max(last, position);
+}
+
+void Freshness::onClockStepped(Duration ahead) {
+  Duration aged = std::max(ahead, Duration{});
+  for (TimePoint& position : position_)
+    if (position > kNever) position = position - aged;
+  for (auto& known : lastCommits_) known.second = known.second - ahead;
+  if (commitFloor_ > kNever) commitFloor_ = commitFloor_ - ahead;
+}
+
+}  // namespace reedchute
--- /dev/null
+++ b/src/decision/indexed_array.h
@@ -0,0 +1,24 @@
+// Parallel arrays under the index of a store, a group or a zone.
+#pragma once
+
+#include <cstddef>
+#include <utility>
+#include <vector>
+
+namespace reedchute {
+
+// Sets the value at `index`; the array grows where it ends before that.
+template <class Value>
+void assignAt(std::vector<Value>& array, int index, Value value) {
+  auto position = static_cast<std::size_t>(index);
+  if (array.size() <= position) array.resize(position + 1);
+  array[position] = std::move(value);
+}
+
+// Makes sure that `index` exists.
+template <class Value>
+void ensureIndex(std::vector<Value>& array, int index) {
+  if (static_cast<int>(array.size()) <= index) array.resize(index + 1);
+}
+
+}  // namespace reedchute
--- /dev/null
+++ b/src/decision/store_modules.h
@@ -0,0 +1,41 @@
+// The modules that own what is known of stores, under one index.
+//
+// The engine feeds facts to each of them; policies read them.
+#pragma once
+
+#include "base/time.h"
+#include "decision/concurrency_limit.h"
+#include "decision/endpoint_list.h"
+#include "decision/freshness.h"
+#include "decision/outlier_detection.h"
+#include "decision/primary_tracker.h"
+#include "decision/slow_start.h"
+#include "decision/types.h"
+#include "decision/workload_statistics.h"
+
+namespace reedchute {
+
+struct StoreModules {
+  StoreModules(const EngineSettings& settings, TimePoint now);
+
+  // Nothing is known of the store, which may be one more; its data counts as drained.
+  void reset(int store, TimePoint now);
+  void ensureGroup(int group);
+  void ensureZone(int zone);
+
+  // True where statements may be sent to the store at all.
+  bool isUsable(int store, TimePoint now) const;
+  bool isInSuspectZone(int store, TimePoint now) const;
+  bool hasUsablePrimary(int group, TimePoint now) const;
+
+  WorkloadStatistics statistics;
+  const Duration rateMemory;  // how far back rates look
+  EndpointList endpoints;
+  Freshness freshness;
+  PrimaryTracker primaries;
+  ConcurrencyLimit limits;
+  OutlierDetection health;
+  SlowStart slowStart;
+};
+
+}  // namespace reedchute
--- a/tests/decision/mutants/plant.sh
+++ b/tests/decision/mutants/plant.sh
@@ -1,6 +1,12 @@
 #!/bin/sh
-# plant.sh MUTANT SOURCE OUT: writes SOURCE with the faults of MUTANT planted. In MUTANT, a line "- " holds what is
-# replaced by the next line, "+ "; it has to stand in SOURCE exactly once.
+# plant.sh MUTANT SOURCE OUT: writes SOURCE with the faults of MUTANT planted. MUTANT's first line, "# source: FILE",
+# names the file of src/decision that SOURCE has to be. A line "- " holds what is replaced by the next line, "+ "; it
+# has to stand in SOURCE exactly once.
+named=$(sed -n '1s/^# source: //p' "$1")
+if [ "$named" != "$(basename "$2")" ]; then
+  echo "$1: names \"$named\" as its source" >&2
+  exit 1
+fi
 exec awk -v out="$3" '
   FNR == NR { if (/^- /) from[++n] = substr($0, 3); else if (/^\+/) to[n] = substr($0, 3); next }
   { text = text $0 "\n" }
