--- a/src/protocols/postgres/upstream_connection.h
+++ b/src/protocols/postgres/upstream_connection.h
@@ -1,16 +1,18 @@
-// PostgreSQL towards the stores: a connection carries one job at a time.
+// PostgreSQL towards the stores: a connection carries one request at a time.
 #pragma once
 
 #include "upstream/connection_pools.h"
+#include "upstream/upstream_protocol.h"
 
 namespace reedchute::protocols::postgres {
 
-class UpstreamProtocol : public request::UpstreamProtocol {
+class UpstreamProtocol : public upstream::UpstreamProtocol {
  public:
-  std::unique_ptr<request::UpstreamConnection> carrier(upstream::ConnectionPools& stores, int store,
-                                                       request::ProtocolVersion version,
-                                                       int fd) override;
-  std::size_t atOnce() const override { return 1; }
+  std::unique_ptr<upstream::UpstreamConnection> createConnection(upstream::ConnectionPools& pools,
+                                                                 int store,
+                                                                 request::ProtocolVersion version,
+                                                                 int fd) override;
+  std::size_t maxConcurrentRequests() const override { return 1; }
 };
 
 }  // namespace reedchute::protocols::postgres
