--- a/src/decision/concurrency_limit.cpp
+++ b/src/decision/concurrency_limit.cpp
@@ -23,7 +23,8 @@
 
 ConcurrencyLimit::ConcurrencyLimit(const EngineSettings& settings)
     : settings_(settings),
-      initialLimit_(std::min(kInitialLimit, kInitialLimitOfAll / settings.proxyCount)) {}
+      initialLimit_(std::min(kInitialLimit, kInitialLimitOfAll / settings.proxyCount)),
+      recoveryTarget_(std::min(1.0, initialLimit_)) {}
 
 void ConcurrencyLimit::reset(int store) {
   assignAt(outstanding_, store, 0);
@@ -84,12 +85,6 @@
   setLimit(store, std::max(1.0 / settings_.proxyCount, limit_[store] * part), now);
 }
 
-void ConcurrencyLimit::recover(int store, double part, TimePoint now) {
-  double target = std::min(1.0, initialLimit_);
-  double limit = limit_[store];
-  if (limit < target) setLimit(store, limit + part * (target - limit), now);
-}
-
 // What was sent ahead of the pace is work; how long it takes follows the pace. Otherwise sends
 // ahead of a pace that was cut would hold back others long after the pace has recovered
 // (test: paceReturns).
--- a/src/decision/concurrency_limit.h
+++ b/src/decision/concurrency_limit.h
@@ -47,13 +47,17 @@
   // Cuts once for all that was sent before the last cut, which tells of the same jam.
   void cut(int store, TimePoint sent, CutReason reason, TimePoint now);
   // Moves a limit that was cut a part of the way back to where limits start.
-  void recover(int store, double part, TimePoint now);
+  void recover(int store, double part, TimePoint now) {
+    double limit = limit_[store];
+    if (limit < recoveryTarget_) setLimit(store, limit + part * (recoveryTarget_ - limit), now);
+  }
 
  private:
   void setLimit(int store, double limit, TimePoint now);
 
   const EngineSettings& settings_;
   const double initialLimit_;
+  const double recoveryTarget_;  // up to which a limit that was cut recovers by itself
   std::vector<int> outstanding_;
   std::vector<double> limit_;
   std::vector<TimePoint> nextSendAt_;  // where the limit is below one: its pace has a place again
--- a/src/decision/engine.cpp
+++ b/src/decision/engine.cpp
@@ -308,8 +308,10 @@
   double meanWork = stores_.statistics.meanWork();
   for (int store = 0; store < stores_.endpoints.size(); ++store) {
     int group = stores_.endpoints.group(store);
-    int groupSize = group < 0 ? 0 : stores_.endpoints.groupSize(group);
-    stores_.slowStart.refill(store, group, groupSize, meanWork, now);
+    if (group >= 0 && !stores_.slowStart.isWarm(store, now)) {
+      int groupSize = stores_.endpoints.groupSize(group);
+      stores_.slowStart.refill(store, group, groupSize, meanWork, now);
+    }
     double faded = stores_.health.fade(store, now);
     stores_.limits.recover(store, faded, now);
   }
--- a/src/decision/freshness.cpp
+++ b/src/decision/freshness.cpp
@@ -16,7 +16,7 @@
 }  // namespace
 
 Freshness::Freshness(const EngineSettings& settings, Duration smallestBound)
-    : settings_(settings), smallestBound_(smallestBound) {}
+    : settings_(settings), returnBelow_(smallestBound * kReturnBelow) {}
 
 void Freshness::reset(int store) {
   std::size_t workloads = settings_.workloads.size();
@@ -53,10 +53,6 @@
   return true;
 }
 
-bool Freshness::isWellWithinBounds(int store, TimePoint now) const {
-  return now - position_[store] < smallestBound_ * kReturnBelow;
-}
-
 bool Freshness::suffices(int store, const StatementState& statement, TimePoint now) const {
   const Workload& workload = settings_.workloads[statement.workload];
   switch (workload.level) {
--- a/src/decision/freshness.h
+++ b/src/decision/freshness.h
@@ -30,7 +30,9 @@
   // True where the replica is too far behind for every bounded workload.
   bool isDrainedForAllBounds(int store) const;
   // True where the position would let the replica return for the smallest bound.
-  bool isWellWithinBounds(int store, TimePoint now) const;
+  bool isWellWithinBounds(int store, TimePoint now) const {
+    return now - position_[store] < returnBelow_;
+  }
   // When the replica was last taken back for the workload.
   TimePoint returnedAt(int store, int workload) const { return returnedAt_[store][workload]; }
   // True where the replica is known to be fresh enough for the statement, if it is sent now.
@@ -48,7 +50,7 @@
 
  private:
   const EngineSettings& settings_;
-  const Duration smallestBound_;
+  const Duration returnBelow_;  // the lag at which a replica returns for the smallest bound
   std::vector<TimePoint> position_;
   std::vector<std::vector<char>> drained_;          // a flag a workload
   std::vector<std::vector<TimePoint>> returnedAt_;  // a time a workload
--- a/src/decision/outlier_detection.cpp
+++ b/src/decision/outlier_detection.cpp
@@ -11,12 +11,10 @@
 
 constexpr double kOutcomeWeight = 0.1;  // of one outcome in a running share
 constexpr double kTimeWeight = kOutcomeWeight * 0.5;
-constexpr double kHostSuccessRate = 0.5;  // from which a store may host long reads
-constexpr double kShortageShare = 0.06;   // of refused connections: stores have no room for them
-constexpr double kFadeTime = 8;           // SLO times after which a bad share is mostly forgotten
-constexpr double kOverduePenalty = 0.3;   // of a success rate, for an overdue attempt
-constexpr double kMaxEjection = 8;        // connect time-outs
-constexpr int kZoneFailures = 3;          // one after the other: the zone is suspect
+constexpr double kShortageShare = 0.06;  // of refused connections: stores have no room for them
+constexpr double kFadeTime = 8;          // SLO times after which a bad share is mostly forgotten
+constexpr double kOverduePenalty = 0.3;  // of a success rate, for an overdue attempt
+constexpr double kMaxEjection = 8;       // connect time-outs
 
 bool showsSuccess(AttemptOutcome outcome) {
   return outcome == AttemptOutcome::ok || outcome == AttemptOutcome::notServedHere ||
@@ -45,16 +43,6 @@
   ensureIndex(zones_, zone);
 }
 
-// A statement that tries an unreachable store would wait for a connection; probes try it instead.
-bool OutlierDetection::isAvailable(int store, TimePoint now) const {
-  if (isEjected(store, now)) return false;
-  return !(connectionRefused_[store] && settings_.mayProbe);
-}
-
-bool OutlierDetection::mayHostLongReads(int store) const {
-  return !connectionRefused_[store] && successRate_[store] > kHostSuccessRate;
-}
-
 // Quick errors free places fast and would draw more reads; a slow store responds right but late.
 double OutlierDetection::weight(int store) const {
   constexpr double kFastest = 0.5;
@@ -63,9 +51,8 @@
          std::clamp(relativeTime_[store], kFastest, kSlowest);
 }
 
-bool OutlierDetection::isZoneSuspect(int zone, TimePoint now) const {
-  return zone >= 0 && zones_[zone].failures >= kZoneFailures &&
-         now - zones_[zone].failedAt < settings_.connectTimeout * kMaxEjection;
+bool OutlierDetection::isRecent(TimePoint failedAt, TimePoint now) const {
+  return now - failedAt < settings_.connectTimeout * kMaxEjection;
 }
 
 bool OutlierDetection::hasConnectionShortage(int store, TimePoint now) const {
@@ -189,21 +176,8 @@
   shortageAt_[store] = kNever;
 }
 
-double OutlierDetection::fade(int store, TimePoint now) {
-  double part = fadedPart(now - lastDecay_[store]);
-  successRate_[store] += part * (1 - successRate_[store]);
-  relativeTime_[store] += part * (1 - relativeTime_[store]);
-  lastDecay_[store] = now;
-  return part;
-}
-
-// Nearly all stores were last faded at the same time, so the last part is kept.
-double OutlierDetection::fadedPart(Duration passed) {
-  if (passed != fadeGap_) {
-    fadeGap_ = passed;
-    fadePart_ = 1 - std::exp(-(passed / (smallestSlo_ * kFadeTime)));
-  }
-  return fadePart_;
+double OutlierDetection::fadedPartAfter(Duration passed) const {
+  return 1 - std::exp(-(passed / (smallestSlo_ * kFadeTime)));
 }
 
 }  // namespace reedchute
--- a/src/decision/outlier_detection.h
+++ b/src/decision/outlier_detection.h
@@ -24,18 +24,26 @@
   void ensureZone(int zone);
 
   // False while a store is ejected or only probes may try it.
-  bool isAvailable(int store, TimePoint now) const;
+  bool isAvailable(int store, TimePoint now) const {
+    return !isEjected(store, now) && !(connectionRefused_[store] && settings_.mayProbe);
+  }
   bool isEjected(int store, TimePoint now) const { return ejectedUntil_[store] > now; }
   TimePoint ejectedAt(int store) const { return ejectedAt_[store]; }
   Duration ejection(int store) const { return ejection_[store]; }
   bool hasRefusedConnection(int store) const { return connectionRefused_[store]; }
   // True where a store responds well enough to host long reads.
-  bool mayHostLongReads(int store) const;
+  bool mayHostLongReads(int store) const {
+    constexpr double kHostSuccessRate = 0.5;
+    return !connectionRefused_[store] && successRate_[store] > kHostSuccessRate;
+  }
   // A factor for the weight of a store, by its success rate and response time.
   double weight(int store) const;
   TimePoint lastResponse(int store) const { return lastResponse_[store]; }
   // True while the zone's stores fail with no success between (test: zoneDoubt).
-  bool isZoneSuspect(int zone, TimePoint now) const;
+  bool isZoneSuspect(int zone, TimePoint now) const {
+    return zone >= 0 && zones_[zone].failures >= kSuspectFailures &&
+           isRecent(zones_[zone].failedAt, now);
+  }
   // True where stores lately had no room for connections, so that idle ones should be closed.
   bool hasConnectionShortage(int store, TimePoint now) const;
 
@@ -67,13 +75,30 @@
   void onRestarted(int store);
 
   // Lets bad rates fade by the time passed; returns the part that has faded.
-  double fade(int store, TimePoint now);
+  double fade(int store, TimePoint now) {
+    double part = fadedPart(now - lastDecay_[store]);
+    successRate_[store] += part * (1 - successRate_[store]);
+    relativeTime_[store] += part * (1 - relativeTime_[store]);
+    lastDecay_[store] = now;
+    return part;
+  }
 
  private:
   void onSuccess(int store, Duration elapsed, Duration typicalTime);
   void onConnectionLost(int store, bool wasOpen, TimePoint sent, TimePoint now);
   void onZoneResult(int zone, bool responded, TimePoint now);
-  double fadedPart(Duration passed);
+  // Nearly all stores were last faded at the same time, so the last part is kept.
+  double fadedPart(Duration passed) {
+    if (passed != fadeGap_) {
+      fadeGap_ = passed;
+      fadePart_ = fadedPartAfter(passed);
+    }
+    return fadePart_;
+  }
+  double fadedPartAfter(Duration passed) const;
+  bool isRecent(TimePoint failedAt, TimePoint now) const;
+
+  static constexpr int kSuspectFailures = 3;  // of a zone, one after the other
 
   struct Zone {
     int failures = 0;  // since its last response
--- a/src/decision/slow_start.cpp
+++ b/src/decision/slow_start.cpp
@@ -36,10 +36,8 @@
   return true;
 }
 
-double SlowStart::warmth(int store, TimePoint now) const {
-  TimePoint started = startedAt_[store];
-  if (started == kNever || now - started >= settings_.warmUpTime) return 1;
-  double age = std::max(0.0, (now - started) / settings_.warmUpTime);
+double SlowStart::coldShare(int store, TimePoint now) const {
+  double age = std::max(0.0, (now - startedAt_[store]) / settings_.warmUpTime);
   return settings_.coldInitialShare + (1 - settings_.coldInitialShare) * age;
 }
 
@@ -58,9 +56,7 @@
 // Proxies don't see one another. Each keeps to its own part, which it takes from the usual work of
 // a member of the group; the last statement alone says little where traffic is light.
 void SlowStart::refill(int store, int group, int groupSize, double meanWork, TimePoint now) {
-  if (group < 0) return;
   double warm = warmth(store, now);
-  if (warm >= 1) return;
   double members = std::max<double>(1, static_cast<double>(groupSize));
   double offered = groupWork_[group].at(rateMemory_, now);
   double rate = settings_.coldOverloadMultiple * kOverloadHeadroom * warm * offered /
--- a/src/decision/slow_start.h
+++ b/src/decision/slow_start.h
@@ -25,17 +25,27 @@
   TimePoint startedAt(int store) const { return startedAt_[store]; }
 
   // From the initial share of a cold store up to 1.
-  double warmth(int store, TimePoint now) const;
-  bool isWarm(int store, TimePoint now) const { return warmth(store, now) >= 1; }
+  double warmth(int store, TimePoint now) const {
+    return hasWarmedUp(store, now) ? 1 : coldShare(store, now);
+  }
+  bool isWarm(int store, TimePoint now) const {
+    return hasWarmedUp(store, now) || warmth(store, now) >= 1;
+  }
   bool hasBudget(int store, TimePoint now) const;
 
   void onStatementArrived(int group, Duration work, TimePoint now);
   // `statements` is the work of what was sent, in statements of mean work.
   void onSent(int store, double statements, TimePoint now);
-  // Fills the budget of a store by the time since it was last filled.
+  // Fills the budget of a store that isn't warm by the time since it was last filled.
   void refill(int store, int group, int groupSize, double meanWork, TimePoint now);
 
  private:
+  bool hasWarmedUp(int store, TimePoint now) const {
+    return startedAt_[store] == kNever || now - startedAt_[store] >= settings_.warmUpTime;
+  }
+
+  double coldShare(int store, TimePoint now) const;
+
   const EngineSettings& settings_;
   const Duration rateMemory_;
   std::vector<TimePoint> startedAt_;
--- a/src/decision/store_modules.cpp
+++ b/src/decision/store_modules.cpp
@@ -39,14 +39,6 @@
   health.ensureZone(zone);
 }
 
-bool StoreModules::isUsable(int store, TimePoint now) const {
-  return endpoints.isUp(store) && health.isAvailable(store, now);
-}
-
-bool StoreModules::isInSuspectZone(int store, TimePoint now) const {
-  return health.isZoneSuspect(endpoints.zone(store), now);
-}
-
 bool StoreModules::hasUsablePrimary(int group, TimePoint now) const {
   int primary = primaries.primary(group);
   return primary >= 0 && isUsable(primary, now);
--- a/src/decision/store_modules.h
+++ b/src/decision/store_modules.h
@@ -24,8 +24,12 @@
   void ensureZone(int zone);
 
   // True where statements may be sent to the store at all.
-  bool isUsable(int store, TimePoint now) const;
-  bool isInSuspectZone(int store, TimePoint now) const;
+  bool isUsable(int store, TimePoint now) const {
+    return endpoints.isUp(store) && health.isAvailable(store, now);
+  }
+  bool isInSuspectZone(int store, TimePoint now) const {
+    return health.isZoneSuspect(endpoints.zone(store), now);
+  }
   bool hasUsablePrimary(int group, TimePoint now) const;
 
   WorkloadStatistics statistics;
