--- a/src/base/time.h
+++ b/src/base/time.h
@@ -33,7 +33,7 @@
 
 // A moment as the world names it, in Unix time. The wall clock may be set at any time, so nothing
 // is timed by it: what a protocol tells in it is brought to the monotonic clock first
-// (sched/wall_clock.h).
+// (runtime/wall_clock.h).
 struct WallTime {
   std::int64_t us = 0;
 
--- a/src/codec/cql/framing.cpp
+++ b/src/codec/cql/framing.cpp
@@ -96,7 +96,7 @@
   if (!compress_) return bad("a compressed frame where no compression was agreed");
   Cursor c(f.body);
   std::int32_t size = c.fourBytes();
-  // Danger: a size that lies would take memory for what never comes.
+  // A wrong size would reserve memory for bytes that never come.
   bool possible = c.good() && size >= 0 && static_cast<std::size_t>(size) <= most_ &&
                   static_cast<std::size_t>(size) <= c.rest().size() * kMostGrowth;
   if (!possible) return bad("a decompressed size that can't be");
@@ -122,7 +122,7 @@
   std::string_view payload = bytes.substr(head + kCrc24, length);
   if (little(bytes.substr(whole - kCrc32, kCrc32)) != crc32(payload))
     return bad("a segment's payload doesn't match its checksum");
-  // Danger: a part of a frame in front of whole ones would make what follows mean something else.
+  // A part of a frame in front of whole ones would change the meaning of what follows.
   if (self && taken_ < plain_.size()) return bad("a segment of its own in the middle of a frame");
   if (length == 0) return bad("an empty segment");
   plain_.erase(0, taken_);
@@ -144,7 +144,7 @@
     if (got == Framed::bad) return bad("a frame's length makes no sense");
     if (got == Framed::whole) {
       taken_ += kHeader + f.body.size();
-      // Danger: what follows a split frame in its last segment belongs to nothing.
+      // Bytes behind a split frame in its last segment belong to no frame.
       if (!selfContained_ && taken_ < plain_.size())
         return bad("a segment with more than the end of its frame");
       return got;
--- a/src/codec/cql/reply.cpp
+++ b/src/codec/cql/reply.cpp
@@ -80,7 +80,7 @@
   if (!readMetadata(f, c, r, true)) return false;
   r.rows = c.fourBytes();
   if (!c.good() || r.rows < 0) return false;
-  // Danger: rows without columns take no bytes; their count alone would keep this loop busy.
+  // Rows without columns take no bytes, so a large count alone would keep this loop busy.
   if (r.columns == 0) return r.rows == 0 && c.ended();
   for (std::int64_t n = std::int64_t{r.rows} * r.columns; n > 0 && c.good(); --n) c.bytes();
   return c.ended();
--- a/src/codec/cql/reply.h
+++ b/src/codec/cql/reply.h
@@ -33,8 +33,8 @@
   std::int32_t markers = 0;
 };
 
-// False where it isn't what the protocol has to the last byte. Danger: an answer cut short, or with
-// counts that lie, would reach the client as rows that never were.
+// False unless the body is valid to its last byte: a response cut short, or one with wrong counts,
+// would reach the client as rows that don't exist.
 bool readReply(const Frame& frame, Reply& reply);
 
 // Columns of the answers that the front words itself.
--- a/src/codec/cql/text.cpp
+++ b/src/codec/cql/text.cpp
@@ -292,7 +292,7 @@
       if (w == "from") deletes_ = false;
     }
     if (deletes_ && tokens_.follows('[')) blame(Nature::byPlace);
-    // Danger: some of these words may name a function; as an operand they do.
+    // Some of these keywords may also name a function; as an operand they do.
     bool operand = last_ == Token::sign &&
                    std::string_view("=+-*/%,(<>:").find(lastSign_) != std::string_view::npos;
     if (tokens_.follows('(') && (operand || !noCall(w)) && !pure(w)) blame(Nature::function);
--- a/src/codec/pg/messages.cpp
+++ b/src/codec/pg/messages.cpp
@@ -95,7 +95,7 @@
   std::uint32_t length = read32(bytes.substr(1));
   if (length < 4 || length > most) return false;
   if (bytes[0] != 'D' || bytes.size() < 11) return true;
-  // Danger: a row that states more than its value has would swallow all that follows.
+  // A row that states a longer value than it has would swallow the messages that follow.
   std::uint32_t column = read32(bytes.substr(7));
   return bytes[5] == 0 && bytes[6] == 1 && length == (column == 0xffffffff ? 10 : column + 10ULL);
 }
--- a/src/protocols/cassandra/client_codec.cpp
+++ b/src/protocols/cassandra/client_codec.cpp
@@ -84,7 +84,7 @@
     } else if (f.stream < 0) {
       endWith(f.stream, cql::kProtocolError, "a negative stream");
     } else if (open_.contains(f.stream)) {
-      // Danger: an answer on this stream could be taken for either statement's.
+      // A response on this stream could be taken for either statement's.
       log::line("client_protocol_error", "what=stream");
       endWith(f.stream, cql::kProtocolError, "a stream that is still open");
     } else {
@@ -125,8 +125,8 @@
     reply(pending, retryAfter > Duration{} ? cql::kPayload : 0, requestId, Opcode::error, body);
   }
 
-  // Danger: Overloaded and Unavailable tell a client that trying again is harmless, and here it may
-  // not be. A write's time-out, of whatever type, promises nothing.
+  // Not Overloaded or Unavailable, which tell a client that a retry is harmless: the statement may
+  // have run. A write time-out of any type promises nothing.
   void onAborted(int requestId) override {
     Pending p = close(requestId);
     bool read = p.kind == cql::Kind::read || p.preparing;
@@ -273,8 +273,8 @@
   }
 
   void ask(const Frame& f) {
-    // Danger: as at the other door, a client that asks again at once would meet the end with its
-    // next request.
+    // As with PostgreSQL, a client that sends its next request at once would meet the end of the
+    // connection with it.
     if (alone_ && open_.empty() && !door_.handler.acceptsReceivedAt(came_)) {
       put(0, f.stream, Opcode::error,
           cql::errorBody(cql::kBootstrapping, "shutting down: ask another"));
--- a/src/protocols/cassandra/statement_decoder.cpp
+++ b/src/protocols/cassandra/statement_decoder.cpp
@@ -230,15 +230,13 @@
     return r.refuse(cql::kInvalid, "a wait that makes no sense");
   if (r.afterMs && (*r.afterMs < 0 || *r.afterMs > kLatestMs))
     return r.refuse(cql::kInvalid, "a position that makes no sense");
-  // Danger: of two open statements with one id, the later would pass for the earlier wherever ids
-  // are told apart.
+  // Of two open statements with the same id, the later would be taken for the earlier.
   if (!r.received.id.empty() && openIds_.contains(r.received.id))
     return r.refuse(cql::kInvalid, "an id that is open already");
 }
 
 void StatementDecoder::finish(Reading& r) const {
-  // Danger: a page of another front's, or one that was changed on its way, would make the read mean
-  // another.
+  // A paging state of another proxy, or one that was altered, would change what the read means.
   if (const auto& state = r.asked.parameters.pageState) {
     r.page = decodePagingState(*state);
     if (!r.page) return r.refuse(cql::kProtocolError, "a paging state that was not issued here");
--- a/src/protocols/cassandra/system_tables.cpp
+++ b/src/protocols/cassandra/system_tables.cpp
@@ -39,7 +39,7 @@
   return id;
 }
 
-// Danger: where all hosts own the same token, a driver that goes by tokens would send all to one.
+// Each host owns another token, or a token-aware driver would send everything to one of them.
 std::string tokenOf(std::size_t place, std::size_t hosts) {
   std::int64_t step = INT64_MAX / static_cast<std::int64_t>(hosts) * 2;
   return std::to_string(INT64_MIN + 1 + step * static_cast<std::int64_t>(place));
--- a/src/protocols/postgres/client_codec.cpp
+++ b/src/protocols/postgres/client_codec.cpp
@@ -68,7 +68,7 @@
              pg::error(false, "53300", "rejected: trying again does no harm", back) + pg::ready());
   }
   bool isClientGone() const override { return line_.isClientGone(); }
-  // Danger: 53300 and 57P03 tell a client that trying again is harmless, and here it may not be.
+  // Not 53300 or 57P03, which tell a client that a retry is harmless: the statement may have run.
   void onAborted(int requestId) override {
     answered(requestId, pg::error(false, "57014", "aborted: it may have run") + pg::ready());
   }
@@ -177,8 +177,8 @@
 
   // `alone`: nothing has come behind it.
   void query(std::string_view text, TimePoint came, std::size_t& used, bool alone) {
-    // Danger: a client that asks again at once would meet the end of its connection with its next
-    // request. It is told with this one, of which nothing has run.
+    // A client that sends its next request at once would meet the end of the connection with it. It
+    // is told with this one instead, of which nothing has run.
     if (alone && replies_.empty() && !door_.handler.acceptsReceivedAt(came))
       return end("57P03", "this server is shutting down: ask another", After::endsForLeaving);
     auto decoded = door_.decoder.decode(text, door_.scheduler.now(), door_.scheduler.wallClock());
@@ -187,8 +187,7 @@
     taken.version = door_.version;
     taken.receivedAt = came;
     bool write = door_.decoder.isWrite(taken.arrival.workload);
-    // Danger: a read that overtakes the write before it would not see it, nor a write the one
-    // before it.
+    // A read that overtakes the write before it would not see it; writes keep their order.
     waits_ = std::any_of(replies_.begin(), replies_.end(),
                          [&](const Reply& r) { return write || r.write; });
     if (waits_) return void(used = 0);
