--- a/src/discovery/http_connection.cpp
+++ b/src/discovery/http_connection.cpp
@@ -88,7 +88,8 @@
     }
     if (got == runtime::Socket::ReadStatus::data && scheduler_.now() < until) continue;
     bool mayGoOn = false;
-    if (got == runtime::Socket::ReadStatus::noData) mayGoOn = co_await socket_->readable.wait(until);
+    if (got == runtime::Socket::ReadStatus::noData)
+      mayGoOn = co_await socket_->readable.wait(until);
     if (!mayGoOn) {
       log::line("discovery_timeout", "path=%s", path.c_str());
       co_return false;
