--- a/src/codec/cql/request.h
+++ b/src/codec/cql/request.h
@@ -53,9 +53,9 @@
   std::vector<Part> parts;     // of a BATCH
 };
 
-// Reads the body of a QUERY, PREPARE, EXECUTE or BATCH. False, with the reason in `why`, unless it is
-// valid to its last byte. A batch of more than `mostParts` statements is invalid, as it would hold
-// the thread for all clients.
+// Reads the body of a QUERY, PREPARE, EXECUTE or BATCH. False, with the reason in `why`, unless it
+// is valid to its last byte. A batch of more than `mostParts` statements is invalid, as it would
+// hold the thread for all clients.
 bool readAsked(const Frame& f, std::size_t mostParts, Asked& into, const char*& why);
 
 // REGISTER's event types.
--- a/src/protocols/postgres/client_codec.cpp
+++ b/src/protocols/postgres/client_codec.cpp
@@ -1,221 +1,222 @@
 #include "protocols/postgres/client_codec.h"
 
-#include <algorithm>
-#include <deque>
 #include <utility>
+#include <variant>
 
 #include "codec/pg/messages.h"
 #include "log/log.h"
+#include "protocols/postgres/ordered_replies.h"
 
 namespace reedchute::protocols::postgres {
 namespace pg = reedchute::pg;
 namespace {
 
-constexpr std::size_t kMostMessage = 160 * 1024;  // a value of 64 KiB in hex digits, and the rest
-constexpr std::size_t kMostStartup = 10'000;      // as PostgreSQL has it
+// Bytes: a value of 64 KiB in hex digits, and the rest.
+constexpr std::size_t kMaxMessageBytes = 160 * 1024;
+constexpr std::size_t kMaxStartupBytes = 10'000;  // as PostgreSQL has it
+constexpr std::int32_t kProtocolMajorVersion = 3;
 
-// Statements of one client go side by side as far as that shows in nothing but time: their answers
-// go out in the order of the statements, and a write waits until all before it have their answers,
-// as what stands behind a write does.
+// Message types of extended queries and copies, which are skipped up to the next Sync.
+constexpr std::string_view kSkippedTypes = "BEDCHdcfp";
+
+// One client's connection. Statements of one client run side by side as far as only their timing
+// shows it: replies go out in the order of the statements, a write waits for the replies to all
+// statements before it, and statements behind a write wait for its reply.
 class Session : public client::ClientCodec, public request::ResponseSink {
  public:
-  Session(ClientProtocol& door, client::ClientChannel& line) : door_(door), line_(line) {}
-  ~Session() override { keep(0); }
-
-  bool decodeMessage(std::string_view bytes, const client::ArrivalTimes& came,
+  // `bufferedReplyBytes`: replies that wait for their turn, of all clients.
+  Session(const CodecContext& context, std::size_t& bufferedReplyBytes,
+          client::ClientChannel& channel)
+      : context_(context),
+        bufferedReplyBytes_(bufferedReplyBytes),
+        channel_(channel),
+        replies_(channel, bufferedReplyBytes) {}
+
+  // ClientCodec
+  bool decodeMessage(std::string_view bytes, const client::ArrivalTimes& arrivals,
                      std::size_t& used) override {
-    return greeted_ ? takeMessage(bytes, came, used) : takeStartup(bytes, used);
+    return hasCompletedStartup_ ? decodeRequest(bytes, arrivals, used) : decodeStartup(bytes, used);
   }
-  bool hasCompletedStartup() const override { return greeted_; }
+  bool hasCompletedStartup() const override { return hasCompletedStartup_; }
   std::size_t pendingResponses() const override { return replies_.size(); }
-  bool isPaused() const override {
-    if (replies_.empty()) return false;
-    return waits_ || replies_.back().after != After::goesOn ||
-           replies_.size() >= door_.pipeline.statements || door_.kept > door_.pipeline.bytes ||
-           !door_.handler.hasCapacity();
-  }
-  std::size_t bufferedResponses() const override {
-    auto waits = [](const Reply& r) { return r.done && r.until > kNever; };
-    return static_cast<std::size_t>(std::count_if(replies_.begin(), replies_.end(), waits));
-  }
+  bool isPaused() const override;
+  std::size_t bufferedResponses() const override { return replies_.bufferedResponses(); }
+  void disconnect(client::DisconnectReason reason) override;
   void onClientClosed() override {
-    for (auto all = std::exchange(replies_, {}); const Reply& r : all)
-      if (r.statement >= 0) door_.handler.onClientLeft(r.statement);
-    keep(0);
+    replies_.clear([this](int statement) { context_.handler.onClientLeft(statement); });
   }
 
-  void disconnect(client::DisconnectReason why) override {
-    switch (why) {
-      case client::DisconnectReason::atCapacity:
-        return end("53300", "too many clients");
-      case client::DisconnectReason::memoryLimit:
-        return end("53200", "no memory is left for so long a message");
-      case client::DisconnectReason::startupTimeout:
-        return end("08P01", "no startup message in time");
-      case client::DisconnectReason::messageTimeout:
-        return end("08P01", "a message that was not finished in time");
-    }
+  // ResponseSink
+  void onCompleted(int requestId, request::Response response, int,
+                   std::optional<WallTime>) override {
+    replies_.complete(requestId, std::move(response.bytes) + pg::ready());
   }
-
-  void onCompleted(int requestId, request::Response answer, int, std::optional<WallTime>) override {
-    answer.bytes += pg::ready();
-    answered(requestId, std::move(answer.bytes));
-  }
-  void onRejected(int requestId, Duration retryAfter) override {
-    std::string back = retryAfter > Duration{} ? std::to_string(retryAfter.us / 1000)
-                                               : std::string();
-    answered(requestId,
-             pg::error(false, "53300", "rejected: trying again does no harm", back) + pg::ready());
-  }
-  bool isClientGone() const override { return line_.isClientGone(); }
+  void onRejected(int requestId, Duration retryAfter) override;
   // Not 53300 or 57P03, which tell a client that a retry is harmless: the statement may have run.
   void onAborted(int requestId) override {
-    answered(requestId, pg::error(false, "57014", "aborted: it may have run") + pg::ready());
+    replies_.complete(requestId,
+                      pg::error(false, "57014", "aborted: it may have run") + pg::ready());
   }
+  bool isClientGone() const override { return channel_.isClientGone(); }
 
  private:
-  // What becomes of the connection behind an answer.
-  enum class After { goesOn, ends, endsForLeaving };
-  // What a message of the client's is owed, in their order.
-  struct Reply {
-    int statement = -1;
-    bool write = false;
-    bool done = false;  // `bytes` are the whole of it
-    After after = After::goesOn;
-    TimePoint until = kNever;  // that its client waits, for the answer to a statement
-    std::string bytes;
-  };
-
-  void keep(std::size_t bytes) {
-    door_.kept -= kept_;
-    door_.kept += kept_ = bytes;
-  }
-  void answered(int requestId, std::string bytes) {
-    Reply& r = replies_[static_cast<std::size_t>(requestId - first_)];
-    r.statement = -1, r.done = true, r.bytes = std::move(bytes);
-    keep(kept_ + r.bytes.size());
-    settle();
-  }
-  // Says what has its turn.
-  void settle() {
-    while (!replies_.empty() && replies_.front().done) {
-      Reply r = std::move(replies_.front());
-      replies_.pop_front();
-      ++first_, waits_ = false;
-      keep(kept_ - r.bytes.size());
-      if (r.until > kNever)
-        line_.sendResponse(std::move(r.bytes), r.until);
-      else if (!r.bytes.empty())
-        line_.send(std::move(r.bytes));
-      if (r.after == After::ends) line_.closeAfterFlush();
-      if (r.after == After::endsForLeaving) line_.closeForDrain();
-    }
-  }
-  // Says something in its turn.
-  void say(std::string bytes, After after = After::goesOn) {
-    keep(kept_ + bytes.size());
-    Reply& r = replies_.emplace_back();
-    r.done = true, r.after = after, r.bytes = std::move(bytes);
-    settle();
-  }
-  // The last that it is told, before its connection ends.
-  void end(std::string_view code, std::string_view text, After after = After::ends) {
-    say(pg::error(true, code, text), after);
+  void reply(std::string bytes) { replies_.addComplete(std::move(bytes), AfterReply::keepOpen); }
+  void replyError(std::string_view sqlState, std::string_view text) {
+    reply(pg::error(false, sqlState, text) + pg::ready());
+  }
+  // Sends a fatal error as the last reply of the connection.
+  void close(std::string_view sqlState, std::string_view text,
+             AfterReply after = AfterReply::close) {
+    replies_.addComplete(pg::error(true, sqlState, text), after);
+  }
+
+  bool decodeStartup(std::string_view bytes, std::size_t& used);
+  void onStartup(std::int32_t code);
+  bool decodeRequest(std::string_view bytes, const client::ArrivalTimes& arrivals,
+                     std::size_t& used);
+  void onOtherMessage(char type);
+  void onQuery(std::string_view text, TimePoint receivedAt, bool isLast, std::size_t& used);
+  void admit(request::ReceivedStatement statement, bool isWrite);
+
+  const CodecContext& context_;
+  const std::size_t& bufferedReplyBytes_;
+  client::ClientChannel& channel_;
+  OrderedReplies replies_;
+  bool hasCompletedStartup_ = false;
+};
+
+bool Session::isPaused() const {
+  if (replies_.empty()) return false;
+  if (replies_.isBlocked() || replies_.endsConnection()) return true;
+  return replies_.size() >= context_.pipeline.maxStatements ||
+         bufferedReplyBytes_ > context_.pipeline.maxBufferedBytes ||
+         !context_.handler.hasCapacity();
+}
+
+void Session::disconnect(client::DisconnectReason reason) {
+  switch (reason) {
+    case client::DisconnectReason::atCapacity:
+      return close("53300", "too many clients");
+    case client::DisconnectReason::memoryLimit:
+      return close("53200", "no memory is left for so long a message");
+    case client::DisconnectReason::startupTimeout:
+      return close("08P01", "no startup message in time");
+    case client::DisconnectReason::messageTimeout:
+      return close("08P01", "a message that was not finished in time");
   }
+}
 
-  bool takeStartup(std::string_view bytes, std::size_t& used) {
-    std::int32_t code = 0;
-    pg::Framed f = pg::frameStartup(bytes, kMostStartup, code, used);
-    if (f == pg::Framed::partial) return false;
-    if (f == pg::Framed::bad) {
-      used = 0;
-      log::line("client_protocol_error", "what=startup");
-      end("08P01", "the startup message can't be read");
-    } else if (code == pg::kSslCode || code == pg::kGssCode) {
-      say("N");
-    } else if (code == pg::kCancelCode) {
-      line_.closeNow();
-    } else if (code >> 16 != 3) {
-      end("0A000", "only version 3 of the protocol is spoken here");
-    } else {
-      say(pg::greeting());
-      greeted_ = true;
-    }
+void Session::onRejected(int requestId, Duration retryAfter) {
+  std::string retryAfterMs;
+  if (retryAfter > Duration{}) retryAfterMs = std::to_string(retryAfter.us / 1000);
+  std::string error = pg::error(false, "53300", "rejected: trying again does no harm",
+                                retryAfterMs);
+  replies_.complete(requestId, error + pg::ready());
+}
+
+bool Session::decodeStartup(std::string_view bytes, std::size_t& used) {
+  std::int32_t code = 0;
+  pg::Framed framed = pg::frameStartup(bytes, kMaxStartupBytes, code, used);
+  if (framed == pg::Framed::partial) return false;
+  if (framed == pg::Framed::bad) {
+    used = 0;
+    log::line("client_protocol_error", "what=startup");
+    close("08P01", "the startup message can't be read");
     return true;
   }
+  onStartup(code);
+  return true;
+}
 
-  bool takeMessage(std::string_view bytes, const client::ArrivalTimes& came, std::size_t& used) {
-    pg::Message m;
-    pg::Framed f = pg::frame(bytes, kMostMessage, m);
-    if (f == pg::Framed::partial) return false;
-    if (f == pg::Framed::bad) {
-      log::line("client_protocol_error", "what=message");
-      end("08P01", "a message whose length makes no sense");
-      return true;
-    }
-    used = m.whole.size();
-    // Only simple queries are spoken; what follows an extended one up to its Sync is passed over.
-    if (m.type == 'X') {
-      say({}, After::ends);
-    } else if (m.type == 'Q') {
-      std::optional<std::string_view> text = pg::takeString(m.payload);
-      if (text && m.payload.empty())
-        query(*text, came.arrivalOf(used), used, used == bytes.size());
-      else
-        say(pg::error(false, "08P01", "a query without its end") + pg::ready());
-    } else if (m.type == 'S') {
-      say(pg::ready());
-    } else if (m.type == 'P' || m.type == 'F') {
-      say(pg::error(false, "0A000", "only simple queries are spoken here") +
-          (m.type == 'F' ? pg::ready() : std::string()));
-    } else if (std::string_view("BEDCHdcfp").find(m.type) == std::string_view::npos) {
-      log::line("client_protocol_error", "what=type");
-      end("08P01", "a message of an unknown type");
-    }
+void Session::onStartup(std::int32_t code) {
+  if (code == pg::kSslCode || code == pg::kGssCode) return reply("N");
+  if (code == pg::kCancelCode) return channel_.closeNow();
+  if (code >> 16 != kProtocolMajorVersion)
+    return close("0A000", "only version 3 of the protocol is spoken here");
+  reply(pg::greeting());
+  hasCompletedStartup_ = true;
+}
+
+bool Session::decodeRequest(std::string_view bytes, const client::ArrivalTimes& arrivals,
+                            std::size_t& used) {
+  pg::Message message;
+  pg::Framed framed = pg::frame(bytes, kMaxMessageBytes, message);
+  if (framed == pg::Framed::partial) return false;
+  if (framed == pg::Framed::bad) {
+    log::line("client_protocol_error", "what=message");
+    close("08P01", "a message whose length makes no sense");
+    return true;
+  }
+  used = message.whole.size();
+  if (message.type != 'Q') {
+    onOtherMessage(message.type);
     return true;
   }
+  std::optional<std::string_view> text = pg::takeString(message.payload);
+  if (text && message.payload.empty())
+    onQuery(*text, arrivals.arrivalOf(used), used == bytes.size(), used);
+  else
+    replyError("08P01", "a query without its end");
+  return true;
+}
 
-  // `alone`: nothing has come behind it.
-  void query(std::string_view text, TimePoint came, std::size_t& used, bool alone) {
-    // A client that sends its next request at once would meet the end of the connection with it. It
-    // is told with this one instead, of which nothing has run.
-    if (alone && replies_.empty() && !door_.handler.acceptsReceivedAt(came))
-      return end("57P03", "this server is shutting down: ask another", After::endsForLeaving);
-    auto decoded = door_.decoder.decode(text, door_.scheduler.now(), door_.scheduler.wallClock());
-    if (auto* reply = std::get_if<ImmediateReply>(&decoded)) return say(std::move(reply->bytes));
-    auto& taken = std::get<request::ReceivedStatement>(decoded);
-    taken.version = door_.version;
-    taken.receivedAt = came;
-    bool write = door_.decoder.isWrite(taken.arrival.workload);
-    // A read that overtakes the write before it would not see it; writes keep their order.
-    waits_ = std::any_of(replies_.begin(), replies_.end(),
-                         [&](const Reply& r) { return write || r.write; });
-    if (waits_) return void(used = 0);
-    int requestId = first_ + static_cast<int>(replies_.size());
-    Reply& r = replies_.emplace_back();
-    r.write = write, r.until = taken.receivedAt + taken.timeout;
-    int statement = door_.handler.admit(std::move(taken), *this, requestId);
-    if (statement >= 0)
-      replies_.back().statement = statement;  // otherwise it has its answer already
+// Only simple queries are spoken. The error to an extended query comes without ReadyForQuery, which
+// is the reply to its Sync.
+void Session::onOtherMessage(char type) {
+  constexpr std::string_view kOnlySimple = "only simple queries are spoken here";
+  switch (type) {
+    case 'X':  // Terminate
+      return replies_.addComplete({}, AfterReply::close);
+    case 'S':  // Sync
+      return reply(pg::ready());
+    case 'P':  // Parse
+      return reply(pg::error(false, "0A000", kOnlySimple));
+    case 'F':  // FunctionCall
+      return replyError("0A000", kOnlySimple);
+    default:
+      if (kSkippedTypes.find(type) != std::string_view::npos) return;
+      log::line("client_protocol_error", "what=type");
+      close("08P01", "a message of an unknown type");
   }
+}
 
-  ClientProtocol& door_;
-  client::ClientChannel& line_;
-  std::deque<Reply> replies_;
-  int first_ = 0;         // the requestId of the first of them
-  std::size_t kept_ = 0;  // bytes of answers that wait for their turn
-  bool waits_ = false;    // the next statement, until an answer has gone
-  bool greeted_ = false;
-};
+// `isLast`: no bytes have arrived behind the query. `used` becomes 0 if the query has to wait for
+// replies to earlier ones; it is decoded again then.
+void Session::onQuery(std::string_view text, TimePoint receivedAt, bool isLast, std::size_t& used) {
+  // A client that sends its next request at once would meet the end of the connection with it. It
+  // is told with this one instead, of which nothing has run.
+  if (isLast && replies_.empty() && !context_.handler.acceptsReceivedAt(receivedAt))
+    return close("57P03", "this server is shutting down: ask another", AfterReply::closeForDrain);
+  auto decoded = context_.decoder.decode(text, context_.scheduler.now(),
+                                         context_.scheduler.wallClock());
+  if (auto* immediate = std::get_if<ImmediateReply>(&decoded))
+    return reply(std::move(immediate->bytes));
+  auto& statement = std::get<request::ReceivedStatement>(decoded);
+  statement.version = context_.version;
+  statement.receivedAt = receivedAt;
+  bool isWrite = context_.decoder.isWrite(statement.arrival.workload);
+  if (replies_.blockIfOrdered(isWrite)) {
+    used = 0;
+    return;
+  }
+  admit(std::move(statement), isWrite);
+}
+
+void Session::admit(request::ReceivedStatement statement, bool isWrite) {
+  int requestId = replies_.addPending(isWrite, statement.receivedAt + statement.timeout);
+  int index = context_.handler.admit(std::move(statement), *this, requestId);
+  bool isAdmitted = index >= 0;  // otherwise its reply has been completed already
+  if (isAdmitted) replies_.setStatement(index);
+}
 
 }  // namespace
 
-std::unique_ptr<client::ClientCodec> ClientProtocol::newCodec(client::ClientChannel& line) {
-  return std::make_unique<Session>(*this, line);
+std::unique_ptr<client::ClientCodec> ClientProtocol::newCodec(client::ClientChannel& channel) {
+  return std::make_unique<Session>(context_, bufferedReplyBytes_, channel);
 }
 
 std::size_t ClientProtocol::maxMessageBytes() const {
-  return kMostMessage;
+  return kMaxMessageBytes;
 }
 
 }  // namespace reedchute::protocols::postgres
--- a/src/protocols/postgres/client_codec.h
+++ b/src/protocols/postgres/client_codec.h
@@ -1,34 +1,39 @@
-// PostgreSQL towards the clients: simple queries, answered in their order.
+// PostgreSQL towards the clients: simple queries of protocol version 3, replied to in their order.
 #pragma once
 
-#include "client/client_connections.h"
+#include "client/client_protocol.h"
 #include "protocols/postgres/statement_decoder.h"
+#include "request/protocol_version.h"
 #include "request/statement_handler.h"
+#include "runtime/scheduler.h"
 
 namespace reedchute::protocols::postgres {
 
-// What one client may have in hand at a time, and how many bytes of answers may wait for their
-// turn, of all clients.
-struct Pipeline {
-  std::size_t statements = 1, bytes = 0;
+// Limits of statements that stand behind others on their connection.
+struct PipelineLimits {
+  std::size_t maxStatements = 1;     // open at a time, of one client
+  std::size_t maxBufferedBytes = 0;  // of replies that wait for their turn, of all clients
+};
+
+// What the codecs of all clients share.
+struct CodecContext {
+  runtime::Scheduler& scheduler;
+  request::StatementHandler& handler;
+  StatementDecoder decoder;
+  request::ProtocolVersion version;  // in which statements are sent to stores
+  PipelineLimits pipeline;
 };
 
 class ClientProtocol : public client::ClientProtocol {
  public:
-  // `version`: the row of the stores' table in which its statements travel.
-  ClientProtocol(runtime::Scheduler& s, request::StatementHandler& d, StatementDecoder t,
-                 request::ProtocolVersion in, Pipeline p)
-      : scheduler(s), handler(d), decoder(t), version(in), pipeline(p) {}
+  explicit ClientProtocol(const CodecContext& context) : context_(context) {}
 
-  std::unique_ptr<client::ClientCodec> newCodec(client::ClientChannel& line) override;
+  std::unique_ptr<client::ClientCodec> newCodec(client::ClientChannel& channel) override;
   std::size_t maxMessageBytes() const override;
 
-  runtime::Scheduler& scheduler;
-  request::StatementHandler& handler;
-  const StatementDecoder decoder;
-  const request::ProtocolVersion version;
-  const Pipeline pipeline;
-  std::size_t kept = 0;  // bytes of answers that wait for their turn
+ private:
+  CodecContext context_;
+  std::size_t bufferedReplyBytes_ = 0;  // replies that wait for their turn, of all clients
 };
 
 }  // namespace reedchute::protocols::postgres
--- a/src/proxy/protocols.cpp
+++ b/src/proxy/protocols.cpp
@@ -22,11 +22,13 @@
   Postgres(config::Config& config, const ProtocolContext& context)
       : config_(config),
         version_(context.pools.addProtocol(upstreamProtocol_)),
-        clientProtocol_(
-            context.scheduler, context.handler,
-            protocols::postgres::StatementDecoder(config.engineSettings, config.names,
-                                                  context.endpointIds.groups, context.openIds),
-            version_, {pipelineDepth(config.maxMemory), config.maxMemory / kOrderedDivisor}) {}
+        clientProtocol_({.scheduler = context.scheduler,
+                         .handler = context.handler,
+                         .decoder = {config.engineSettings, config.names,
+                                     context.endpointIds.groups, context.openIds},
+                         .version = version_,
+                         .pipeline = {.maxStatements = pipelineDepth(config.maxMemory),
+                                      .maxBufferedBytes = config.maxMemory / kOrderedDivisor}}) {}
 
   const char* name() const override { return "postgres"; }
   client::ClientProtocol& clientProtocol() override { return clientProtocol_; }
