--- a/src/protocols/cassandra/settings.cpp
+++ b/src/protocols/cassandra/settings.cpp
@@ -1,7 +1,6 @@
 #include "protocols/cassandra/settings.h"
 
 #include <algorithm>
-#include <array>
 
 #include "codec/cql/request.h"
 #include "runtime/socket.h"
@@ -10,92 +9,153 @@
 namespace {
 
 namespace cql = reedchute::cql;
+using config::Section;
 
-sockaddr_in addressIn(config::Section& s, std::string_view name, bool zeroPort) {
-  auto address = runtime::parseAddress(s.text(name), zeroPort);
-  if (!address) s.fail(name, "must be an IPv4 address with a port");
+constexpr std::int64_t kMaxTimeoutMs = 86'400'000;
+constexpr std::int64_t kDefaultTimeoutMs = 5000;
+constexpr std::int64_t kMaxConnections = 65'536;
+constexpr std::int64_t kDefaultConnections = 64;
+constexpr std::int64_t kMaxStreams = 32'768;  // as many as the protocol has numbers for
+constexpr std::int64_t kDefaultStreams = 1024;
+constexpr std::int64_t kDefaultStoreStreams = 128;
+constexpr std::int64_t kMinMessageKb = 16;
+constexpr std::int64_t kMaxMessageKb = 65'536;
+constexpr std::int64_t kDefaultMessageKb = 256;
+constexpr std::int64_t kBytesPerKb = 1024;
+constexpr std::int64_t kMaxBatchStatements = 65'535;
+constexpr std::int64_t kDefaultBatchStatements = 1000;
+constexpr std::int64_t kMaxPort = 65'535;
+constexpr std::int64_t kDefaultStorePort = 9042;
+constexpr int kVersion4 = 4;
+constexpr int kVersion5 = 5;
+
+enum class PortZero { allowed, refused };
+
+sockaddr_in parseAddress(Section& section, std::string_view name, PortZero portZero) {
+  auto address = runtime::parseAddress(section.text(name), portZero == PortZero::allowed);
+  if (!address) section.fail(name, "must be an IPv4 address with a port");
   return *address;
 }
 
-cql::Kind kindNamed(config::Section& s, const std::string& word) {
-  for (int k = 0; k <= static_cast<int>(cql::Kind::schema); ++k)
-    if (word == nameOf(static_cast<cql::Kind>(k))) return static_cast<cql::Kind>(k);
-  s.fail("kinds",
-         "must hold read, write, batch, conditional, counter or schema and holds '" + word + "'");
+std::size_t parseSize(Section& section, std::string_view name, std::int64_t most,
+                      std::int64_t otherwise) {
+  return static_cast<std::size_t>(section.number(name, 1, most, otherwise));
+}
+
+Duration milliseconds(std::int64_t count) {
+  return Duration{count * 1000};
+}
+
+cql::Kind parseKind(Section& section, const std::string& word) {
+  for (int index = 0; index <= static_cast<int>(cql::Kind::schema); ++index) {
+    auto kind = static_cast<cql::Kind>(index);
+    if (word == nameOf(kind)) return kind;
+  }
+  section.fail("kinds", "must hold read, write, batch, conditional, counter or schema and holds '" +
+                            word + "'");
 }
 
-std::uint16_t consistencyNamed(config::Section& s, const std::string& word) {
+std::uint16_t parseConsistency(Section& section, const std::string& word) {
   for (std::uint16_t level = 0; *cql::consistencyName(level) != '?'; ++level)
     if (word == cql::consistencyName(level)) return level;
-  s.fail("consistencies", "holds '" + word + "', which is no consistency level");
+  section.fail("consistencies", "holds '" + word + "', which is no consistency level");
+}
+
+Mapping parseMapping(Section section) {
+  Mapping mapping;
+  mapping.keyspace = section.text("keyspace", "");
+  mapping.table = section.text("table", "");
+  for (const std::string& word : section.texts("kinds"))
+    mapping.kinds.push_back(parseKind(section, word));
+  for (const std::string& word : section.texts("consistencies"))
+    mapping.consistencies.push_back(parseConsistency(section, word));
+  mapping.line = section.line();
+  mapping.workload = section.text("workload");
+  mapping.group = section.number("group", INT32_MIN, INT32_MAX);
+  if (section.has("timeout_ms"))
+    mapping.timeout = milliseconds(section.number("timeout_ms", 1, kMaxTimeoutMs));
+  section.requireAllRead();
+  return mapping;
+}
+
+Peer parsePeer(Section section, const Config& config) {
+  Peer peer;
+  peer.address = parseAddress(section, "address", PortZero::refused);
+  peer.datacenter = section.text("datacenter", config.datacenter);
+  peer.rack = section.text("rack", config.rack);
+  section.requireAllRead();
+  return peer;
+}
+
+// Is version 5 spoken? Version 4 always is.
+bool parseVersions(Section& section) {
+  std::vector<std::int64_t> versions = section.numbers("versions");
+  auto includes = [&](int version) {
+    return versions.empty() ||
+           std::find(versions.begin(), versions.end(), version) != versions.end();
+  };
+  for (std::int64_t version : versions)
+    if (version < cql::kLowest || version > cql::kHighest)
+      section.fail("versions", "may hold 4 and 5 only");
+  if (!includes(kVersion4)) section.fail("versions", "must hold 4");
+  return includes(kVersion5);
+}
+
+void parseIdentity(Section& section, Config& config) {
+  config.listen = parseAddress(section, "listen", PortZero::allowed);
+  config.cluster = section.text("cluster", config.cluster);
+  config.datacenter = section.text("datacenter", config.datacenter);
+  config.rack = section.text("rack", config.rack);
+}
+
+void parseCredentials(Section& section, Config& config) {
+  config.user = section.text("user", "");
+  config.password = section.text("password", "");
+  if (config.user.empty() != config.password.empty())
+    section.fail("user", "and 'password' go together");
 }
 
-Mapping mappingFrom(config::Section s) {
-  Mapping m;
-  m.keyspace = s.text("keyspace", "");
-  m.table = s.text("table", "");
-  for (const std::string& word : s.texts("kinds")) m.kinds.push_back(kindNamed(s, word));
-  for (const std::string& word : s.texts("consistencies"))
-    m.consistencies.push_back(consistencyNamed(s, word));
-  m.line = s.line();
-  m.workload = s.text("workload");
-  m.group = s.number("group", INT32_MIN, INT32_MAX);
-  if (s.has("timeout_ms")) m.timeout = Duration{s.number("timeout_ms", 1, 86'400'000) * 1000};
-  s.requireAllRead();
-  return m;
+void parseLimits(Section& section, Config& config) {
+  config.connections = parseSize(section, "connections", kMaxConnections, kDefaultConnections);
+  config.streams = parseSize(section, "streams", kMaxStreams, kDefaultStreams);
+  std::int64_t messageKb = section.number("message_kb", kMinMessageKb, kMaxMessageKb,
+                                          kDefaultMessageKb);
+  config.mostBody = static_cast<std::size_t>(messageKb * kBytesPerKb);
+  config.batchMost = parseSize(section, "batch_statements", kMaxBatchStatements,
+                               kDefaultBatchStatements);
+  config.timeout = milliseconds(section.number("timeout_ms", 1, kMaxTimeoutMs, kDefaultTimeoutMs));
 }
 
-Peer peerFrom(config::Section s, const Config& g) {
-  Peer p;
-  p.address = addressIn(s, "address", false);
-  p.datacenter = s.text("datacenter", g.datacenter);
-  p.rack = s.text("rack", g.rack);
-  s.requireAllRead();
-  return p;
+void parseStore(Section section, Config& config) {
+  config.storePort =
+      static_cast<std::uint16_t>(section.number("port", 1, kMaxPort, kDefaultStorePort));
+  config.storeUser = section.text("user", "");
+  config.storePassword = section.text("password", "");
+  config.storeStreams = parseSize(section, "streams", kMaxStreams, kDefaultStoreStreams);
+  std::string compression = section.text("compression", "none");
+  if (compression != "none" && compression != "lz4")
+    section.fail("compression", "must be none or lz4");
+  config.storeCompression = compression == "lz4";
+  section.requireAllRead();
 }
 
 }  // namespace
 
-Config parseConfig(config::Section s) {
-  Config g;
-  g.listen = addressIn(s, "listen", true);
-  g.cluster = s.text("cluster", g.cluster);
-  g.datacenter = s.text("datacenter", g.datacenter);
-  g.rack = s.text("rack", g.rack);
-  std::vector<std::int64_t> versions = s.numbers("versions");
-  auto speaks = [&](int v) {
-    return versions.empty() || std::find(versions.begin(), versions.end(), v) != versions.end();
-  };
-  for (std::int64_t v : versions)
-    if (v < cql::kLowest || v > cql::kHighest) s.fail("versions", "may hold 4 and 5 only");
-  if (!speaks(4)) s.fail("versions", "must hold 4");
-  g.v5 = speaks(5);
-  g.user = s.text("user", "");
-  g.password = s.text("password", "");
-  if (g.user.empty() != g.password.empty()) s.fail("user", "and 'password' go together");
-  g.connections = static_cast<std::size_t>(s.number("connections", 1, 65'536, 64));
-  g.streams = static_cast<std::size_t>(s.number("streams", 1, 32'768, 1024));
-  g.mostBody = static_cast<std::size_t>(s.number("message_kb", 16, 65'536, 256)) * 1024;
-  g.batchMost = static_cast<std::size_t>(s.number("batch_statements", 1, 65'535, 1000));
-  g.timeout = Duration{s.number("timeout_ms", 1, 86'400'000, 5000) * 1000};
-  g.storesDropMarks = s.boolean("stores_drop_marks", false);
-  g.probes = s.boolean("probes", false);
-  for (config::Section store : s.blocks("store")) {
-    g.storePort = static_cast<std::uint16_t>(store.number("port", 1, 65'535, 9042));
-    g.storeUser = store.text("user", "");
-    g.storePassword = store.text("password", "");
-    g.storeStreams = static_cast<std::size_t>(store.number("streams", 1, 32'768, 128));
-    std::string compression = store.text("compression", "none");
-    if (compression != "none" && compression != "lz4")
-      store.fail("compression", "must be none or lz4");
-    g.storeCompression = compression == "lz4";
-    store.requireAllRead();
-  }
-  for (config::Section peer : s.blocks("peer")) g.peers.push_back(peerFrom(std::move(peer), g));
-  for (config::Section mapping : s.blocks("map"))
-    g.mappings.push_back(mappingFrom(std::move(mapping)));
-  s.requireAllRead();
-  return g;
+Config parseConfig(Section section) {
+  Config config;
+  parseIdentity(section, config);
+  config.v5 = parseVersions(section);
+  parseCredentials(section, config);
+  parseLimits(section, config);
+  config.storesDropMarks = section.boolean("stores_drop_marks", false);
+  config.probes = section.boolean("probes", false);
+  for (Section& store : section.blocks("store")) parseStore(std::move(store), config);
+  for (Section& peer : section.blocks("peer"))
+    config.peers.push_back(parsePeer(std::move(peer), config));
+  for (Section& mapping : section.blocks("map"))
+    config.mappings.push_back(parseMapping(std::move(mapping)));
+  section.requireAllRead();
+  return config;
 }
 
 }  // namespace reedchute::protocols::cassandra
--- a/src/protocols/cassandra/settings.h
+++ b/src/protocols/cassandra/settings.h
@@ -1,4 +1,4 @@
-// The block `cassandra` of our settings.
+// Reads the block `cassandra` of the settings file.
 #pragma once
 
 #include "config/hcl_settings.h"
@@ -8,6 +8,6 @@
 
 // Throws InvalidInput, with file, line and key, where something is missing, unknown or makes no
 // sense.
-Config parseConfig(config::Section s);
+Config parseConfig(config::Section section);
 
 }  // namespace reedchute::protocols::cassandra
--- a/src/protocols/cassandra/statement_decoder.cpp
+++ b/src/protocols/cassandra/statement_decoder.cpp
@@ -2,8 +2,8 @@
 
 #include <algorithm>
 
-#include "base/parse_number.h"
 #include "log/log.h"
+#include "protocols/cassandra/payload_fields.h"
 #include "request/idempotency_key.h"
 
 namespace reedchute::protocols::cassandra {
@@ -14,311 +14,342 @@
 
 namespace {
 
-constexpr std::int64_t kLongestWaitMs = 86'400'000;
-constexpr std::int64_t kLatestMs =
-    100'000'000'000'000;  // far ahead, and far from what microseconds can hold
+constexpr std::size_t kLongLengthBytes = 4;   // before a text or a value
+constexpr std::size_t kShortLengthBytes = 2;  // before a prepared id
+constexpr std::size_t kPatchReserveBytes = 64;
+constexpr std::uint8_t kCounterBatch = 2;
 
-std::uint64_t sessionOf(std::string_view key) {
-  if (auto digits = parseNumber<std::uint64_t>(key, 16)) return *digits;
-  return hashOf(key);
+std::size_t offsetIn(const Frame& frame, std::string_view part) {
+  return static_cast<std::size_t>(part.data() - frame.body.data());
+}
+
+std::size_t indexOfText(const Statement& statement, const PreparedRef& text) {
+  const std::vector<PreparedRef>& texts = statement.requiredTexts;
+  return static_cast<std::size_t>(std::find(texts.begin(), texts.end(), text) - texts.begin());
+}
+
+// Why a text can't be read; empty where it can.
+std::string_view errorOf(cql::TextState state) {
+  switch (state) {
+    case cql::TextState::good:
+      return "";
+    case cql::TextState::empty:
+      return "an empty statement";
+    case cql::TextState::several:
+      return "several statements in one";
+    case cql::TextState::unclosed:
+      return "a literal, comment, bracket or batch without its end";
+  }
+  return "";
+}
+
+bool mayStandInBatch(cql::Kind kind) {
+  return kind == cql::Kind::write || kind == cql::Kind::conditional || kind == cql::Kind::counter;
 }
 
 }  // namespace
 
-std::string encodeBody(const Statement& s, std::int64_t leftMs,
+std::string encodeBody(const Statement& statement, std::int64_t timeLeftMs,
                        const std::vector<std::string>& ids) {
   std::string body;
-  body.reserve(s.body.size() + 64);
-  std::size_t from = 0;
-  for (const Statement::Patch& p : s.patches) {
-    body.append(s.body, from, p.at - from);
-    from = p.at + p.span;
-    if (p.put == Statement::Put::wait) {
-      cql::addBytes(body, std::to_string(leftMs));
-    } else if (p.put == Statement::Put::id) {
-      std::size_t k = 0;
-      while (s.requiredTexts[k] != p.text) ++k;
-      cql::addShortBytes(body, ids[k]);
-    } else {
-      body += p.bytes;
+  body.reserve(statement.body.size() + kPatchReserveBytes);
+  std::size_t copied = 0;
+  for (const Statement::Patch& patch : statement.patches) {
+    body.append(statement.body, copied, patch.offset - copied);
+    copied = patch.offset + patch.size;
+    switch (patch.replacement) {
+      case Statement::Replacement::timeLeft:
+        cql::addBytes(body, std::to_string(timeLeftMs));
+        break;
+      case Statement::Replacement::preparedId:
+        cql::addShortBytes(body, ids[indexOfText(statement, patch.text)]);
+        break;
+      case Statement::Replacement::bytes:
+        body += patch.bytes;
+        break;
     }
   }
-  return body.append(s.body, from);
+  return body.append(statement.body, copied);
 }
 
 // What is gathered of one frame.
-struct StatementDecoder::Reading {
+struct StatementDecoder::DecodeState {
   const Frame& frame;
-  const std::string& keyspace;  // the session's
+  const std::string& sessionKeyspace;
   TimePoint now;
   const runtime::WallClock& wall;
-  cql::Asked asked;
-  cql::TextRead text;  // of a batch: its first statement
-  std::string own;     // the keyspace that bare names stand in
-  StatementDescription told;
-  std::optional<PagingState> page;
+  cql::Asked asked = {};
+  cql::TextRead text = {};        // of a batch: its first statement
+  std::string bareKeyspace = {};  // the keyspace of names without one
+  StatementDescription description = {};
+  PayloadFields fields = {};
   std::unique_ptr<Statement> statement = std::make_unique<Statement>();
-  request::ReceivedStatement received;
-  std::optional<std::int64_t> waitMs, afterMs;
-  bool whole = false;  // the answer is there
-  DecodeResult out;
+  request::ReceivedStatement received = {};
+  bool isAnswered = false;
+  DecodeResult result = {};
 
   void refuse(std::int32_t code, std::string_view what) {
     log::line("bad_statement", "code=%04x what=\"%.*s\"", static_cast<unsigned>(code),
               static_cast<int>(what.size()), what.data());
     answer(Opcode::error, cql::errorBody(code, what));
   }
-  void answer(Opcode o, std::string body) {
-    whole = true;
-    out.opcode = o;
-    out.body = std::move(body);
+
+  void refuseUnprepared(std::string_view id) {
+    std::string body = cql::errorBody(cql::kUnprepared,
+                                      "an id that isn't known here: prepare it again");
+    cql::addShortBytes(body, id);
+    answer(Opcode::error, std::move(body));
+  }
+
+  void answer(Opcode opcode, std::string body) {
+    isAnswered = true;
+    result.opcode = opcode;
+    result.body = std::move(body);
   }
 };
 
-// A text that came, whose bytes stand at `at` in the frame's body with a length of four bytes
-// before them.
-void StatementDecoder::readOne(Reading& r, std::string_view text, std::size_t at,
-                               std::string_view keyspace, Statement& into) const {
+// The bytes of `text` stand at `offset` in the frame's body, their length before them.
+void StatementDecoder::decodeText(DecodeState& state, std::string_view text,
+                                  std::size_t offset) const {
   if (text.find('\0') != std::string_view::npos)
-    return r.refuse(cql::kSyntaxError, "a zero byte in the statement");
+    return state.refuse(cql::kSyntaxError, "a zero byte in the statement");
   cql::TextRead read;
-  switch (cql::readText(text, read)) {
-    case cql::TextState::good:
-      break;
-    case cql::TextState::empty:
-      return r.refuse(cql::kSyntaxError, "an empty statement");
-    case cql::TextState::several:
-      return r.refuse(cql::kSyntaxError, "several statements in one");
-    case cql::TextState::unclosed:
-      return r.refuse(cql::kSyntaxError, "a literal, comment, bracket or batch without its end");
-  }
-  r.own = keyspace.empty() ? r.keyspace : std::string(keyspace);
+  std::string_view error = errorOf(cql::readText(text, read));
+  if (!error.empty()) return state.refuse(cql::kSyntaxError, error);
+  std::string_view named = state.asked.parameters.keyspace;
+  state.bareKeyspace = named.empty() ? state.sessionKeyspace : std::string(named);
   if (!read.bare.empty() && read.kind != cql::Kind::use) {
-    if (r.own.empty())
-      return r.refuse(cql::kInvalid, "no keyspace is named, neither here nor by USE");
-    // A connection to a store is shared by clients who are in different keyspaces: bare names are
-    // given theirs.
-    if (keyspace.empty()) {
-      std::string full = cql::qualified(text, read.bare, r.own);
-      std::string bytes;
-      cql::addLongString(bytes, full);
-      into.patches.push_back(
-          {at - 4, 4 + text.size(), Statement::Put::bytes, nullptr, std::move(bytes)});
-    }
-    if (read.keyspace.empty()) read.keyspace = r.own;
-    read.systemTable = cql::systemKeyspace(read.keyspace);
-    read.someSystem |= cql::systemKeyspace(r.own);
+    qualifyNames(state, text, offset, read);
+    if (state.isAnswered) return;
   }
-  r.text = std::move(read);
+  state.text = std::move(read);
 }
 
-void StatementDecoder::query(Reading& r) const {
-  std::size_t at = static_cast<std::size_t>(r.asked.text.data() - r.frame.body.data());
-  readOne(r, r.asked.text, at, r.asked.parameters.keyspace, *r.statement);
-  if (r.whole) return;
-  if (r.text.kind == cql::Kind::use) {
-    if (!system_.knowsKeyspace(r.text.keyspace))
-      return r.refuse(cql::kInvalid, "a keyspace that is not set up here");
-    r.out.useKeyspace = r.text.keyspace;
-    return r.answer(Opcode::result, cql::setKeyspaceBody(r.text.keyspace));
+void StatementDecoder::qualifyNames(DecodeState& state, std::string_view text, std::size_t offset,
+                                    cql::TextRead& read) const {
+  if (state.bareKeyspace.empty())
+    return state.refuse(cql::kInvalid, "no keyspace is named, neither here nor by USE");
+  // A connection to a store is shared by clients who are in different keyspaces, so names without
+  // a keyspace are given the session's.
+  if (state.asked.parameters.keyspace.empty()) {
+    std::string bytes;
+    cql::addLongString(bytes, cql::qualified(text, read.bare, state.bareKeyspace));
+    state.statement->patches.push_back({.offset = offset - kLongLengthBytes,
+                                        .size = kLongLengthBytes + text.size(),
+                                        .replacement = Statement::Replacement::bytes,
+                                        .text = nullptr,
+                                        .bytes = std::move(bytes)});
   }
-  if (r.text.systemTable) {
-    std::string_view why;
-    if (auto body = system_.answer(r.text, r.asked.text, why))
-      return r.answer(Opcode::result, std::move(*body));
-    return r.refuse(cql::kInvalid, why);
+  if (read.keyspace.empty()) read.keyspace = state.bareKeyspace;
+  read.systemTable = cql::systemKeyspace(read.keyspace);
+  if (cql::systemKeyspace(state.bareKeyspace)) read.someSystem = true;
+}
+
+void StatementDecoder::decodeQuery(DecodeState& state) const {
+  decodeText(state, state.asked.text, offsetIn(state.frame, state.asked.text));
+  if (state.isAnswered) return;
+  if (state.text.kind == cql::Kind::use) {
+    if (!system_.knowsKeyspace(state.text.keyspace))
+      return state.refuse(cql::kInvalid, "a keyspace that is not set up here");
+    state.result.useKeyspace = state.text.keyspace;
+    return state.answer(Opcode::result, cql::setKeyspaceBody(state.text.keyspace));
   }
+  if (!state.text.systemTable) return;
+  std::string_view error;
+  std::optional<std::string> body = system_.answer(state.text, state.asked.text, error);
+  if (!body) return state.refuse(cql::kInvalid, error);
+  state.answer(Opcode::result, std::move(*body));
 }
 
-void StatementDecoder::prepare(Reading& r) const {
-  std::size_t at = static_cast<std::size_t>(r.asked.text.data() - r.frame.body.data());
-  readOne(r, r.asked.text, at, r.asked.parameters.keyspace, *r.statement);
-  if (r.whole) return;
-  if (r.text.kind == cql::Kind::use) return r.refuse(cql::kInvalid, "USE can't be prepared");
-  PreparedText p;
-  p.read = r.text;
+void StatementDecoder::decodePrepare(DecodeState& state) const {
+  decodeText(state, state.asked.text, offsetIn(state.frame, state.asked.text));
+  if (state.isAnswered) return;
+  if (state.text.kind == cql::Kind::use)
+    return state.refuse(cql::kInvalid, "USE can't be prepared");
+  PreparedText prepared;
+  prepared.read = state.text;
   // With its names in full it is the same text in every version and for every client.
-  p.text = cql::qualified(r.asked.text, r.text.bare, r.own);
-  p.id = preparedId(p.text);
-  r.statement->preparedId = p.id;
-  if (PreparedRef known = texts_.find(p.id)) {
-    const std::string& told = known->resultBodies[r.frame.version - cql::kLowest];
-    if (!told.empty()) return r.answer(Opcode::result, told);
+  prepared.text = cql::qualified(state.asked.text, state.text.bare, state.bareKeyspace);
+  prepared.id = preparedId(prepared.text);
+  state.statement->preparedId = prepared.id;
+  if (PreparedRef known = texts_.find(prepared.id)) {
+    const std::string& body = known->resultBodies[state.frame.version - cql::kLowest];
+    if (!body.empty()) return state.answer(Opcode::result, body);
   }
-  r.out.pending.preparing = std::move(p);
+  state.result.pending.preparing = std::move(prepared);
 }
 
-void StatementDecoder::execute(Reading& r) const {
-  PreparedRef p = texts_.find(r.asked.id);
-  if (!p) {
-    std::string body = cql::errorBody(cql::kUnprepared,
-                                      "an id that isn't known here: prepare it again");
-    cql::addShortBytes(body, r.asked.id);
-    return r.answer(Opcode::error, std::move(body));
-  }
-  r.text = p->read;
-  r.statement->requiredTexts.push_back(p);
-  r.statement->patches.push_back({r.asked.idAt, 2 + r.asked.id.size(), Statement::Put::id, p, {}});
+void StatementDecoder::decodeExecute(DecodeState& state) const {
+  usePreparedText(state, state.asked.id, state.asked.idAt);
+}
+
+// `id` stands at `offset` in the frame's body, its length included.
+void StatementDecoder::usePreparedText(DecodeState& state, std::string_view id,
+                                       std::size_t offset) const {
+  PreparedRef prepared = texts_.find(id);
+  if (!prepared) return state.refuseUnprepared(id);
+  state.text = prepared->read;
+  Statement& statement = *state.statement;
+  bool isRequired = indexOfText(statement, prepared) < statement.requiredTexts.size();
+  if (!isRequired) statement.requiredTexts.push_back(prepared);
+  statement.patches.push_back({.offset = offset,
+                               .size = kShortLengthBytes + id.size(),
+                               .replacement = Statement::Replacement::preparedId,
+                               .text = prepared,
+                               .bytes = {}});
+}
+
+void StatementDecoder::decodeBatchPart(DecodeState& state, const cql::Part& part) const {
+  if (part.prepared)
+    usePreparedText(state, part.text, part.at);
+  else
+    decodeText(state, part.text, part.at + kLongLengthBytes);
+  if (state.isAnswered) return;
+  if (!mayStandInBatch(state.text.kind))
+    state.refuse(cql::kInvalid, "only INSERT, UPDATE and DELETE in a batch");
 }
 
-void StatementDecoder::batch(Reading& r) const {
+// A batch is described by its first statement, and by the first nature that isn't idempotent.
+void StatementDecoder::decodeBatch(DecodeState& state) const {
+  const std::vector<cql::Part>& parts = state.asked.parts;
+  if (parts.empty()) return state.refuse(cql::kInvalid, "a batch of nothing");
+  bool isCounter = state.asked.batchType == kCounterBatch;
+  cql::Nature nature = isCounter ? cql::Nature::counter : cql::Nature::idempotent;
+  bool hasSystemTable = false;
   cql::TextRead first;
-  cql::Nature nature = r.asked.batchType == 2 ? cql::Nature::counter : cql::Nature::idempotent;
-  if (r.asked.parts.empty()) return r.refuse(cql::kInvalid, "a batch of nothing");
-  bool begun = false, system = false;
-  for (const cql::Part& part : r.asked.parts) {
-    if (part.prepared) {
-      PreparedRef p = texts_.find(part.text);
-      if (!p) {
-        std::string body = cql::errorBody(cql::kUnprepared,
-                                          "an id that isn't known here: prepare it again");
-        cql::addShortBytes(body, part.text);
-        return r.answer(Opcode::error, std::move(body));
-      }
-      r.text = p->read;
-      if (std::find(r.statement->requiredTexts.begin(), r.statement->requiredTexts.end(), p) ==
-          r.statement->requiredTexts.end())
-        r.statement->requiredTexts.push_back(p);
-      r.statement->patches.push_back({part.at, 2 + part.text.size(), Statement::Put::id, p, {}});
-    } else {
-      readOne(r, part.text, part.at + 4, r.asked.parameters.keyspace, *r.statement);
-      if (r.whole) return;
-    }
-    cql::Kind k = r.text.kind;
-    if (k != cql::Kind::write && k != cql::Kind::conditional && k != cql::Kind::counter)
-      return r.refuse(cql::kInvalid, "only INSERT, UPDATE and DELETE in a batch");
-    if (nature == cql::Nature::idempotent) nature = r.text.nature;
-    system |= r.text.someSystem;
-    if (!begun) first = r.text, begun = true;
+  for (const cql::Part& part : parts) {
+    decodeBatchPart(state, part);
+    if (state.isAnswered) return;
+    if (nature == cql::Nature::idempotent) nature = state.text.nature;
+    if (state.text.someSystem) hasSystemTable = true;
+    if (&part == &parts.front()) first = state.text;
   }
-  r.text = std::move(first);
-  r.text.kind = r.asked.batchType == 2 ? cql::Kind::counter : cql::Kind::batch;
-  r.text.nature = nature;
-  r.text.someSystem = system;
+  state.text = std::move(first);
+  state.text.kind = isCounter ? cql::Kind::counter : cql::Kind::batch;
+  state.text.nature = nature;
+  state.text.someSystem = hasSystemTable;
 }
 
-// The same names as in the comment of a statement of PostgreSQL's.
-void StatementDecoder::payload(Reading& r) const {
-  auto number = [&](std::string_view value, std::optional<std::int64_t>& to) {
-    to = parseNumber<std::int64_t>(value);
-    if (!to) r.refuse(cql::kInvalid, "a field of the payload can't be read");
-  };
-  for (const auto& [name, value] : r.asked.payload) {
-    if (name == "id") r.received.id = value;
-    if (name == "c") r.told.workload = value;
-    if (name == "k") r.told.mark = value;
-    if (name == "r") r.received.arrival.repeated = value == "1";
-    if (name == "session") r.received.arrival.session = sessionOf(value);
-    if (name == "tenant") {
-      r.received.tenant = value.substr(0, request::kMaxTenantBytes);
-      r.received.arrival.tenant = indexOf(names_.tenants, value);
-      if (r.received.arrival.tenant < 0 && !names_.tenants.empty())
-        return r.refuse(cql::kInvalid, "an unknown tenant");
-    }
-    if (name == "cluster") number(value, r.told.group);
-    if (name == "after") number(value, r.afterMs);
-    if (name == "d") {
-      number(value, r.waitMs);
-      std::size_t at = static_cast<std::size_t>(value.data() - r.frame.body.data());
-      if (r.waitMs && value.size() > 0)
-        r.statement->patches.push_back(
-            {at - 4, 4 + value.size(), Statement::Put::wait, nullptr, {}});
-    }
-    if (r.whole) return;
-  }
-  if (r.waitMs && (*r.waitMs < 0 || *r.waitMs > kLongestWaitMs))
-    return r.refuse(cql::kInvalid, "a wait that makes no sense");
-  if (r.afterMs && (*r.afterMs < 0 || *r.afterMs > kLatestMs))
-    return r.refuse(cql::kInvalid, "a position that makes no sense");
+void StatementDecoder::decodePayload(DecodeState& state) const {
+  PayloadFields& fields = state.fields;
+  if (auto error = readPayloadFields(state.asked.payload, names_, fields))
+    return state.refuse(cql::kInvalid, *error);
+  for (std::string_view value : fields.timeoutValues)
+    state.statement->patches.push_back({.offset = offsetIn(state.frame, value) - kLongLengthBytes,
+                                        .size = kLongLengthBytes + value.size(),
+                                        .replacement = Statement::Replacement::timeLeft,
+                                        .text = nullptr,
+                                        .bytes = {}});
+  state.received.id = fields.id;
+  state.received.tenant = fields.tenantName;
+  state.received.arrival.tenant = fields.tenant;
+  state.received.arrival.session = fields.session;
+  state.received.arrival.repeated = fields.isRetry;
+  state.description.workload = fields.workload;
+  state.description.mark = fields.idempotencyKey;
+  state.description.group = fields.group;
   // Of two open statements with the same id, the later would be taken for the earlier.
-  if (!r.received.id.empty() && openIds_.contains(r.received.id))
-    return r.refuse(cql::kInvalid, "an id that is open already");
+  if (!state.received.id.empty() && openIds_.contains(state.received.id))
+    state.refuse(cql::kInvalid, "an id that is open already");
 }
 
-void StatementDecoder::finish(Reading& r) const {
+void StatementDecoder::decodePaging(DecodeState& state) const {
+  const cql::Parameters& parameters = state.asked.parameters;
+  if (!parameters.pageState) return;
   // A paging state of another proxy, or one that was altered, would change what the read means.
-  if (const auto& state = r.asked.parameters.pageState) {
-    r.page = decodePagingState(*state);
-    if (!r.page) return r.refuse(cql::kProtocolError, "a paging state that was not issued here");
-    std::string bytes;
-    cql::addBytes(bytes, r.page->state);
-    r.statement->patches.push_back({r.asked.parameters.pageAt, r.asked.parameters.pageSpan,
-                                    Statement::Put::bytes, nullptr, std::move(bytes)});
-    r.told.nextPage = true, r.told.pagePosition = r.page->position;
-  }
-  if (r.text.systemTable || r.text.someSystem)
-    return r.refuse(cql::kInvalid,
-                    "the stores' own tables can only be read here, by a plain query");
-  r.told.kind = r.text.kind, r.told.nature = r.text.nature;
-  r.told.keyspace = r.text.keyspace, r.told.table = r.text.table;
-  r.told.consistency = r.asked.parameters.consistency;
-  MappedStatement placed;
-  bool preparing = r.out.pending.preparing.has_value();
-  auto why = preparing ? mapping_.mapPreparation(r.told, groups_, placed)
-                       : mapping_.map(r.told, groups_, placed);
-  if (why) return r.refuse(cql::kInvalid, *why);
-  Arrival& a = r.received.arrival;
-  a.workload = placed.workload, a.group = placed.group;
-  r.received.idempotencyKey = request::idempotencyKeyOf(r.received.tenant, groups_.id(placed.group),
-                                                        r.told.mark);
-  r.received.timeout = r.waitMs         ? Duration{*r.waitMs * 1000}
-                       : placed.timeout ? *placed.timeout
-                                        : config_.timeout;
+  std::optional<PagingState> paging = decodePagingState(*parameters.pageState);
+  if (!paging) return state.refuse(cql::kProtocolError, "a paging state that was not issued here");
+  std::string bytes;
+  cql::addBytes(bytes, paging->state);
+  state.statement->patches.push_back({.offset = parameters.pageAt,
+                                      .size = parameters.pageSpan,
+                                      .replacement = Statement::Replacement::bytes,
+                                      .text = nullptr,
+                                      .bytes = std::move(bytes)});
+  state.description.nextPage = true;
+  state.description.pagePosition = paging->position;
+}
+
+void StatementDecoder::mapStatement(DecodeState& state) const {
+  if (state.text.systemTable || state.text.someSystem)
+    return state.refuse(cql::kInvalid,
+                        "the stores' own tables can only be read here, by a plain query");
+  StatementDescription& description = state.description;
+  description.kind = state.text.kind;
+  description.nature = state.text.nature;
+  description.keyspace = state.text.keyspace;
+  description.table = state.text.table;
+  description.consistency = state.asked.parameters.consistency;
+  MappedStatement mapped;
+  bool isPreparation = state.result.pending.preparing.has_value();
+  auto error = isPreparation ? mapping_.mapPreparation(description, groups_, mapped)
+                             : mapping_.map(description, groups_, mapped);
+  if (error) return state.refuse(cql::kInvalid, *error);
+  request::ReceivedStatement& received = state.received;
+  received.arrival.workload = mapped.workload;
+  received.arrival.group = mapped.group;
+  received.idempotencyKey = request::idempotencyKeyOf(received.tenant, groups_.id(mapped.group),
+                                                      state.fields.idempotencyKey);
+  received.timeout = mapped.timeout.value_or(config_.timeout);
+  if (state.fields.timeoutMs) received.timeout = Duration{*state.fields.timeoutMs * 1000};
+}
+
+// The latest of the client's write and the position of the page before.
+void StatementDecoder::setSinceWrite(DecodeState& state) const {
   // A commit's time is rounded up and may lie ahead of this clock; it is a write all the same.
-  auto since = [&](WallTime position) { return r.now - r.wall.toSteady(position); };
-  if (r.afterMs) a.sinceWrite = since(WallTime{*r.afterMs * 1000});
-  if (r.told.pagePosition) {
-    Duration page = since(*r.told.pagePosition);
-    a.sinceWrite = a.sinceWrite ? std::min(*a.sinceWrite, page) : page;
-  }
-  std::sort(r.statement->patches.begin(), r.statement->patches.end(),
-            [](const auto& x, const auto& y) { return x.at < y.at; });
-  r.statement->opcode = r.frame.opcode;
-  r.statement->flags = r.frame.flags & (cql::kTracing | cql::kPayload);
-  r.statement->body = r.frame.body;
-  r.out.pending.kind = r.text.kind;
-  r.out.pending.batchType = r.asked.batchType;
-  r.out.pending.consistency = r.told.consistency;
-  r.received.payload = std::move(r.statement);
-  r.out.statement = std::move(r.received);
+  auto since = [&](WallTime position) { return state.now - state.wall.toSteady(position); };
+  std::optional<Duration>& sinceWrite = state.received.arrival.sinceWrite;
+  if (state.fields.afterMs) sinceWrite = since(WallTime{*state.fields.afterMs * 1000});
+  if (!state.description.pagePosition) return;
+  Duration sincePage = since(*state.description.pagePosition);
+  sinceWrite = sinceWrite ? std::min(*sinceWrite, sincePage) : sincePage;
 }
 
-DecodeResult StatementDecoder::decode(const Frame& f, const std::string& keyspace, TimePoint now,
-                                      const runtime::WallClock& wall) const {
-  Reading r{.frame = f,
-            .keyspace = keyspace,
-            .now = now,
-            .wall = wall,
-            .asked = {},
-            .text = {},
-            .own = {},
-            .told = {},
-            .page = {},
-            .received = {},
-            .waitMs = {},
-            .afterMs = {},
-            .out = {}};
-  const char* why = "";
-  if (!cql::readAsked(f, config_.batchMost, r.asked, why)) {
-    r.refuse(cql::kProtocolError, why);
-    return std::move(r.out);
-  }
-  switch (f.opcode) {
+void StatementDecoder::finish(DecodeState& state) const {
+  Statement& statement = *state.statement;
+  std::sort(statement.patches.begin(), statement.patches.end(),
+            [](const auto& left, const auto& right) { return left.offset < right.offset; });
+  statement.opcode = state.frame.opcode;
+  statement.flags = state.frame.flags & (cql::kTracing | cql::kPayload);
+  statement.body = state.frame.body;
+  Pending& pending = state.result.pending;
+  pending.kind = state.text.kind;
+  pending.batchType = state.asked.batchType;
+  pending.consistency = state.description.consistency;
+  state.received.payload = std::move(state.statement);
+  state.result.statement = std::move(state.received);
+}
+
+void StatementDecoder::decodeByOpcode(DecodeState& state) const {
+  switch (state.frame.opcode) {
     case Opcode::query:
-      query(r);
-      break;
+      return decodeQuery(state);
     case Opcode::prepare:
-      prepare(r);
-      break;
+      return decodePrepare(state);
     case Opcode::execute:
-      execute(r);
-      break;
+      return decodeExecute(state);
     default:
-      batch(r);
+      return decodeBatch(state);
+  }
+}
+
+DecodeResult StatementDecoder::decode(const Frame& frame, const std::string& keyspace,
+                                      TimePoint now, const runtime::WallClock& wall) const {
+  DecodeState state{.frame = frame, .sessionKeyspace = keyspace, .now = now, .wall = wall};
+  const char* error = "";
+  if (!cql::readAsked(frame, config_.batchMost, state.asked, error)) {
+    state.refuse(cql::kProtocolError, error);
+    return std::move(state.result);
+  }
+  using Step = void (StatementDecoder::*)(DecodeState&) const;
+  constexpr Step kSteps[] = {&StatementDecoder::decodeByOpcode, &StatementDecoder::decodePayload,
+                             &StatementDecoder::decodePaging,   &StatementDecoder::mapStatement,
+                             &StatementDecoder::setSinceWrite,  &StatementDecoder::finish};
+  for (Step step : kSteps) {
+    (this->*step)(state);
+    if (state.isAnswered) break;
   }
-  if (!r.whole) payload(r);
-  if (!r.whole) finish(r);
-  return std::move(r.out);
+  return std::move(state.result);
 }
 
 }  // namespace reedchute::protocols::cassandra
--- a/src/protocols/cassandra/statement_decoder.h
+++ b/src/protocols/cassandra/statement_decoder.h
@@ -1,5 +1,5 @@
-// Stage 1, take in, for the Cassandra protocol: from a frame to what the module is told of it, to
-// an answer that is ready at once, or to what is wrong with it. No I/O.
+// Decodes a QUERY, PREPARE, EXECUTE or BATCH of the Cassandra protocol: from a frame to a statement
+// for the pipeline, or to an answer that is ready at once, which may be an error. No I/O.
 #pragma once
 
 #include <optional>
@@ -18,27 +18,28 @@
 
 namespace reedchute::protocols::cassandra {
 
-// A statement's body as it came, and the places where an execution puts something else.
+// A statement's body as it came, and the places where an attempt puts something else.
 struct Statement : request::StatementPayload {
-  enum class Put { wait, id, bytes };
+  enum class Replacement { timeLeft, preparedId, bytes };
   struct Patch {
-    std::size_t at = 0, span = 0;
-    Put put = Put::bytes;
-    PreparedRef text;   // whose id at the store
-    std::string bytes;  // or these
+    std::size_t offset = 0;  // in `body`
+    std::size_t size = 0;    // bytes that are replaced, with the length before them
+    Replacement replacement = Replacement::bytes;
+    PreparedRef text;   // of a `preparedId`: the text whose id at the store is put here
+    std::string bytes;  // of `bytes`: what is put here
   };
   std::size_t size() const override { return body.size(); }
 
   reedchute::cql::Opcode opcode = reedchute::cql::Opcode::query;
   std::uint8_t flags = 0;
   std::string body;
-  std::vector<Patch> patches;              // in the order of their places
-  std::string preparedId;                  // of a PREPARE: what clients will know it by
+  std::vector<Patch> patches;              // by ascending offset
+  std::string preparedId;                  // of a PREPARE: the id that clients will know it by
   std::vector<PreparedRef> requiredTexts;  // that a store must have prepared first, each once
 };
 
-// The body for one store. `ids`: that of each of `requiredTexts` there.
-std::string encodeBody(const Statement& s, std::int64_t leftMs,
+// The body for one store. `ids` holds the store's id of each of `requiredTexts`, in their order.
+std::string encodeBody(const Statement& statement, std::int64_t timeLeftMs,
                        const std::vector<std::string>& ids);
 
 // What a session must know of a statement until its answer.
@@ -47,16 +48,16 @@
   std::uint8_t batchType = 0;
   std::uint16_t consistency = 0;
   std::optional<PreparedText> preparing;  // of a PREPARE
-  TimePoint until;                        // that its client waits
+  TimePoint until;                        // when its client stops waiting
 };
 
-// What a frame came to: a statement, or a whole answer.
+// What a frame decodes to: a statement, or where there is none a complete answer.
 struct DecodeResult {
   std::optional<request::ReceivedStatement> statement;
   Pending pending;
   reedchute::cql::Opcode opcode = reedchute::cql::Opcode::error;
   std::string body;         // of the answer
-  std::string useKeyspace;  // the session's from now on; empty: as it was
+  std::string useKeyspace;  // the session's keyspace from now on; empty: unchanged
 };
 
 class StatementDecoder {
@@ -72,19 +73,30 @@
         texts_(texts),
         system_(config) {}
 
-  DecodeResult decode(const reedchute::cql::Frame& f, const std::string& keyspace, TimePoint now,
-                      const runtime::WallClock& wall) const;
+  // `keyspace` is the session's. Errors are found in a fixed order; the first one is the answer.
+  DecodeResult decode(const reedchute::cql::Frame& frame, const std::string& keyspace,
+                      TimePoint now, const runtime::WallClock& wall) const;
 
  private:
-  struct Reading;
-  void readOne(Reading& r, std::string_view text, std::size_t at, std::string_view keyspace,
-               Statement& into) const;
-  void query(Reading& r) const;
-  void prepare(Reading& r) const;
-  void execute(Reading& r) const;
-  void batch(Reading& r) const;
-  void payload(Reading& r) const;
-  void finish(Reading& r) const;
+  struct DecodeState;
+
+  // Each of these either goes on with `state`, or gives it an answer.
+  void decodeText(DecodeState& state, std::string_view text, std::size_t offset) const;
+  void qualifyNames(DecodeState& state, std::string_view text, std::size_t offset,
+                    reedchute::cql::TextRead& read) const;
+  void decodeQuery(DecodeState& state) const;
+  void decodePrepare(DecodeState& state) const;
+  void decodeExecute(DecodeState& state) const;
+  void decodeBatch(DecodeState& state) const;
+  void decodeBatchPart(DecodeState& state, const reedchute::cql::Part& part) const;
+  void decodeByOpcode(DecodeState& state) const;
+  void usePreparedText(DecodeState& state, std::string_view id, std::size_t offset) const;
+  void decodePayload(DecodeState& state) const;
+  void decodePaging(DecodeState& state) const;
+  void mapStatement(DecodeState& state) const;
+
+  void setSinceWrite(DecodeState& state) const;
+  void finish(DecodeState& state) const;
 
   const Config& config_;
   const Names& names_;
