--- /dev/null
+++ b/src/protocols/cassandra/client_session.h
@@ -0,0 +1,81 @@
+// One client connection of the Cassandra protocol: reads its frames, does the startup handshake,
+// hands statements to the handler and sends the responses. No I/O of its own: bytes go out through
+// the client channel.
+#pragma once
+
+#include <cstdint>
+#include <optional>
+#include <string>
+#include <string_view>
+
+#include "codec/cql/framing.h"
+#include "protocols/cassandra/client_codec.h"
+#include "protocols/cassandra/pending_requests.h"
+#include "protocols/cassandra/response_rewriter.h"
+
+namespace reedchute::protocols::cassandra {
+
+class Session : public client::ClientCodec, public request::ResponseSink {
+ public:
+  Session(ClientProtocol& protocol, client::ClientChannel& channel);
+  ~Session() override;
+  Session(const Session&) = delete;
+  Session& operator=(const Session&) = delete;
+
+  // ClientCodec
+  bool hasCompletedStartup() const override { return state_ == State::ready; }
+  std::size_t pendingResponses() const override { return pending_.count(); }
+  bool isPaused() const override { return pending_.count() >= protocol_.config().streams; }
+  bool decodeMessage(std::string_view bytes, const client::ArrivalTimes& arrivals,
+                     std::size_t& used) override;
+  void disconnect(client::DisconnectReason reason) override;
+  void onClientClosed() override;
+
+  // ResponseSink; a request's id is its stream.
+  void onCompleted(int stream, request::Response response, int store,
+                   std::optional<WallTime> position) override;
+  void onRejected(int stream, Duration retryAfter) override;
+  void onAborted(int stream) override;
+  bool isClientGone() const override { return channel_.isClientGone(); }
+
+  // `event` is the body of EVENT.
+  void sendEvent(std::string_view event);
+
+ private:
+  enum class State { awaitingStartup, awaitingPassword, ready };
+
+  int highestVersion() const { return protocol_.config().v5 ? 5 : 4; }
+  // Closes the connection and returns false where its first bytes are of a version that isn't
+  // offered.
+  bool acceptsVersionOf(std::string_view bytes);
+  // Handles the frame, or closes the connection where it breaks the protocol.
+  void checkAndHandle(const cql::Frame& frame);
+  void handle(const cql::Frame& frame);
+  void handleStartup(const cql::Frame& frame);
+  void handleAuthResponse(const cql::Frame& frame);
+  void handleRegister(const cql::Frame& frame);
+  void handleStatement(const cql::Frame& frame);
+
+  std::string encodeFrame(std::uint8_t flags, int stream, cql::Opcode opcode,
+                          std::string_view body) const;
+  // Sends a frame that answers no statement.
+  void send(int stream, cql::Opcode opcode, std::string_view body);
+  void sendResponse(const Pending& pending, std::uint8_t flags, int stream, cql::Opcode opcode,
+                    std::string_view body);
+  // Sends an error after which the connection goes on.
+  void sendProtocolError(int stream, std::string_view text);
+  void sendErrorAndClose(int stream, std::int32_t code, std::string_view text);
+
+  ClientProtocol& protocol_;
+  client::ClientChannel& channel_;
+  const ResponseRewriter rewriter_;
+  cql::Framing framing_;
+  State state_ = State::awaitingStartup;
+  int version_ = cql::kLowest;
+  std::string keyspace_;
+  TimePoint arrivedAt_;          // when the bytes decoded last arrived
+  bool isLastReceived_ = false;  // no bytes have come after the frame decoded last
+  PendingRequests pending_;
+};
+
+}  // namespace reedchute::protocols::cassandra
--- /dev/null
+++ b/src/protocols/cassandra/response_rewriter.cpp
@@ -0,0 +1,74 @@
+#include "protocols/cassandra/response_rewriter.h"
+
+#include <utility>
+
+namespace reedchute::protocols::cassandra {
+namespace {
+
+constexpr std::size_t kResultKindBytes = 4;   // at the start of a RESULT
+constexpr std::size_t kShortLengthBytes = 2;  // before an id
+
+std::string replaceSpan(const std::string& bytes, std::size_t at, std::size_t span,
+                        const std::string& replacement) {
+  return bytes.substr(0, at) + replacement + bytes.substr(at + span);
+}
+
+}  // namespace
+
+std::string ResponseRewriter::rewrite(StoreResult result, Pending& pending) const {
+  cql::Frame frame;
+  frame.version = result.version;
+  frame.flags = result.flags;
+  frame.opcode = cql::Opcode::result;
+  frame.body = result.body;
+  cql::Reply reply;
+  // The upstream connection has read the body before, so this doesn't fail.
+  if (!cql::readReply(frame, reply)) return std::move(result.body);
+  if (reply.kind == cql::ResultKind::rows && reply.pageState)
+    return withProxyPagingState(result, reply);
+  if (reply.kind == cql::ResultKind::schemaChange) announceSchemaChange(result, reply);
+  if (reply.kind == cql::ResultKind::prepared && pending.preparing)
+    return withProxyPreparedId(result, reply, std::move(*pending.preparing));
+  return std::move(result.body);
+}
+
+std::string ResponseRewriter::withProxyPagingState(const StoreResult& result,
+                                                   const cql::Reply& reply) const {
+  std::string pagingState;
+  cql::addBytes(pagingState,
+                encodePagingState({.storeHash = hashOf(protocol_.fleet().storeId(result.store)),
+                                   .position = result.position,
+                                   .state = std::string(*reply.pageState)}));
+  return replaceSpan(result.body, reply.pageAt, reply.pageSpan, pagingState);
+}
+
+std::string ResponseRewriter::withProxyPreparedId(const StoreResult& result,
+                                                  const cql::Reply& reply,
+                                                  PreparedText text) const {
+  std::string id;
+  cql::addShortBytes(id, text.id);
+  std::size_t idSpan = kShortLengthBytes + reply.id.size();
+  std::string body = replaceSpan(result.body, reply.idAt, idSpan, id);
+  PreparedRef prepared = protocol_.texts().insert(std::move(text));
+  std::size_t costBefore = PreparedTexts::costOf(*prepared);
+  if (prepared->read.table.empty()) {
+    prepared->read.keyspace = reply.keyspace;
+    prepared->read.table = reply.table;
+  }
+  auto versionIndex = static_cast<std::size_t>(result.version - cql::kLowest);
+  prepared->resultBodies[versionIndex] = body.substr(reply.bodyAt);
+  protocol_.texts().onGrown(prepared, costBefore);
+  return body;
+}
+
+void ResponseRewriter::announceSchemaChange(const StoreResult& result,
+                                            const cql::Reply& reply) const {
+  // After its kind, a RESULT of this kind has the layout of the event.
+  std::string event;
+  cql::addString(event, "SCHEMA_CHANGE");
+  event += std::string_view(result.body).substr(reply.bodyAt + kResultKindBytes);
+  protocol_.texts().onSchemaChanged();
+  protocol_.announceSchemaChange(event);
+}
+
+}  // namespace reedchute::protocols::cassandra
--- /dev/null
+++ b/src/protocols/cassandra/response_rewriter.h
@@ -0,0 +1,37 @@
+// Turns a store's RESULT into the one that the client gets: paging states and the ids of prepared
+// statements become the proxy's own, and changes of the schema are passed on. No I/O.
+#pragma once
+
+#include <optional>
+#include <string>
+
+#include "codec/cql/reply.h"
+#include "protocols/cassandra/client_codec.h"
+
+namespace reedchute::protocols::cassandra {
+
+struct StoreResult {
+  int version = 0;
+  std::uint8_t flags = 0;
+  std::string body;
+  int store = 0;                     // that gave it
+  std::optional<WallTime> position;  // replication position that the store reported with it
+};
+
+class ResponseRewriter {
+ public:
+  explicit ResponseRewriter(ClientProtocol& protocol) : protocol_(protocol) {}
+
+  // Returns the body for the client. Takes over `pending.preparing` where a statement was prepared.
+  std::string rewrite(StoreResult result, Pending& pending) const;
+
+ private:
+  std::string withProxyPagingState(const StoreResult& result, const cql::Reply& reply) const;
+  std::string withProxyPreparedId(const StoreResult& result, const cql::Reply& reply,
+                                  PreparedText text) const;
+  void announceSchemaChange(const StoreResult& result, const cql::Reply& reply) const;
+
+  ClientProtocol& protocol_;
+};
+
+}  // namespace reedchute::protocols::cassandra
--- a/src/protocols/cassandra/system_tables.cpp
+++ b/src/protocols/cassandra/system_tables.cpp
@@ -4,6 +4,7 @@
 
 #include <algorithm>
 #include <set>
+#include <utility>
 #include <vector>
 
 #include "codec/cql/reply.h"
@@ -11,45 +12,65 @@
 namespace reedchute::protocols::cassandra {
 namespace {
 
-using reedchute::cql::Column;
-using reedchute::cql::Type;
+using cql::Column;
+using cql::Type;
 using Cell = std::optional<std::string>;
 using Row = std::vector<Cell>;
 
-constexpr const char *kRelease = "4.0.0",
-                     *kPartitioner = "org.apache.cassandra.dht.Murmur3Partitioner";
+constexpr const char* kCassandraRelease = "4.0.0";
+constexpr const char* kPartitioner = "org.apache.cassandra.dht.Murmur3Partitioner";
 
-std::string addressCell(const sockaddr_in& a) {
-  return {reinterpret_cast<const char*>(&a.sin_addr.s_addr), sizeof a.sin_addr.s_addr};
+// The bytes of a UUID that hold its version and its variant.
+constexpr std::size_t kUuidVersionByte = 6;
+constexpr std::size_t kUuidVariantByte = 8;
+constexpr std::size_t kUuidBytes = 16;
+
+struct Table {
+  std::vector<Column> columns;
+  std::vector<Row> rows;
+};
+
+enum class PeersVersion { peers, peersV2 };
+
+std::string addressCell(const sockaddr_in& address) {
+  return {reinterpret_cast<const char*>(&address.sin_addr.s_addr), sizeof address.sin_addr.s_addr};
 }
 
-std::string intCell(std::int32_t v) {
+std::string intCell(std::int32_t value) {
   std::string cell;
-  reedchute::cql::addInt(cell, v);
+  cql::addInt(cell, value);
   return cell;
 }
 
-// A host's id follows from its address, so that all fronts tell the same.
-std::string hostId(const sockaddr_in& a) {
+std::string portCell(const sockaddr_in& address) {
+  return intCell(ntohs(address.sin_port));
+}
+
+// A host's id follows from its address, so that all proxies give the same one.
+std::string hostId(const sockaddr_in& address) {
   std::string id = "reedchute-";
-  id += addressCell(a);
-  reedchute::cql::addShort(id, ntohs(a.sin_port));
-  id[6] = static_cast<char>((id[6] & 0x0f) | 0x40);
-  id[8] = static_cast<char>((id[8] & 0x3f) | 0x80);
+  id += addressCell(address);
+  cql::addShort(id, ntohs(address.sin_port));
+  id[kUuidVersionByte] = static_cast<char>((id[kUuidVersionByte] & 0x0f) | 0x40);
+  id[kUuidVariantByte] = static_cast<char>((id[kUuidVariantByte] & 0x3f) | 0x80);
   return id;
 }
 
-// Each host owns another token, or a token-aware driver would send everything to one of them.
-std::string tokenOf(std::size_t place, std::size_t hosts) {
-  std::int64_t step = INT64_MAX / static_cast<std::int64_t>(hosts) * 2;
-  return std::to_string(INT64_MIN + 1 + step * static_cast<std::int64_t>(place));
+std::string schemaVersion() {
+  std::string version(kUuidBytes, '\x11');
+  version[kUuidVersionByte] = '\x41';
+  version[kUuidVariantByte] = '\x81';
+  return version;
 }
 
-struct Table {
-  std::vector<Column> columns;
-  std::vector<Row> rows;
-};
+// Each host owns another token, or a token-aware driver would send everything to one of them.
+std::string tokensCell(std::size_t hostIndex, std::size_t hostCount) {
+  std::int64_t step = INT64_MAX / static_cast<std::int64_t>(hostCount) * 2;
+  std::int64_t token = INT64_MIN + 1 + step * static_cast<std::int64_t>(hostIndex);
+  return cql::textSet({std::to_string(token)});
+}
 
+// Returns null where system_schema has no such table.
 const std::vector<Column>* schemaColumns(std::string_view table) {
   static const std::vector<Column> kKeyspaces = {
       {"keyspace_name"}, {"durable_writes", Type::boolean}, {"replication", Type::mapOfText}};
@@ -80,134 +101,186 @@
 
 Cell textMap(const std::vector<std::pair<std::string, std::string>>& pairs) {
   std::string cell = intCell(static_cast<std::int32_t>(pairs.size()));
-  for (const auto& [name, value] : pairs)
-    reedchute::cql::addBytes(cell, name), reedchute::cql::addBytes(cell, value);
+  for (const auto& [name, value] : pairs) {
+    cql::addBytes(cell, name);
+    cql::addBytes(cell, value);
+  }
   return cell;
 }
 
-std::set<std::string> keyspacesOf(const Config& g) {
+std::set<std::string> keyspacesOf(const Config& config) {
   std::set<std::string> names;
-  for (const Mapping& m : g.mappings)
-    if (!m.keyspace.empty()) names.insert(m.keyspace);
+  for (const Mapping& mapping : config.mappings)
+    if (!mapping.keyspace.empty()) names.insert(mapping.keyspace);
   return names;
 }
 
-Table local(const Config& g) {
-  std::size_t hosts = g.peers.size() + 1;
-  std::string address = addressCell(g.listen);
-  Table t;
-  t.columns = {{"key"},
-               {"bootstrapped"},
-               {"broadcast_address", Type::inet},
-               {"broadcast_port", Type::integer},
-               {"cluster_name"},
-               {"cql_version"},
-               {"data_center"},
-               {"gossip_generation", Type::integer},
-               {"host_id", Type::uuid},
-               {"listen_address", Type::inet},
-               {"listen_port", Type::integer},
-               {"native_protocol_version"},
-               {"partitioner"},
-               {"rack"},
-               {"release_version"},
-               {"rpc_address", Type::inet},
-               {"rpc_port", Type::integer},
-               {"schema_version", Type::uuid},
-               {"tokens", Type::setOfText}};
-  std::string port = intCell(ntohs(g.listen.sin_port));
-  std::string schema(16, '\x11');
-  schema[6] = '\x41', schema[8] = '\x81';
-  t.rows = {{"local", "COMPLETED", address, port, g.cluster, "3.4.5", g.datacenter, intCell(1),
-             hostId(g.listen), address, port, g.v5 ? "5" : "4", kPartitioner, g.rack, kRelease,
-             address, port, schema, reedchute::cql::textSet({tokenOf(0, hosts)})}};
-  return t;
-}
-
-Table peers(const Config& g, bool second) {
-  Table t;
-  t.columns = {{"peer", Type::inet}};
-  if (second) t.columns.push_back({"peer_port", Type::integer});
-  t.columns.insert(t.columns.end(), {{"data_center"},
-                                     {"host_id", Type::uuid},
-                                     {"preferred_ip", Type::inet},
-                                     {"rack"},
-                                     {"release_version"}});
-  if (second)
-    t.columns.insert(t.columns.end(),
-                     {{"native_address", Type::inet}, {"native_port", Type::integer}});
-  else
-    t.columns.push_back({"rpc_address", Type::inet});
-  t.columns.insert(t.columns.end(), {{"schema_version", Type::uuid}, {"tokens", Type::setOfText}});
-  std::string schema = *local(g).rows[0][17];
-  for (std::size_t k = 0; k < g.peers.size(); ++k) {
-    const Peer& p = g.peers[k];
-    std::string address = addressCell(p.address), port = intCell(ntohs(p.address.sin_port));
-    Row row = {address};
-    if (second) row.push_back(port);
-    row.insert(row.end(), {p.datacenter, hostId(p.address), std::nullopt, p.rack,
-                           std::string(kRelease), address});
-    if (second) row.push_back(port);
-    row.insert(row.end(), {schema, reedchute::cql::textSet({tokenOf(k + 1, g.peers.size() + 1)})});
-    t.rows.push_back(std::move(row));
+std::vector<Column> localColumns() {
+  return {{"key"},
+          {"bootstrapped"},
+          {"broadcast_address", Type::inet},
+          {"broadcast_port", Type::integer},
+          {"cluster_name"},
+          {"cql_version"},
+          {"data_center"},
+          {"gossip_generation", Type::integer},
+          {"host_id", Type::uuid},
+          {"listen_address", Type::inet},
+          {"listen_port", Type::integer},
+          {"native_protocol_version"},
+          {"partitioner"},
+          {"rack"},
+          {"release_version"},
+          {"rpc_address", Type::inet},
+          {"rpc_port", Type::integer},
+          {"schema_version", Type::uuid},
+          {"tokens", Type::setOfText}};
+}
+
+Table localTable(const Config& config) {
+  std::size_t hostCount = config.peers.size() + 1;
+  std::string address = addressCell(config.listen);
+  std::string port = portCell(config.listen);
+  Row row = {"local",
+             "COMPLETED",
+             address,
+             port,
+             config.cluster,
+             kCqlVersion,
+             config.datacenter,
+             intCell(1),  // gossip_generation
+             hostId(config.listen),
+             address,
+             port,
+             config.v5 ? "5" : "4",
+             kPartitioner,
+             config.rack,
+             kCassandraRelease,
+             address,
+             port,
+             schemaVersion(),
+             tokensCell(0, hostCount)};
+  return {.columns = localColumns(), .rows = {std::move(row)}};
+}
+
+std::vector<Column> peersColumns(PeersVersion version) {
+  if (version == PeersVersion::peersV2)
+    return {{"peer", Type::inet},
+            {"peer_port", Type::integer},
+            {"data_center"},
+            {"host_id", Type::uuid},
+            {"preferred_ip", Type::inet},
+            {"rack"},
+            {"release_version"},
+            {"native_address", Type::inet},
+            {"native_port", Type::integer},
+            {"schema_version", Type::uuid},
+            {"tokens", Type::setOfText}};
+  return {{"peer", Type::inet},
+          {"data_center"},
+          {"host_id", Type::uuid},
+          {"preferred_ip", Type::inet},
+          {"rack"},
+          {"release_version"},
+          {"rpc_address", Type::inet},
+          {"schema_version", Type::uuid},
+          {"tokens", Type::setOfText}};
+}
+
+Row peerRow(const Peer& peer, PeersVersion version, std::string tokens) {
+  std::string address = addressCell(peer.address);
+  std::string port = portCell(peer.address);
+  Cell preferredIp = std::nullopt;
+  if (version == PeersVersion::peersV2)
+    return {address,
+            port,
+            peer.datacenter,
+            hostId(peer.address),
+            preferredIp,
+            peer.rack,
+            kCassandraRelease,
+            address,
+            port,
+            schemaVersion(),
+            std::move(tokens)};
+  return {address,           peer.datacenter, hostId(peer.address), preferredIp,      peer.rack,
+          kCassandraRelease, address,         schemaVersion(),      std::move(tokens)};
+}
+
+Table peersTable(const Config& config, PeersVersion version) {
+  Table table{.columns = peersColumns(version), .rows = {}};
+  std::size_t hostCount = config.peers.size() + 1;
+  for (std::size_t k = 0; k < config.peers.size(); ++k)
+    table.rows.push_back(peerRow(config.peers[k], version, tokensCell(k + 1, hostCount)));
+  return table;
+}
+
+// All tables of system_schema but that of keyspaces are empty.
+Table schemaTable(const Config& config, std::string_view name, const std::vector<Column>& columns) {
+  Table table{.columns = columns, .rows = {}};
+  if (name != "keyspaces") return table;
+  const std::string durableWrites(1, '\1');
+  for (const std::string& keyspace : keyspacesOf(config))
+    table.rows.push_back({keyspace, durableWrites,
+                          textMap({{"class", "org.apache.cassandra.locator.SimpleStrategy"},
+                                   {"replication_factor", "1"}})});
+  return table;
+}
+
+std::optional<Table> findTable(const Config& config, const cql::TextRead& read) {
+  if (read.keyspace == "system_schema") {
+    const std::vector<Column>* columns = schemaColumns(read.table);
+    if (!columns) return std::nullopt;
+    return schemaTable(config, read.table, *columns);
   }
-  return t;
+  if (read.keyspace != "system") return std::nullopt;
+  if (read.table == "local") return localTable(config);
+  if (read.table == "peers") return peersTable(config, PeersVersion::peers);
+  if (read.table == "peers_v2") return peersTable(config, PeersVersion::peersV2);
+  return std::nullopt;
 }
 
-Table schema(const Config& g, std::string_view name, const std::vector<Column>& columns) {
-  Table t;
-  t.columns = columns;
-  if (name != "keyspaces") return t;
-  for (const std::string& k : keyspacesOf(g))
-    t.rows.push_back({k, std::string(1, '\1'),
-                      textMap({{"class", "org.apache.cassandra.locator.SimpleStrategy"},
-                               {"replication_factor", "1"}})});
-  return t;
+// The columns of these names, in their order; nothing where one isn't in the table.
+std::optional<Table> selectColumns(const Table& table, const std::vector<std::string>& names) {
+  Table selection{.columns = {}, .rows = std::vector<Row>(table.rows.size())};
+  for (const std::string& name : names) {
+    auto column = std::find_if(table.columns.begin(), table.columns.end(),
+                               [&](const Column& candidate) { return candidate.name == name; });
+    if (column == table.columns.end()) return std::nullopt;
+    selection.columns.push_back(*column);
+    auto index = static_cast<std::size_t>(column - table.columns.begin());
+    for (std::size_t k = 0; k < table.rows.size(); ++k)
+      selection.rows[k].push_back(table.rows[k][index]);
+  }
+  return selection;
 }
 
 }  // namespace
 
 bool SystemTables::knowsKeyspace(std::string_view keyspace) const {
-  if (reedchute::cql::systemKeyspace(keyspace)) return true;
-  return std::any_of(config_.mappings.begin(), config_.mappings.end(), [&](const Mapping& m) {
-    return m.keyspace.empty() || m.keyspace == keyspace;
+  if (cql::systemKeyspace(keyspace)) return true;
+  return std::any_of(config_.mappings.begin(), config_.mappings.end(), [&](const Mapping& mapping) {
+    return mapping.keyspace.empty() || mapping.keyspace == keyspace;
   });
 }
 
-std::optional<std::string> SystemTables::answer(const reedchute::cql::TextRead& read,
-                                                std::string_view text,
+std::optional<std::string> SystemTables::answer(const cql::TextRead& read, std::string_view text,
                                                 std::string_view& why) const {
   why = "only reads of the front's system tables";
-  if (read.kind != reedchute::cql::Kind::read) return std::nullopt;
-  Table t;
-  const std::vector<Column>* columns = read.keyspace == "system_schema" ? schemaColumns(read.table)
-                                                                        : nullptr;
-  if (columns)
-    t = schema(config_, read.table, *columns);
-  else if (read.keyspace == "system" && read.table == "local")
-    t = local(config_);
-  else if (read.keyspace == "system" && (read.table == "peers" || read.table == "peers_v2"))
-    t = peers(config_, read.table == "peers_v2");
-  else {
+  if (read.kind != cql::Kind::read) return std::nullopt;
+  std::optional<Table> table = findTable(config_, read);
+  if (!table) {
     why = "no such system table here";
     return std::nullopt;
   }
-  std::vector<std::string> asked;
   why = "columns by their names, or all of them";
-  if (!reedchute::cql::readSelection(text, asked)) return std::nullopt;
-  if (asked.empty()) return reedchute::cql::rowsBody(read.keyspace, read.table, t.columns, t.rows);
-  std::vector<Column> some;
-  std::vector<Row> rows(t.rows.size());
-  for (const std::string& name : asked) {
-    auto it = std::find_if(t.columns.begin(), t.columns.end(),
-                           [&](const Column& c) { return c.name == name; });
-    why = "an unknown column";
-    if (it == t.columns.end()) return std::nullopt;
-    some.push_back(*it);
-    for (std::size_t k = 0; k < rows.size(); ++k)
-      rows[k].push_back(t.rows[k][static_cast<std::size_t>(it - t.columns.begin())]);
-  }
-  return reedchute::cql::rowsBody(read.keyspace, read.table, some, rows);
+  std::vector<std::string> names;
+  if (!cql::readSelection(text, names)) return std::nullopt;
+  if (names.empty()) return cql::rowsBody(read.keyspace, read.table, table->columns, table->rows);
+  why = "an unknown column";
+  std::optional<Table> selection = selectColumns(*table, names);
+  if (!selection) return std::nullopt;
+  return cql::rowsBody(read.keyspace, read.table, selection->columns, selection->rows);
 }
 
 }  // namespace reedchute::protocols::cassandra
--- a/src/protocols/cassandra/system_tables.h
+++ b/src/protocols/cassandra/system_tables.h
@@ -1,5 +1,5 @@
-// The tables by which a driver learns of its cluster, answered by the front: it and the configured
-// fronts are the cluster. No I/O.
+// The tables from which a driver learns about its cluster, answered by the proxy: the cluster is
+// this proxy and its configured peers. No I/O.
 #pragma once
 
 #include <optional>
@@ -11,12 +11,14 @@
 
 namespace reedchute::protocols::cassandra {
 
+inline constexpr const char* kCqlVersion = "3.4.5";  // that drivers are told
+
 class SystemTables {
  public:
   explicit SystemTables(const Config& config) : config_(config) {}
 
-  // The body of a RESULT, or nothing and `why`.
-  std::optional<std::string> answer(const reedchute::cql::TextRead& read, std::string_view text,
+  // Returns the body of a RESULT, or nothing where the read can't be answered; `why` then says why.
+  std::optional<std::string> answer(const cql::TextRead& read, std::string_view text,
                                     std::string_view& why) const;
   bool knowsKeyspace(std::string_view keyspace) const;
 
--- a/src/proxy/protocols.cpp
+++ b/src/proxy/protocols.cpp
@@ -81,7 +81,7 @@
     address.sin_port = htons(config_.storePort);
     return address;
   }
-  void onDraining() override { clientProtocol_.leaving(); }
+  void onDraining() override { clientProtocol_.announceDraining(); }
   const std::string& storeId(int store) const override { return storeIds_.id(store); }
 
  private:
