--- a/src/codec/pg/messages.cpp
+++ b/src/codec/pg/messages.cpp
@@ -3,15 +3,28 @@
 namespace reedchute::pg {
 namespace {
 
-std::uint32_t read32(std::string_view b) {
-  auto at = [&](std::size_t k) {
-    return static_cast<std::uint32_t>(static_cast<unsigned char>(b[k]));
+constexpr std::size_t kTypeSize = 1;                             // bytes
+constexpr std::size_t kLengthSize = 4;                           // bytes
+constexpr std::size_t kHeaderSize = kTypeSize + kLengthSize;     // bytes
+constexpr std::size_t kMinStartupLength = 8;                     // bytes: a length and a code
+constexpr std::size_t kColumnCountSize = 2;                      // bytes
+constexpr std::size_t kColumnHeaderSize = kColumnCountSize + 4;  // bytes: a count and a length
+constexpr std::size_t kColumnAttributesSize = 18;                // bytes behind a column's name
+constexpr std::size_t kSqlstateSize = 5;                         // characters
+constexpr std::uint32_t kNullLength = 0xffffffff;                // a NULL's length field, -1
+constexpr std::string_view kOneColumnCount("\0\1", kColumnCountSize);
+
+std::uint32_t read32(std::string_view bytes) {
+  auto byteAt = [&](std::size_t index) {
+    return static_cast<std::uint32_t>(static_cast<unsigned char>(bytes[index]));
   };
-  return at(0) << 24 | at(1) << 16 | at(2) << 8 | at(3);
+  return byteAt(0) << 24 | byteAt(1) << 16 | byteAt(2) << 8 | byteAt(3);
 }
 
-void add32(std::string& to, std::uint32_t v) {
-  for (int shift = 24; shift >= 0; shift -= 8) to.push_back(static_cast<char>(v >> shift & 0xff));
+void add32(std::string& to, std::uint32_t value) {
+  for (int shift = 24; shift >= 0; shift -= 8) {
+    to.push_back(static_cast<char>(value >> shift & 0xff));
+  }
 }
 
 void addString(std::string& to, std::string_view text) {
@@ -22,10 +35,10 @@
 }  // namespace
 
 std::string message(char type, std::string_view payload) {
-  std::string m(1, type);
-  add32(m, static_cast<std::uint32_t>(payload.size() + 4));
-  m.append(payload);
-  return m;
+  std::string bytes(1, type);
+  add32(bytes, static_cast<std::uint32_t>(payload.size() + kLengthSize));
+  bytes.append(payload);
+  return bytes;
 }
 
 std::string parameter(std::string_view name, std::string_view value) {
@@ -35,32 +48,38 @@
   return message('S', payload);
 }
 
-Framed frame(std::string_view bytes, std::size_t most, Message& m) {
-  if (bytes.size() < 5) return Framed::partial;
-  std::uint32_t length = read32(bytes.substr(1));
-  if (length < 4 || length > most) return Framed::bad;
-  if (bytes.size() < 1 + static_cast<std::size_t>(length)) return Framed::partial;
-  m.type = bytes[0];
-  m.whole = bytes.substr(0, 1 + static_cast<std::size_t>(length));
-  m.payload = m.whole.substr(5);
+Framed frame(std::string_view bytes, std::size_t most, Message& message) {
+  if (bytes.size() < kHeaderSize) return Framed::partial;
+  std::uint32_t length = read32(bytes.substr(kTypeSize));
+  if (length < kLengthSize || length > most) return Framed::bad;
+  std::size_t size = kTypeSize + static_cast<std::size_t>(length);
+  if (bytes.size() < size) return Framed::partial;
+  message.type = bytes[0];
+  message.whole = bytes.substr(0, size);
+  message.payload = message.whole.substr(kHeaderSize);
   return Framed::whole;
 }
 
 Framed frameStartup(std::string_view bytes, std::size_t most, std::int32_t& code,
                     std::size_t& size) {
-  if (bytes.size() < 4) return Framed::partial;
+  if (bytes.size() < kLengthSize) return Framed::partial;
   std::uint32_t length = read32(bytes);
-  if (length < 8 || length > most) return Framed::bad;
+  if (length < kMinStartupLength || length > most) return Framed::bad;
   if (bytes.size() < length) return Framed::partial;
-  code = static_cast<std::int32_t>(read32(bytes.substr(4)));
+  code = static_cast<std::int32_t>(read32(bytes.substr(kLengthSize)));
   size = length;
   return Framed::whole;
 }
 
 namespace {
 
-// What a store's message may state as its length, by type; 0: no such message is known.
-std::size_t mostOf(char type, std::size_t mostRow) {
+constexpr std::size_t kMaxDescriptionLength = 8 * 1024;  // bytes: columns, errors, parameters
+constexpr std::size_t kMaxCommandTagLength = 256;        // bytes
+constexpr std::size_t kMaxAuthenticationLength = 64;     // bytes: also the key for cancelling
+constexpr std::size_t kReadyForQueryLength = 5;          // bytes
+
+// The largest length that a server message of this type may state; 0 for an unknown type.
+std::size_t maxLengthOf(char type, std::size_t mostRow) {
   switch (type) {
     case 'D':
       return mostRow;
@@ -68,46 +87,62 @@
     case 'E':
     case 'N':
     case 'S':
-      return 8 * 1024;
+      return kMaxDescriptionLength;
     case 'C':
-      return 256;
+      return kMaxCommandTagLength;
     case 'R':
     case 'K':
-      return 64;
+      return kMaxAuthenticationLength;
     case 'Z':
-      return 5;
+      return kReadyForQueryLength;
     default:
       return 0;
   }
 }
 
+bool isOneColumnDescription(std::string_view payload) {
+  if (payload.substr(0, kColumnCountSize) != kOneColumnCount) return false;
+  payload.remove_prefix(kColumnCountSize);
+  return takeString(payload) && payload.size() == kColumnAttributesSize;
+}
+
+// An ErrorResponse or NoticeResponse: fields of a code and a string each, then a zero byte.
+bool isFieldList(std::string_view payload) {
+  while (!payload.empty() && payload[0] != '\0') {
+    payload.remove_prefix(1);
+    if (!takeString(payload)) return false;
+  }
+  return payload.size() == 1;
+}
+
 }  // namespace
 
 std::size_t statedSize(std::string_view bytes) {
-  return bytes.size() < 5 ? 0 : 1 + read32(bytes.substr(1));
+  if (bytes.size() < kHeaderSize) return 0;
+  return kTypeSize + read32(bytes.substr(kTypeSize));
 }
 
 bool storeMessageMayFollow(std::string_view bytes, std::size_t mostRow) {
   if (bytes.empty()) return true;
-  std::size_t most = mostOf(bytes[0], mostRow);
-  if (most == 0) return false;
-  if (bytes.size() < 5) return true;
-  std::uint32_t length = read32(bytes.substr(1));
-  if (length < 4 || length > most) return false;
-  if (bytes[0] != 'D' || bytes.size() < 11) return true;
+  std::size_t maxLength = maxLengthOf(bytes[0], mostRow);
+  if (maxLength == 0) return false;
+  if (bytes.size() < kHeaderSize) return true;
+  std::uint32_t length = read32(bytes.substr(kTypeSize));
+  if (length < kLengthSize || length > maxLength) return false;
+  if (bytes[0] != 'D' || bytes.size() < kHeaderSize + kColumnHeaderSize) return true;
   // A row that states a longer value than it has would swallow the messages that follow.
-  std::uint32_t column = read32(bytes.substr(7));
-  return bytes[5] == 0 && bytes[6] == 1 && length == (column == 0xffffffff ? 10 : column + 10ULL);
+  std::string_view row = bytes.substr(kHeaderSize);
+  if (row.substr(0, kColumnCountSize) != kOneColumnCount) return false;
+  std::uint32_t valueLength = read32(row.substr(kColumnCountSize));
+  std::uint64_t valueSize = valueLength == kNullLength ? 0 : valueLength;
+  return length == kLengthSize + kColumnHeaderSize + valueSize;
 }
 
-bool wellFormed(const Message& m) {
-  std::string_view rest = m.payload;
-  bool more = true;
-  switch (m.type) {
+bool wellFormed(const Message& message) {
+  std::string_view rest = message.payload;
+  switch (message.type) {
     case 'T':
-      if (rest.substr(0, 2) != std::string_view("\0\1", 2)) return false;
-      rest.remove_prefix(2);
-      return takeString(rest) && rest.size() == 18;
+      return isOneColumnDescription(rest);
     case 'D':
       return oneColumn(rest);
     case 'C':
@@ -117,12 +152,9 @@
     case 'Z':
       return rest == "I" || rest == "T" || rest == "E";
     case 'E':
+      return isFieldList(rest) && errorField(rest, 'C').size() == kSqlstateSize;
     case 'N':
-      while (more && !rest.empty() && rest[0] != '\0') {
-        rest.remove_prefix(1);
-        more = takeString(rest).has_value();
-      }
-      return more && rest.size() == 1 && (m.type == 'N' || errorField(m.payload, 'C').size() == 5);
+      return isFieldList(rest);
     default:
       return true;
   }
@@ -148,26 +180,30 @@
 }
 
 bool oneColumn(std::string_view payload) {
-  if (payload.size() < 6 || payload[0] != 0 || payload[1] != 1) return false;
-  std::uint32_t length = read32(payload.substr(2));
-  return length == 0xffffffff ? payload.size() == 6 : payload.size() - 6 == length;
+  if (payload.size() < kColumnHeaderSize) return false;
+  if (payload.substr(0, kColumnCountSize) != kOneColumnCount) return false;
+  std::uint32_t length = read32(payload.substr(kColumnCountSize));
+  std::size_t valueSize = payload.size() - kColumnHeaderSize;
+  return length == kNullLength ? valueSize == 0 : valueSize == length;
 }
 
 std::optional<std::string_view> firstColumn(std::string_view payload) {
-  if (!oneColumn(payload) || read32(payload.substr(2)) == 0xffffffff) return std::nullopt;
-  return payload.substr(6);
+  if (!oneColumn(payload)) return std::nullopt;
+  if (read32(payload.substr(kColumnCountSize)) == kNullLength) return std::nullopt;
+  return payload.substr(kColumnHeaderSize);
 }
 
 std::string startup(std::string_view user, std::string_view database) {
   std::string payload;
   add32(payload, static_cast<std::uint32_t>(kVersion3));
-  for (std::string_view text :
-       {std::string_view("user"), user, std::string_view("database"), database})
-    addString(payload, text);
+  addString(payload, "user");
+  addString(payload, user);
+  addString(payload, "database");
+  addString(payload, database);
   payload.push_back('\0');
-  std::string m;
-  add32(m, static_cast<std::uint32_t>(payload.size() + 4));
-  return m + payload;
+  std::string bytes;
+  add32(bytes, static_cast<std::uint32_t>(payload.size() + kLengthSize));
+  return bytes + payload;
 }
 
 std::string query(std::string_view text) {
@@ -179,15 +215,16 @@
 std::string error(bool fatal, std::string_view code, std::string_view text,
                   std::string_view detail) {
   std::string payload;
-  auto field = [&](char name, std::string_view value) {
+  auto addField = [&](char name, std::string_view value) {
     payload.push_back(name);
     addString(payload, value);
   };
-  field('S', fatal ? "FATAL" : "ERROR");
-  field('V', fatal ? "FATAL" : "ERROR");
-  field('C', code);
-  field('M', text);
-  if (!detail.empty()) field('D', detail);
+  std::string_view severity = fatal ? "FATAL" : "ERROR";
+  addField('S', severity);
+  addField('V', severity);
+  addField('C', code);
+  addField('M', text);
+  if (!detail.empty()) addField('D', detail);
   payload.push_back('\0');
   return message('E', payload);
 }
@@ -207,6 +244,7 @@
 std::string ready() {
   return message('Z', "I");
 }
+
 std::string emptyQuery() {
   return message('I', {});
 }
