--- a/src/codec/pg/statement.h
+++ b/src/codec/pg/statement.h
@@ -1,5 +1,5 @@
-// Reads a statement's text as far as decisions need it. Nothing of it is rewritten but the time in
-// `d`.
+// Reads a PostgreSQL statement's text as far as routing needs it: the fields in its block comments
+// and its first quoted literal. The only rewriting is that of the wait time. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -9,26 +9,34 @@
 
 namespace reedchute::pg {
 
-// The fields of the comment, as views into the text, and where the digits of `d` stand.
+// The fields of a statement's comments. Views point into the statement's text.
 struct Fields {
-  std::string_view id, workload, mark, key, tenant;  // `key`: the first quoted literal
-  std::optional<std::int64_t> waitMs, group, afterMs;
-  bool repeated = false;
-  std::size_t waitAt = 0, waitSize = 0;
+  std::string_view id;                  // `id`
+  std::string_view workload;            // `c`
+  std::string_view mark;                // `k`, the idempotency key
+  std::string_view key;                 // the statement's first single-quoted literal
+  std::string_view tenant;              // `tenant`
+  std::optional<std::int64_t> waitMs;   // `d`, never negative
+  std::optional<std::int64_t> group;    // `cluster`
+  std::optional<std::int64_t> afterMs;  // `after`
+  bool repeated = false;                // `r` is 1: the client sent this before
+  std::size_t waitAt = 0;               // offset of the digits of `d` in the text
+  std::size_t waitSize = 0;             // and their number
 };
 
 enum class Read {
   good,
-  empty,     // nothing but blanks, semicolons and comments without fields
+  empty,     // nothing but blanks, semicolons and comments
   several,   // more than one statement
   unclosed,  // a literal or comment without its end
   noFields,  // no comment with the fields that every statement carries
   badField,  // a field whose value can't be read
 };
 
+// Reads `text` into `fields`. Unless the result is `good`, `fields` may be set in part.
 Read readStatement(std::string_view text, Fields& fields);
 
-// The same text with another time in `d`.
+// Returns `text` with the `size` bytes at `at`, the digits of `d`, replaced by `ms`.
 std::string withWait(std::string_view text, std::size_t at, std::size_t size, std::int64_t ms);
 
 }  // namespace reedchute::pg
