--- a/src/codec/cql/reply.cpp
+++ b/src/codec/cql/reply.cpp
@@ -9,187 +9,289 @@
   kNoMetadata = 4,
   kChanged = 8
 };
-constexpr int kMostNested = 16;  // danger: types nested without end would use up the stack
 
-std::size_t at(std::string_view body, const Cursor& c) {
-  return body.size() - c.rest().size();
+constexpr std::int32_t kKnownMetadataFlags = 0xf;
+constexpr std::size_t kTracingIdSize = 16;  // bytes
+constexpr std::size_t kKeyIndexSize = 2;    // bytes
+constexpr std::size_t kInet4Size = 4;       // bytes
+constexpr std::int32_t kNullCell = -1;      // the length of a null value
+constexpr int kFailureReasonsVersion = 5;   // lists each failed replica and its reason
+constexpr int kCasContentionsVersion = 5;   // counts contentions in a CAS write timeout
+constexpr int kResultIdVersion = 5;         // identifies the metadata of results
+// Types nested without end would use up the stack.
+constexpr int kMaxTypeDepth = 16;
+
+// The ids of column types that hold other types or names.
+enum TypeId : std::uint16_t {
+  kCustomType = 0x0000,
+  kLastSimpleType = 0x0015,
+  kListType = 0x0020,
+  kMapType = 0x0021,
+  kSetType = 0x0022,
+  kUserType = 0x0030,
+  kTupleType = 0x0031,
+};
+
+std::size_t offsetIn(std::string_view body, const Cursor& cursor) {
+  return body.size() - cursor.rest().size();
+}
+
+void skipStrings(Cursor& cursor, int count) {
+  for (; count > 0 && cursor.good(); --count) cursor.string();
+}
+
+// A [string list].
+void skipStringList(Cursor& cursor) {
+  skipStrings(cursor, cursor.twoBytes());
+}
+
+bool skipType(Cursor& cursor, int depth);
+
+bool skipUserType(Cursor& cursor, int depth) {
+  skipStrings(cursor, 2);  // keyspace and name
+  for (std::uint16_t left = cursor.twoBytes(); left > 0; --left) {
+    cursor.string();
+    if (!skipType(cursor, depth + 1)) return false;
+  }
+  return cursor.good();
+}
+
+bool skipTupleType(Cursor& cursor, int depth) {
+  for (std::uint16_t left = cursor.twoBytes(); left > 0; --left) {
+    if (!skipType(cursor, depth + 1)) return false;
+  }
+  return cursor.good();
 }
 
-bool readType(Cursor& c, int depth) {
-  if (depth > kMostNested) return false;
-  std::uint16_t type = c.twoBytes();
+bool skipType(Cursor& cursor, int depth) {
+  if (depth > kMaxTypeDepth) return false;
+  std::uint16_t type = cursor.twoBytes();
   switch (type) {
-    case 0x0000:
-      c.string();
-      return c.good();
-    case 0x0020:
-    case 0x0022:
-      return readType(c, depth + 1);
-    case 0x0021:
-      return readType(c, depth + 1) && readType(c, depth + 1);
-    case 0x0030: {
-      c.string(), c.string();
-      for (std::uint16_t n = c.twoBytes(); n > 0; --n) {
-        c.string();
-        if (!readType(c, depth + 1)) return false;
-      }
-      return c.good();
-    }
-    case 0x0031: {
-      for (std::uint16_t n = c.twoBytes(); n > 0; --n)
-        if (!readType(c, depth + 1)) return false;
-      return c.good();
-    }
+    case kCustomType:
+      cursor.string();
+      return cursor.good();
+    case kListType:
+    case kSetType:
+      return skipType(cursor, depth + 1);
+    case kMapType:
+      return skipType(cursor, depth + 1) && skipType(cursor, depth + 1);
+    case kUserType:
+      return skipUserType(cursor, depth);
+    case kTupleType:
+      return skipTupleType(cursor, depth);
     default:
-      return c.good() && type <= 0x0015;
+      return cursor.good() && type <= kLastSimpleType;
   }
 }
 
-bool readColumns(Cursor& c, std::int32_t flags, std::int32_t n, Reply& r) {
-  if (flags & kGlobalTable) r.keyspace = c.string(), r.table = c.string();
-  for (; n > 0; --n) {
-    if (!(flags & kGlobalTable)) {
-      std::string_view keyspace = c.string(), table = c.string();
-      if (r.table.empty()) r.keyspace = keyspace, r.table = table;
+bool readColumns(Cursor& cursor, std::int32_t flags, std::int32_t count, Reply& reply) {
+  bool hasGlobalTable = flags & kGlobalTable;
+  if (hasGlobalTable) {
+    reply.keyspace = cursor.string();
+    reply.table = cursor.string();
+  }
+  for (; count > 0; --count) {
+    if (!hasGlobalTable) {
+      std::string_view keyspace = cursor.string();
+      std::string_view table = cursor.string();
+      if (reply.table.empty()) {
+        reply.keyspace = keyspace;
+        reply.table = table;
+      }
     }
-    c.string();
-    if (!c.good() || !readType(c, 0)) return false;
+    cursor.string();
+    if (!cursor.good() || !skipType(cursor, 0)) return false;
   }
-  return c.good();
+  return cursor.good();
 }
 
-// `own`: of the rows that follow it, not of a statement that is being prepared.
-bool readMetadata(const Frame& f, Cursor& c, Reply& r, bool own) {
-  std::int32_t flags = c.fourBytes(), columns = c.fourBytes();
-  if (!c.good() || columns < 0 || flags & ~0xf) return false;
-  if (own) r.columns = columns;
+// Whose metadata is read: only that of rows describes the reply itself.
+enum class MetadataOf { rows, preparedStatement };
+
+bool readMetadata(const Frame& frame, Cursor& cursor, Reply& reply, MetadataOf owner) {
+  std::int32_t flags = cursor.fourBytes();
+  std::int32_t columns = cursor.fourBytes();
+  if (!cursor.good() || columns < 0 || flags & ~kKnownMetadataFlags) return false;
+  if (owner == MetadataOf::rows) reply.columns = columns;
   if (flags & kMorePages) {
-    std::size_t from = at(f.body, c);
-    auto state = c.bytes();
-    if (own) r.pageState = state, r.pageAt = from, r.pageSpan = at(f.body, c) - from;
+    std::size_t begin = offsetIn(frame.body, cursor);
+    std::optional<std::string_view> state = cursor.bytes();
+    if (owner == MetadataOf::rows) {
+      reply.pageState = state;
+      reply.pageAt = begin;
+      reply.pageSpan = offsetIn(frame.body, cursor) - begin;
+    }
   }
   if (flags & kChanged) {
-    if (f.version < 5) return false;
-    c.shortBytes();
+    if (frame.version < kResultIdVersion) return false;
+    cursor.shortBytes();
   }
-  if (flags & kNoMetadata) return c.good();
-  return readColumns(c, flags, columns, r);
+  if (flags & kNoMetadata) return cursor.good();
+  return readColumns(cursor, flags, columns, reply);
+}
+
+bool readRows(const Frame& frame, Cursor& cursor, Reply& reply) {
+  if (!readMetadata(frame, cursor, reply, MetadataOf::rows)) return false;
+  reply.rows = cursor.fourBytes();
+  if (!cursor.good() || reply.rows < 0) return false;
+  // Rows without columns take no bytes, so a large count alone would keep the loop below busy.
+  if (reply.columns == 0) return reply.rows == 0 && cursor.ended();
+  std::int64_t cells = std::int64_t{reply.rows} * reply.columns;
+  for (; cells > 0 && cursor.good(); --cells) cursor.bytes();
+  return cursor.ended();
+}
+
+bool readPrepared(const Frame& frame, Cursor& cursor, Reply& reply) {
+  reply.idAt = offsetIn(frame.body, cursor);
+  reply.id = cursor.shortBytes();
+  if (frame.version >= kResultIdVersion) reply.resultId = cursor.shortBytes();
+  std::int32_t flags = cursor.fourBytes();
+  reply.markers = cursor.fourBytes();
+  std::int32_t keys = cursor.fourBytes();
+  if (!cursor.good() || reply.markers < 0 || keys < 0 || reply.id.empty()) return false;
+  cursor.take(kKeyIndexSize * static_cast<std::size_t>(keys));
+  if (!cursor.good() || !readColumns(cursor, flags, reply.markers, reply)) return false;
+  // The metadata of the result names the table where no marker does.
+  return readMetadata(frame, cursor, reply, MetadataOf::preparedStatement) && cursor.ended();
+}
+
+bool readSchemaChange(Cursor& cursor) {
+  cursor.string();  // the kind of change
+  std::string_view target = cursor.string();
+  cursor.string();  // the keyspace
+  bool hasArguments = target == "FUNCTION" || target == "AGGREGATE";
+  if (hasArguments || target == "TABLE" || target == "TYPE") cursor.string();
+  if (hasArguments) skipStringList(cursor);
+  return cursor.ended();
 }
 
-bool readRows(const Frame& f, Cursor& c, Reply& r) {
-  if (!readMetadata(f, c, r, true)) return false;
-  r.rows = c.fourBytes();
-  if (!c.good() || r.rows < 0) return false;
-  // Rows without columns take no bytes, so a large count alone would keep this loop busy.
-  if (r.columns == 0) return r.rows == 0 && c.ended();
-  for (std::int64_t n = std::int64_t{r.rows} * r.columns; n > 0 && c.good(); --n) c.bytes();
-  return c.ended();
+// A consistency level, the replicas that replied and those that were required.
+void skipReplicaCounts(Cursor& cursor) {
+  cursor.twoBytes();
+  cursor.fourBytes();
+  cursor.fourBytes();
 }
 
-bool readPrepared(const Frame& f, Cursor& c, Reply& r) {
-  r.idAt = at(f.body, c);
-  r.id = c.shortBytes();
-  if (f.version >= 5) r.resultId = c.shortBytes();
-  std::int32_t flags = c.fourBytes();
-  r.markers = c.fourBytes();
-  std::int32_t keys = c.fourBytes();
-  if (!c.good() || r.markers < 0 || keys < 0 || r.id.empty()) return false;
-  c.take(2 * static_cast<std::size_t>(keys));
-  if (!c.good() || !readColumns(c, flags, r.markers, r)) return false;
-  // What it gives back names the table where no marker does.
-  return readMetadata(f, c, r, false) && c.ended();
+// How many replicas failed and, from version 5 on, the address and reason of each.
+void skipFailures(int version, Cursor& cursor) {
+  std::int32_t failures = cursor.fourBytes();
+  if (failures < 0) cursor.fail();
+  if (version < kFailureReasonsVersion) return;
+  for (; failures > 0 && cursor.good(); --failures) {
+    std::uint8_t addressSize = cursor.byte();
+    cursor.take(addressSize);
+    cursor.twoBytes();
+  }
 }
 
-bool readChange(Cursor& c) {
-  c.string();
-  std::string_view target = c.string();
-  c.string();
-  if (target == "TABLE" || target == "TYPE" || target == "FUNCTION" || target == "AGGREGATE")
-    c.string();
-  if (target == "FUNCTION" || target == "AGGREGATE")
-    for (std::uint16_t n = c.twoBytes(); n > 0 && c.good(); --n) c.string();
-  return c.ended();
+void readWriteTimeout(int version, Cursor& cursor, Reply& reply) {
+  skipReplicaCounts(cursor);
+  reply.writeType = cursor.string();
+  bool mayCountContentions = version >= kCasContentionsVersion && reply.writeType == "CAS";
+  if (mayCountContentions && !cursor.rest().empty()) cursor.twoBytes();
 }
 
-bool readError(const Frame& f, Cursor& c, Reply& r) {
-  r.code = c.fourBytes();
-  r.text = c.string();
-  auto answers = [&] { c.twoBytes(), c.fourBytes(), c.fourBytes(); };
-  // How many failed; version 5 says who and why.
-  auto failures = [&] {
-    std::int32_t n = c.fourBytes();
-    if (n < 0) c.fail();
-    for (; f.version >= 5 && n > 0 && c.good(); --n) c.take(c.byte()), c.twoBytes();
-  };
-  switch (r.code) {
+// The fields behind an error's code and text.
+void readErrorFields(int version, Cursor& cursor, Reply& reply) {
+  switch (reply.code) {
     case kUnavailable:
     case kCasUnknown:
-      answers();
+      skipReplicaCounts(cursor);
       break;
     case kWriteTimeout:
-      answers();
-      r.writeType = c.string();
-      if (f.version >= 5 && r.writeType == "CAS" && !c.rest().empty()) c.twoBytes();
+      readWriteTimeout(version, cursor, reply);
       break;
     case kReadTimeout:
-      answers();
-      c.byte();
+      skipReplicaCounts(cursor);
+      cursor.byte();
       break;
     case kReadFailure:
-      answers(), failures();
-      c.byte();
+      skipReplicaCounts(cursor);
+      skipFailures(version, cursor);
+      cursor.byte();
       break;
     case kWriteFailure:
-      answers(), failures();
-      r.writeType = c.string();
+      skipReplicaCounts(cursor);
+      skipFailures(version, cursor);
+      reply.writeType = cursor.string();
       break;
     case kFunctionFailure:
-      c.string(), c.string();
-      for (std::uint16_t n = c.twoBytes(); n > 0 && c.good(); --n) c.string();
+      skipStrings(cursor, 2);  // keyspace and function
+      skipStringList(cursor);
       break;
     case kAlreadyExists:
-      c.string(), c.string();
+      skipStrings(cursor, 2);  // keyspace and table
       break;
     case kUnprepared:
-      r.unprepared = c.shortBytes();
+      reply.unprepared = cursor.shortBytes();
       break;
     default:
       break;
   }
-  return c.ended();
 }
 
-}  // namespace
+bool readError(const Frame& frame, Cursor& cursor, Reply& reply) {
+  reply.code = cursor.fourBytes();
+  reply.text = cursor.string();
+  readErrorFields(frame.version, cursor, reply);
+  return cursor.ended();
+}
 
-bool readReply(const Frame& frame, Reply& reply) {
-  Cursor cursor(frame.body);
-  if (frame.flags & kTracing) cursor.take(16);
-  if (frame.flags & kWarnings)
-    for (std::uint16_t n = cursor.twoBytes(); n > 0 && cursor.good(); --n) cursor.string();
-  if (frame.flags & kPayload && !readBytesMap(cursor, reply.payload)) return false;
-  if (!cursor.good()) return false;
-  reply.bodyAt = at(frame.body, cursor);
-  if (frame.opcode == Opcode::error) return readError(frame, cursor, reply);
-  if (frame.opcode != Opcode::result) return true;
-  std::int32_t kind = cursor.fourBytes();
-  reply.kind = static_cast<ResultKind>(kind);
-  switch (kind) {
-    case 1:
+bool readResult(const Frame& frame, Cursor& cursor, Reply& reply) {
+  reply.kind = static_cast<ResultKind>(cursor.fourBytes());
+  switch (reply.kind) {
+    case ResultKind::voidResult:
       return cursor.ended();
-    case 2:
+    case ResultKind::rows:
       return readRows(frame, cursor, reply);
-    case 3:
+    case ResultKind::setKeyspace:
       reply.keyspace = cursor.string();
       return cursor.ended();
-    case 4:
+    case ResultKind::prepared:
       return readPrepared(frame, cursor, reply);
-    case 5:
-      return readChange(cursor);
+    case ResultKind::schemaChange:
+      return readSchemaChange(cursor);
     default:
       return false;
   }
 }
 
+}  // namespace
+
+bool readReply(const Frame& frame, Reply& reply) {
+  Cursor cursor(frame.body);
+  if (frame.flags & kTracing) cursor.take(kTracingIdSize);
+  if (frame.flags & kWarnings) skipStringList(cursor);
+  if (frame.flags & kPayload && !readBytesMap(cursor, reply.payload)) return false;
+  if (!cursor.good()) return false;
+  reply.bodyAt = offsetIn(frame.body, cursor);
+  if (frame.opcode == Opcode::error) return readError(frame, cursor, reply);
+  if (frame.opcode == Opcode::result) return readResult(frame, cursor, reply);
+  return true;
+}
+
+namespace {
+
+void addType(std::string& body, Type type) {
+  auto addId = [&](Type id) { addShort(body, static_cast<std::uint16_t>(id)); };
+  addId(type);
+  if (type == Type::setOfText) addId(Type::varchar);
+  if (type == Type::mapOfText) {
+    addId(Type::varchar);
+    addId(Type::varchar);
+  }
+}
+
+void addCell(std::string& body, const std::optional<std::string>& cell) {
+  if (cell) {
+    addBytes(body, *cell);
+  } else {
+    addInt(body, kNullCell);
+  }
+}
+
+}  // namespace
+
 std::string rowsBody(std::string_view keyspace, std::string_view table,
                      const std::vector<Column>& columns,
                      const std::vector<std::vector<std::optional<std::string>>>& rows) {
@@ -197,23 +299,16 @@
   addInt(body, static_cast<std::int32_t>(ResultKind::rows));
   addInt(body, kGlobalTable);
   addInt(body, static_cast<std::int32_t>(columns.size()));
-  addString(body, keyspace), addString(body, table);
-  for (const Column& col : columns) {
-    addString(body, col.name);
-    addShort(body, static_cast<std::uint16_t>(col.type));
-    if (col.type == Type::setOfText) addShort(body, static_cast<std::uint16_t>(Type::varchar));
-    if (col.type == Type::mapOfText)
-      addShort(body, static_cast<std::uint16_t>(Type::varchar)),
-          addShort(body, static_cast<std::uint16_t>(Type::varchar));
+  addString(body, keyspace);
+  addString(body, table);
+  for (const Column& column : columns) {
+    addString(body, column.name);
+    addType(body, column.type);
   }
   addInt(body, static_cast<std::int32_t>(rows.size()));
-  for (const auto& row : rows)
-    for (const auto& cell : row) {
-      if (cell)
-        addBytes(body, *cell);
-      else
-        addInt(body, -1);
-    }
+  for (const auto& row : rows) {
+    for (const auto& cell : row) addCell(body, cell);
+  }
   return body;
 }
 
@@ -237,20 +332,29 @@
   for (const auto& [name, values] : map) {
     addString(body, name);
     addShort(body, static_cast<std::uint16_t>(values.size()));
-    for (const std::string& v : values) addString(body, v);
+    for (const std::string& value : values) addString(body, value);
   }
   return body;
 }
 
+namespace {
+
+std::vector<std::string> readStringList(Cursor& cursor) {
+  std::vector<std::string> strings;
+  std::uint16_t left = cursor.twoBytes();
+  for (; left > 0 && cursor.good(); --left) strings.emplace_back(cursor.string());
+  return strings;
+}
+
+}  // namespace
+
 bool readMultimap(std::string_view body, Multimap& into) {
-  Cursor c(body);
-  for (std::uint16_t n = c.twoBytes(); n > 0 && c.good(); --n) {
-    std::string name(c.string());
-    std::vector<std::string> values;
-    for (std::uint16_t m = c.twoBytes(); m > 0 && c.good(); --m) values.emplace_back(c.string());
-    into.emplace_back(std::move(name), std::move(values));
+  Cursor cursor(body);
+  for (std::uint16_t left = cursor.twoBytes(); left > 0 && cursor.good(); --left) {
+    std::string name(cursor.string());
+    into.emplace_back(std::move(name), readStringList(cursor));
   }
-  return c.ended();
+  return cursor.ended();
 }
 
 namespace {
@@ -258,9 +362,10 @@
 std::string eventBody(std::string_view type, std::string_view change, std::uint32_t address,
                       std::uint16_t port) {
   std::string body;
-  addString(body, type), addString(body, change);
-  addByte(body, 4);
-  body.append(reinterpret_cast<const char*>(&address), 4);
+  addString(body, type);
+  addString(body, change);
+  addByte(body, kInet4Size);
+  body.append(reinterpret_cast<const char*>(&address), kInet4Size);
   addInt(body, port);
   return body;
 }
--- a/src/codec/cql/reply.h
+++ b/src/codec/cql/reply.h
@@ -1,6 +1,7 @@
-// What stores answer: read far enough to tell its kind, whether it is whole and sound to its last
-// byte, and what it says about the store; and the answers that the front words itself. Views into
-// the frame's body. No I/O.
+// Bodies of the replies of the Cassandra native protocol: validates those of servers and extracts
+// what routing needs, and encodes those that the proxy sends itself.
+//
+// All functions are pure: no I/O and no state. Views in results point into the frame's body.
 #pragma once
 
 #include <cstdint>
@@ -13,31 +14,43 @@
 
 namespace reedchute::cql {
 
+// The kinds of a RESULT, with their values on the wire.
 enum class ResultKind { voidResult = 1, rows, setKeyspace, prepared, schemaChange };
 
+// A decoded reply. Offsets count from the start of the frame's body, in bytes.
 struct Reply {
-  BytesMap payload;
-  std::size_t bodyAt = 0;  // where it begins, behind tracing id, warnings and custom payload
-  // of an ERROR
+  BytesMap payload;        // the custom payload
+  std::size_t bodyAt = 0;  // offset behind tracing id, warnings and custom payload
+
+  // Of an ERROR.
   std::int32_t code = 0;
-  std::string_view text, writeType, unprepared;
-  // of a RESULT
+  std::string_view text;
+  std::string_view writeType;   // of a write timeout or failure
+  std::string_view unprepared;  // the id that the server doesn't know
+
+  // Of a RESULT.
   ResultKind kind = ResultKind::voidResult;
-  std::string_view keyspace,
-      table;  // of rows and prepared statements, where all columns share them
+  std::string_view keyspace;  // also of rows and prepared statements
+  std::string_view table;     // of rows and prepared statements: the first that is named
   std::optional<std::string_view> pageState;
-  std::size_t pageAt = 0, pageSpan = 0;  // of it in the body, its length included
-  std::int32_t rows = 0, columns = 0;
-  std::string_view id, resultId;  // of a prepared statement
-  std::size_t idAt = 0;           // where the id stands in the body, its length included
-  std::int32_t markers = 0;
+  std::size_t pageAt = 0;    // offset of the paging state, which includes its length field
+  std::size_t pageSpan = 0;  // and its size
+  std::int32_t rows = 0;
+  std::int32_t columns = 0;
+
+  // Of a prepared statement.
+  std::string_view id;
+  std::string_view resultId;  // version 5
+  std::size_t idAt = 0;       // offset of the id's length field
+  std::int32_t markers = 0;   // bind markers
 };
 
-// False unless the body is valid to its last byte: a response cut short, or one with wrong counts,
-// would reach the client as rows that don't exist.
+// Decodes a reply; false unless its body is valid up to its last byte. A truncated reply, or one
+// with wrong counts, would reach the client as rows that don't exist. The bodies of opcodes other
+// than ERROR and RESULT are not checked.
 bool readReply(const Frame& frame, Reply& reply);
 
-// Columns of the answers that the front words itself.
+// The column types that the proxy's own replies use, with their ids on the wire.
 enum class Type : std::uint16_t {
   varchar = 0x000d,
   boolean = 0x0004,
@@ -48,24 +61,33 @@
   mapOfText = 0x0021,
 };
 
+// A column of a reply that the proxy encodes.
 struct Column {
   std::string_view name;
   Type type = Type::varchar;
 };
 
-// The body of a RESULT of rows; a cell is a value in its serialised form, or nothing for null.
+// Encodes a RESULT of rows. A cell is a serialized value, or nullopt for null.
 std::string rowsBody(std::string_view keyspace, std::string_view table,
                      const std::vector<Column>& columns,
                      const std::vector<std::vector<std::optional<std::string>>>& rows);
+
+// Encodes the RESULT of a USE statement.
 std::string setKeyspaceBody(std::string_view keyspace);
+
+// Serializes a value of type set<text>.
 std::string textSet(const std::vector<std::string>& items);
 
-// A [string multimap], as SUPPORTED has it.
+// A [string multimap], as in SUPPORTED.
 using Multimap = std::vector<std::pair<std::string, std::vector<std::string>>>;
+
+// Encodes a body that is a [string multimap].
 std::string multimapBody(const Multimap& map);
+
+// Decodes one, appending to `into`; false unless the body is valid up to its last byte.
 bool readMultimap(std::string_view body, Multimap& into);
 
-// EVENT bodies. `address` in network order.
+// Encode EVENT bodies. `address` is an IPv4 address in network byte order.
 std::string topologyEvent(std::string_view change, std::uint32_t address, std::uint16_t port);
 std::string statusEvent(std::string_view change, std::uint32_t address, std::uint16_t port);
 
