--- a/src/codec/cql/request.cpp
+++ b/src/codec/cql/request.cpp
@@ -14,129 +14,158 @@
   kKeyspace = 0x80,
   kNow = 0x100,
 };
-constexpr std::uint32_t kKnown4 = 0x7f, kKnown5 = 0x1ff;
 
-std::size_t at(std::string_view body, const Cursor& c) {
-  return body.size() - c.rest().size();
+constexpr std::uint32_t kKnownFlags4 = 0x7f;   // parameter flags of version 4
+constexpr std::uint32_t kKnownFlags5 = 0x1ff;  // parameter flags of version 5
+constexpr std::uint32_t kBatchForbiddenFlags = kValues | kPageSize | kHasPageState | kNamed;
+constexpr std::uint32_t kPrepareWithKeyspace = 0x01;
+constexpr std::uint8_t kLastBatchType = 2;  // counter
+constexpr std::uint8_t kTextPart = 0;
+constexpr std::uint8_t kPreparedPart = 1;
+constexpr int kLongFlagsVersion = 5;  // has flags of four bytes, also in PREPARE
+constexpr int kResultIdVersion = 5;   // identifies the metadata of results
+
+std::size_t offsetIn(std::string_view body, const Cursor& cursor) {
+  return body.size() - cursor.rest().size();
 }
 
-bool readFlags(Cursor& c, int version, std::uint32_t& flags) {
-  flags = version >= 5 ? static_cast<std::uint32_t>(c.fourBytes()) : c.byte();
-  return !(flags & ~(version >= 5 ? kKnown5 : kKnown4));
+bool readFlags(Cursor& cursor, int version, std::uint32_t& flags) {
+  if (version >= kLongFlagsVersion) {
+    flags = static_cast<std::uint32_t>(cursor.fourBytes());
+    return !(flags & ~kKnownFlags5);
+  }
+  flags = cursor.byte();
+  return !(flags & ~kKnownFlags4);
 }
 
-void readValues(Cursor& c, std::uint16_t n, bool named) {
-  for (; n > 0 && c.good(); --n) {
-    if (named) c.string();
-    c.value();
+enum class ValueNames { absent, present };
+
+void skipValues(Cursor& cursor, std::uint16_t count, ValueNames names) {
+  for (; count > 0 && cursor.good(); --count) {
+    if (names == ValueNames::present) cursor.string();
+    cursor.value();
   }
 }
 
-bool readParameters(std::string_view body, Cursor& c, int version, Parameters& p) {
-  p.consistency = c.twoBytes();
-  if (!readFlags(c, version, p.flags)) return false;
-  if (p.flags & kValues) {
-    p.values = c.twoBytes();
-    readValues(c, p.values, p.flags & kNamed);
+// The parameters that follow the paging state, which a batch has as well.
+void readTrailingParameters(Cursor& cursor, Parameters& parameters) {
+  if (parameters.flags & kSerial) cursor.twoBytes();
+  if (parameters.flags & kTimestamp) cursor.eightBytes();
+  if (parameters.flags & kKeyspace) parameters.keyspace = cursor.string();
+  if (parameters.flags & kNow) cursor.fourBytes();
+}
+
+bool readParameters(std::string_view body, Cursor& cursor, int version, Parameters& parameters) {
+  parameters.consistency = cursor.twoBytes();
+  if (!readFlags(cursor, version, parameters.flags)) return false;
+  if (parameters.flags & kValues) {
+    parameters.values = cursor.twoBytes();
+    skipValues(cursor, parameters.values,
+               parameters.flags & kNamed ? ValueNames::present : ValueNames::absent);
   }
-  if (p.flags & kPageSize) p.pageSize = c.fourBytes();
-  if (p.flags & kHasPageState) {
-    p.pageAt = at(body, c);
-    p.pageState = c.bytes();
-    p.pageSpan = at(body, c) - p.pageAt;
+  if (parameters.flags & kPageSize) parameters.pageSize = cursor.fourBytes();
+  if (parameters.flags & kHasPageState) {
+    parameters.pageAt = offsetIn(body, cursor);
+    parameters.pageState = cursor.bytes();
+    parameters.pageSpan = offsetIn(body, cursor) - parameters.pageAt;
   }
-  if (p.flags & kSerial) c.twoBytes();
-  if (p.flags & kTimestamp) c.eightBytes();
-  if (p.flags & kKeyspace) p.keyspace = c.string();
-  if (p.flags & kNow) c.fourBytes();
-  return c.good();
+  readTrailingParameters(cursor, parameters);
+  return cursor.good();
+}
+
+Part readPart(std::string_view body, Cursor& cursor) {
+  std::uint8_t kind = cursor.byte();
+  Part part;
+  part.at = offsetIn(body, cursor);
+  part.prepared = kind == kPreparedPart;
+  part.text = part.prepared ? cursor.shortBytes() : cursor.longString();
+  if (kind != kTextPart && kind != kPreparedPart) cursor.fail();
+  skipValues(cursor, cursor.twoBytes(), ValueNames::absent);
+  return part;
 }
 
-bool readBatch(std::string_view body, Cursor& c, int version, std::size_t mostParts, Asked& into,
-               const char*& why) {
-  into.batchType = c.byte();
-  std::uint16_t n = c.twoBytes();
-  if (into.batchType > 2) {
+bool readBatch(std::string_view body, Cursor& cursor, int version, std::size_t mostParts,
+               Asked& into, const char*& why) {
+  into.batchType = cursor.byte();
+  std::uint16_t count = cursor.twoBytes();
+  if (into.batchType > kLastBatchType) {
     why = "an unknown type of batch";
     return false;
   }
-  if (n > mostParts) {
+  if (count > mostParts) {
     why = "a batch of too many statements";
     return false;
   }
-  into.parts.reserve(n);
-  for (; n > 0 && c.good(); --n) {
-    Part p;
-    std::uint8_t kind = c.byte();
-    p.at = at(body, c);
-    p.prepared = kind == 1;
-    p.text = p.prepared ? c.shortBytes() : c.longString();
-    if (kind > 1) c.fail();
-    readValues(c, c.twoBytes(), false);
-    into.parts.push_back(p);
+  into.parts.reserve(count);
+  for (; count > 0 && cursor.good(); --count) into.parts.push_back(readPart(body, cursor));
+  into.parameters.consistency = cursor.twoBytes();
+  if (!readFlags(cursor, version, into.parameters.flags)) return false;
+  // Names of values can't be told from the values, as the flag for them follows both.
+  if (into.parameters.flags & kBatchForbiddenFlags) return false;
+  readTrailingParameters(cursor, into.parameters);
+  return cursor.good();
+}
+
+bool readPrepare(Cursor& cursor, int version, Asked& into) {
+  into.text = cursor.longString();
+  if (version < kLongFlagsVersion) return cursor.ended();
+  auto flags = static_cast<std::uint32_t>(cursor.fourBytes());
+  if (flags & ~kPrepareWithKeyspace) return false;
+  if (flags & kPrepareWithKeyspace) into.parameters.keyspace = cursor.string();
+  return cursor.ended();
+}
+
+bool readExecute(std::string_view body, Cursor& cursor, int version, Asked& into) {
+  into.idAt = offsetIn(body, cursor);
+  into.id = cursor.shortBytes();
+  if (version >= kResultIdVersion) {
+    into.resultIdAt = offsetIn(body, cursor);
+    into.resultId = cursor.shortBytes();
   }
-  into.parameters.consistency = c.twoBytes();
-  std::uint32_t& flags = into.parameters.flags;
-  // Names can't be told from values here, as their flag comes behind them.
-  if (!readFlags(c, version, flags) || flags & (kValues | kPageSize | kHasPageState | kNamed))
-    return false;
-  if (flags & kSerial) c.twoBytes();
-  if (flags & kTimestamp) c.eightBytes();
-  if (flags & kKeyspace) into.parameters.keyspace = c.string();
-  if (flags & kNow) c.fourBytes();
-  return c.good();
+  return readParameters(body, cursor, version, into.parameters) && cursor.ended();
 }
 
 }  // namespace
 
 bool readStart(std::string_view body, Start& into) {
-  Cursor c(body);
-  for (std::uint16_t n = c.twoBytes(); n > 0 && c.good(); --n) {
-    std::string_view name = c.string(), value = c.string();
+  Cursor cursor(body);
+  for (std::uint16_t left = cursor.twoBytes(); left > 0 && cursor.good(); --left) {
+    std::string_view name = cursor.string();
+    std::string_view value = cursor.string();
     if (name == "CQL_VERSION") into.cqlVersion = value;
     if (name == "COMPRESSION") into.compression = value;
   }
-  return c.ended() && !into.cqlVersion.empty();
+  return cursor.ended() && !into.cqlVersion.empty();
 }
 
-bool readAsked(const Frame& f, std::size_t mostParts, Asked& into, const char*& why) {
+bool readAsked(const Frame& frame, std::size_t mostParts, Asked& into, const char*& why) {
   why = "the body can't be read";
-  Cursor c(f.body);
-  if (f.flags & kPayload) {
-    if (!readBytesMap(c, into.payload)) return false;
-    into.payloadSpan = at(f.body, c);
+  Cursor cursor(frame.body);
+  if (frame.flags & kPayload) {
+    if (!readBytesMap(cursor, into.payload)) return false;
+    into.payloadSpan = offsetIn(frame.body, cursor);
   }
-  switch (f.opcode) {
+  switch (frame.opcode) {
     case Opcode::query:
-      into.text = c.longString();
-      return readParameters(f.body, c, f.version, into.parameters) && c.ended();
+      into.text = cursor.longString();
+      return readParameters(frame.body, cursor, frame.version, into.parameters) && cursor.ended();
     case Opcode::prepare:
-      into.text = c.longString();
-      if (f.version >= 5) {
-        std::int32_t flags = c.fourBytes();
-        if (flags & ~1) return false;
-        if (flags & 1) into.parameters.keyspace = c.string();
-      }
-      return c.ended();
+      return readPrepare(cursor, frame.version, into);
     case Opcode::execute:
-      into.idAt = at(f.body, c);
-      into.id = c.shortBytes();
-      if (f.version >= 5) {
-        into.resultIdAt = at(f.body, c);
-        into.resultId = c.shortBytes();
-      }
-      return readParameters(f.body, c, f.version, into.parameters) && c.ended();
+      return readExecute(frame.body, cursor, frame.version, into);
     case Opcode::batch:
-      return readBatch(f.body, c, f.version, mostParts, into, why) && c.ended();
+      return readBatch(frame.body, cursor, frame.version, mostParts, into, why) && cursor.ended();
     default:
       return false;
   }
 }
 
 bool readRegister(std::string_view body, std::vector<std::string_view>& into) {
-  Cursor c(body);
-  for (std::uint16_t n = c.twoBytes(); n > 0 && c.good(); --n) into.push_back(c.string());
-  return c.ended();
+  Cursor cursor(body);
+  for (std::uint16_t left = cursor.twoBytes(); left > 0 && cursor.good(); --left) {
+    into.push_back(cursor.string());
+  }
+  return cursor.ended();
 }
 
 const char* consistencyName(std::uint16_t level) {
--- a/src/codec/cql/request.h
+++ b/src/codec/cql/request.h
@@ -1,5 +1,8 @@
-// What clients ask, as far as decisions need it, with the places of what is rewritten on its way to
-// a store. Views into the frame's body. No I/O.
+// Decoders of client requests of the Cassandra native protocol, as far as routing needs them, with
+// the offsets of what the proxy rewrites before it forwards a request.
+//
+// All functions are pure: no I/O and no state. Views in results point into the frame's body, and
+// offsets count from its start, in bytes.
 #pragma once
 
 #include <cstdint>
@@ -12,56 +15,61 @@
 
 namespace reedchute::cql {
 
-// STARTUP.
+// The options of a STARTUP; empty where absent.
 struct Start {
-  std::string_view cqlVersion, compression;
+  std::string_view cqlVersion;
+  std::string_view compression;
 };
+
+// Decodes a STARTUP; false unless it is valid up to its last byte and states a CQL version.
 bool readStart(std::string_view body, Start& into);
 
-// The query parameters behind a QUERY's text and an EXECUTE's id.
+// The query parameters that follow the text of a QUERY or the ids of an EXECUTE.
 struct Parameters {
   std::uint16_t consistency = 0;
   std::uint32_t flags = 0;
-  std::int32_t pageSize = 0;  // 0: none asked
+  std::int32_t pageSize = 0;  // rows; 0: none requested
   std::optional<std::string_view> pageState;
-  // Where [paging_state] stands in the body, its length included; both 0 where there is none.
-  std::size_t pageAt = 0, pageSpan = 0;
+  std::size_t pageAt = 0;     // offset of the paging state's length field; 0 without one
+  std::size_t pageSpan = 0;   // size of the paging state and its length field; 0 without one
   std::string_view keyspace;  // version 5
-  std::uint16_t values = 0;
+  std::uint16_t values = 0;   // bound values
 };
 
+// The flag in `Parameters::flags` that announces a paging state.
 inline constexpr std::uint32_t kHasPageState = 0x08;
 
-// A statement of a batch: its text or the id of a prepared one.
+// One statement of a BATCH.
 struct Part {
   bool prepared = false;
-  std::string_view text;  // or id
-  std::size_t at = 0;     // where an id stands in the body, its length included
+  std::string_view text;  // or the id of a prepared statement
+  std::size_t at = 0;     // offset of the length field of the text or id
 };
 
-// QUERY, PREPARE, EXECUTE and BATCH.
+// A decoded QUERY, PREPARE, EXECUTE or BATCH.
 struct Asked {
-  BytesMap payload;
-  std::size_t payloadSpan = 0;  // bytes at the beginning of the body that are the custom payload
+  BytesMap payload;             // the custom payload
+  std::size_t payloadSpan = 0;  // its size, at the start of the body
   std::string_view text;        // of a QUERY or PREPARE
   std::string_view id;          // of an EXECUTE
-  std::size_t idAt = 0;         // where it stands in the body, its length included
+  std::size_t idAt = 0;         // offset of the id's length field
   std::string_view resultId;    // of an EXECUTE of version 5
-  std::size_t resultIdAt = 0;
+  std::size_t resultIdAt = 0;   // offset of the result id's length field
   Parameters parameters;
   std::uint8_t batchType = 0;  // 0 logged, 1 unlogged, 2 counter
   std::vector<Part> parts;     // of a BATCH
 };
 
-// Reads the body of a QUERY, PREPARE, EXECUTE or BATCH. False, with the reason in `why`, unless it is
-// valid to its last byte. A batch of more than `mostParts` statements is invalid, as it would hold
+// Decodes a QUERY, PREPARE, EXECUTE or BATCH; false, with the reason in `why`, unless it is valid
+// up to its last byte. A batch of more than `mostParts` statements is invalid, as it would block
 // the thread for all clients.
-bool readAsked(const Frame& f, std::size_t mostParts, Asked& into, const char*& why);
+bool readAsked(const Frame& frame, std::size_t mostParts, Asked& into, const char*& why);
 
-// REGISTER's event types.
+// Decodes the event types of a REGISTER, appending to `into`; false unless the body is valid up to
+// its last byte.
 bool readRegister(std::string_view body, std::vector<std::string_view>& into);
 
-// The name of a consistency level, as CQL has it; "?" where there is none such.
+// The CQL name of a consistency level; "?" for an unknown one.
 const char* consistencyName(std::uint16_t level);
 
 }  // namespace reedchute::cql
