--- a/src/codec/cql/wire.cpp
+++ b/src/codec/cql/wire.cpp
@@ -5,40 +5,58 @@
 namespace reedchute::cql {
 namespace {
 
-constexpr std::size_t kMostShort = 0xffff;
+constexpr std::size_t kMaxShortLength = 0xffff;  // bytes of what has a [short] length
+constexpr std::uint8_t kResponseBit = 0x80;      // in a header's version byte
+constexpr std::int32_t kNullLength = -1;
+constexpr std::int32_t kNotSetLength = -2;  // only in a [value]
+
+// Offsets in a frame's header, in bytes.
+constexpr std::size_t kVersionAt = 0;
+constexpr std::size_t kFlagsAt = 1;
+constexpr std::size_t kStreamAt = 2;
+constexpr std::size_t kOpcodeAt = 4;
+constexpr std::size_t kLengthAt = 5;
+
+template <class Integer>
+void addBigEndian(std::string& to, Integer value) {
+  for (int shift = static_cast<int>(sizeof value) * 8 - 8; shift >= 0; shift -= 8) {
+    to.push_back(static_cast<char>(value >> shift & 0xff));
+  }
+}
 
-template <class T>
-void addBig(std::string& to, T v) {
-  for (int shift = static_cast<int>(sizeof v) * 8 - 8; shift >= 0; shift -= 8)
-    to.push_back(static_cast<char>(v >> shift & 0xff));
+template <class Integer>
+Integer readBigEndian(std::string_view bytes) {
+  Integer value = 0;
+  for (char byte : bytes) {
+    value = static_cast<Integer>(value << 8 | static_cast<unsigned char>(byte));
+  }
+  return value;
 }
 
-template <class T>
-T big(std::string_view b) {
-  T v = 0;
-  for (char c : b) v = static_cast<T>(v << 8 | static_cast<unsigned char>(c));
-  return v;
+template <class Integer>
+Integer readBigEndianAt(std::string_view bytes, std::size_t offset) {
+  return readBigEndian<Integer>(bytes.substr(offset, sizeof(Integer)));
 }
 
 }  // namespace
 
-Framed frame(std::string_view bytes, std::size_t most, Frame& f) {
+Framed frame(std::string_view bytes, std::size_t most, Frame& result) {
   if (bytes.size() < kHeader) return Framed::partial;
-  auto length = static_cast<std::int32_t>(big<std::uint32_t>(bytes.substr(5, 4)));
+  auto length = static_cast<std::int32_t>(readBigEndianAt<std::uint32_t>(bytes, kLengthAt));
   if (length < 0 || static_cast<std::size_t>(length) > most) return Framed::bad;
-  auto version = static_cast<std::uint8_t>(bytes[0]);
-  f.answer = version & 0x80;
-  f.version = version & 0x7f;
-  f.flags = static_cast<std::uint8_t>(bytes[1]);
-  f.stream = static_cast<std::int16_t>(big<std::uint16_t>(bytes.substr(2, 2)));
-  f.opcode = static_cast<Opcode>(bytes[4]);
+  auto version = static_cast<std::uint8_t>(bytes[kVersionAt]);
+  result.answer = version & kResponseBit;
+  result.version = version & ~kResponseBit;
+  result.flags = static_cast<std::uint8_t>(bytes[kFlagsAt]);
+  result.stream = static_cast<std::int16_t>(readBigEndianAt<std::uint16_t>(bytes, kStreamAt));
+  result.opcode = static_cast<Opcode>(bytes[kOpcodeAt]);
   if (bytes.size() < kHeader + static_cast<std::size_t>(length)) return Framed::partial;
-  f.body = bytes.substr(kHeader, static_cast<std::size_t>(length));
+  result.body = bytes.substr(kHeader, static_cast<std::size_t>(length));
   return Framed::whole;
 }
 
-bool askable(Opcode o) {
-  switch (o) {
+bool askable(Opcode opcode) {
+  switch (opcode) {
     case Opcode::startup:
     case Opcode::options:
     case Opcode::query:
@@ -53,123 +71,136 @@
   }
 }
 
-std::string_view Cursor::take(std::size_t n) {
-  if (!good_ || n > rest_.size()) {
+std::string_view Cursor::take(std::size_t size) {
+  if (!good_ || size > rest_.size()) {
     fail();
     return {};
   }
-  std::string_view taken = rest_.substr(0, n);
-  rest_.remove_prefix(n);
+  std::string_view taken = rest_.substr(0, size);
+  rest_.remove_prefix(size);
   return taken;
 }
 
 std::uint8_t Cursor::byte() {
-  return big<std::uint8_t>(take(1));
+  return readBigEndian<std::uint8_t>(take(1));
 }
+
 std::uint16_t Cursor::twoBytes() {
-  return big<std::uint16_t>(take(2));
+  return readBigEndian<std::uint16_t>(take(2));
 }
+
 std::int32_t Cursor::fourBytes() {
-  return static_cast<std::int32_t>(big<std::uint32_t>(take(4)));
+  return static_cast<std::int32_t>(readBigEndian<std::uint32_t>(take(4)));
 }
+
 std::int64_t Cursor::eightBytes() {
-  return static_cast<std::int64_t>(big<std::uint64_t>(take(8)));
+  return static_cast<std::int64_t>(readBigEndian<std::uint64_t>(take(8)));
 }
+
 std::string_view Cursor::string() {
   return take(twoBytes());
 }
+
 std::string_view Cursor::shortBytes() {
   return take(twoBytes());
 }
 
 std::string_view Cursor::longString() {
-  std::int32_t n = fourBytes();
-  if (n < 0) fail();
-  return take(static_cast<std::size_t>(std::max(n, 0)));
+  std::int32_t length = fourBytes();
+  if (length < 0) fail();
+  return take(static_cast<std::size_t>(std::max(length, 0)));
 }
 
 std::optional<std::string_view> Cursor::bytes() {
-  std::int32_t n = fourBytes();
-  if (n < -1) fail();
-  if (n < 0) return std::nullopt;
-  std::string_view v = take(static_cast<std::size_t>(n));
+  std::int32_t length = fourBytes();
+  if (length < kNullLength) fail();
+  if (length < 0) return std::nullopt;
+  std::string_view taken = take(static_cast<std::size_t>(length));
   if (!good_) return std::nullopt;
-  return v;
+  return taken;
 }
 
 std::string_view Cursor::value() {
-  std::string_view from = rest_;
-  std::int32_t n = fourBytes();
-  if (n < -2) fail();
-  take(static_cast<std::size_t>(std::max(n, 0)));
-  return good_ ? from.substr(0, from.size() - rest_.size()) : std::string_view{};
+  std::string_view begin = rest_;
+  std::int32_t length = fourBytes();
+  if (length < kNotSetLength) fail();
+  take(static_cast<std::size_t>(std::max(length, 0)));
+  if (!good_) return {};
+  return begin.substr(0, begin.size() - rest_.size());
 }
 
-void addByte(std::string& to, std::uint8_t v) {
-  to.push_back(static_cast<char>(v));
+void addByte(std::string& to, std::uint8_t value) {
+  to.push_back(static_cast<char>(value));
 }
-void addShort(std::string& to, std::uint16_t v) {
-  addBig(to, v);
+
+void addShort(std::string& to, std::uint16_t value) {
+  addBigEndian(to, value);
 }
-void addInt(std::string& to, std::int32_t v) {
-  addBig(to, static_cast<std::uint32_t>(v));
+
+void addInt(std::string& to, std::int32_t value) {
+  addBigEndian(to, static_cast<std::uint32_t>(value));
 }
-void addLong(std::string& to, std::int64_t v) {
-  addBig(to, static_cast<std::uint64_t>(v));
+
+void addLong(std::string& to, std::int64_t value) {
+  addBigEndian(to, static_cast<std::uint64_t>(value));
 }
 
-void addString(std::string& to, std::string_view v) {
-  v = v.substr(0, kMostShort);
-  addShort(to, static_cast<std::uint16_t>(v.size()));
-  to += v;
+void addString(std::string& to, std::string_view value) {
+  value = value.substr(0, kMaxShortLength);
+  addShort(to, static_cast<std::uint16_t>(value.size()));
+  to += value;
 }
 
-void addShortBytes(std::string& to, std::string_view v) {
-  addString(to, v);
+void addShortBytes(std::string& to, std::string_view value) {
+  addString(to, value);
 }
 
-void addLongString(std::string& to, std::string_view v) {
-  addInt(to, static_cast<std::int32_t>(v.size()));
-  to += v;
+void addLongString(std::string& to, std::string_view value) {
+  addInt(to, static_cast<std::int32_t>(value.size()));
+  to += value;
 }
 
-void addBytes(std::string& to, std::string_view v) {
-  addLongString(to, v);
+void addBytes(std::string& to, std::string_view value) {
+  addLongString(to, value);
 }
 
-bool readBytesMap(Cursor& c, BytesMap& into) {
-  for (std::uint16_t n = c.twoBytes(); n > 0 && c.good(); --n) {
-    std::string_view name = c.string();
-    into.emplace_back(name, c.bytes().value_or(std::string_view{}));
+bool readBytesMap(Cursor& cursor, BytesMap& into) {
+  for (std::uint16_t left = cursor.twoBytes(); left > 0 && cursor.good(); --left) {
+    std::string_view name = cursor.string();
+    into.emplace_back(name, cursor.bytes().value_or(std::string_view{}));
   }
-  return c.good();
+  return cursor.good();
 }
 
 void addBytesMap(std::string& to, const BytesMap& map) {
   addShort(to, static_cast<std::uint16_t>(map.size()));
-  for (const auto& [name, value] : map) addString(to, name), addBytes(to, value);
+  for (const auto& [name, value] : map) {
+    addString(to, name);
+    addBytes(to, value);
+  }
 }
 
 std::string_view valueOf(const BytesMap& map, std::string_view name) {
-  for (const auto& [known, value] : map)
-    if (known == name) return value;
+  for (const auto& [key, value] : map) {
+    if (key == name) return value;
+  }
   return {};
 }
 
 void addHeader(std::string& to, bool answer, int version, std::uint8_t flags, std::int16_t stream,
-               Opcode o, std::size_t size) {
-  addByte(to, static_cast<std::uint8_t>((answer ? 0x80 : 0) | version));
+               Opcode opcode, std::size_t size) {
+  addByte(to, static_cast<std::uint8_t>((answer ? kResponseBit : 0) | version));
   addByte(to, flags);
   addShort(to, static_cast<std::uint16_t>(stream));
-  addByte(to, static_cast<std::uint8_t>(o));
+  addByte(to, static_cast<std::uint8_t>(opcode));
   addInt(to, static_cast<std::int32_t>(size));
 }
 
-std::string whole(bool answer, int version, std::uint8_t flags, std::int16_t stream, Opcode o,
+std::string whole(bool answer, int version, std::uint8_t flags, std::int16_t stream, Opcode opcode,
                   std::string_view body) {
   std::string bytes;
   bytes.reserve(kHeader + body.size());
-  addHeader(bytes, answer, version, flags, stream, o, body.size());
+  addHeader(bytes, answer, version, flags, stream, opcode, body.size());
   bytes += body;
   return bytes;
 }
@@ -181,13 +212,13 @@
   return body;
 }
 
-const char* nameOf(Opcode o) {
+const char* nameOf(Opcode opcode) {
   static constexpr const char* kNames[] = {
       "ERROR",     "STARTUP", "READY",          "AUTHENTICATE",  "?",           "OPTIONS",
       "SUPPORTED", "QUERY",   "RESULT",         "PREPARE",       "EXECUTE",     "REGISTER",
       "EVENT",     "BATCH",   "AUTH_CHALLENGE", "AUTH_RESPONSE", "AUTH_SUCCESS"};
-  auto k = static_cast<std::size_t>(o);
-  return k < std::size(kNames) ? kNames[k] : "?";
+  auto index = static_cast<std::size_t>(opcode);
+  return index < std::size(kNames) ? kNames[index] : "?";
 }
 
 }  // namespace reedchute::cql
--- a/src/codec/cql/wire.h
+++ b/src/codec/cql/wire.h
@@ -1,6 +1,8 @@
-// The Cassandra native protocol, versions 4 and 5, from its public specifications: frames, the
-// notations inside their bodies, and the bytes of frames that the front words itself. No I/O.
-// Integers are big-endian.
+// The wire format of the Cassandra native protocol, versions 4 and 5, after its public
+// specifications: frames, the notations inside their bodies, and encoders for frames that the proxy
+// sends itself. Integers are big-endian.
+//
+// Nothing here does I/O. Views in results point into the caller's bytes.
 #pragma once
 
 #include <cstdint>
@@ -12,9 +14,11 @@
 
 namespace reedchute::cql {
 
-inline constexpr int kLowest = 4, kHighest = 5;  // versions that are spoken
-inline constexpr std::size_t kHeader = 9;
+// The lowest and the highest supported version.
+inline constexpr int kLowest = 4, kHighest = 5;
+inline constexpr std::size_t kHeader = 9;  // bytes of a frame's header
 
+// The kind of a frame, with its value on the wire.
 enum class Opcode : std::uint8_t {
   error = 0x00,
   startup = 0x01,
@@ -34,6 +38,7 @@
   authSuccess = 0x10,
 };
 
+// The bits of a frame's flags.
 enum Flag : std::uint8_t {
   kCompressed = 0x01,
   kTracing = 0x02,
@@ -42,76 +47,92 @@
   kBeta = 0x10,
 };
 
-// One frame, as a view into the bytes that came.
+// One frame, as a view into the received bytes.
 struct Frame {
-  bool answer = false;  // of a store, by the version's highest bit
+  bool answer = false;  // a response, from the highest bit of the version byte
   int version = 0;
   std::uint8_t flags = 0;
   std::int16_t stream = 0;
   Opcode opcode = Opcode::error;
-  std::string_view body;  // without its header, decompressed
+  std::string_view body;  // without the header; decompressed if it comes from Framing
 };
 
+// What framing found: a whole frame, the beginning of one, or an invalid length.
 enum class Framed { whole, partial, bad };
 
-// Looks for one frame at the start of `bytes`; its size is kHeader + f.body.size(). `bad`: a body
-// longer than `most`, or a negative one. The version isn't judged here: an answer to it can still
-// be worded.
-Framed frame(std::string_view bytes, std::size_t most, Frame& f);
+// Reads the frame at the start of `bytes`, of kHeader + result.body.size() bytes, into `result`.
+// `bad` stands for a body longer than `most`, or of negative length. Any version is accepted, so
+// that the caller can reply to one that it doesn't support.
+Framed frame(std::string_view bytes, std::size_t most, Frame& result);
 
-// Is it an opcode that a client may send?
-bool askable(Opcode o);
+// Whether a client may send this opcode.
+bool askable(Opcode opcode);
 
-// Reads notations one after the other. After the first that isn't there, `good` is false and all
-// reads give nothing, zero or empty, so that it need be looked at once only.
+// Reads notations one after the other. After the first read that fails, `good` is false and every
+// further read returns zero, empty or nullopt, so the caller may check once at the end.
 class Cursor {
  public:
   explicit Cursor(std::string_view bytes) : rest_(bytes) {}
 
-  std::uint8_t byte();
-  std::uint16_t twoBytes();  // [short]
-  std::int32_t fourBytes();  // [int]
-  std::int64_t eightBytes();
+  std::uint8_t byte();            // [byte]
+  std::uint16_t twoBytes();       // [short]
+  std::int32_t fourBytes();       // [int]
+  std::int64_t eightBytes();      // [long]
   std::string_view string();      // [string]
   std::string_view longString();  // [long string]
-  std::string_view shortBytes();
-  // [bytes]; nothing where it is null. A length below -1 is bad.
+  std::string_view shortBytes();  // [short bytes]
+  // [bytes]; nullopt if it is null. A length below -1 is invalid.
   std::optional<std::string_view> bytes();
-  // [value], as it stands with its length: of a bound value only its place matters. A length below
-  // -2 is bad.
+  // [value], with its length field. A length below -2 is invalid.
   std::string_view value();
-  std::string_view take(std::size_t n);
+  // The next `size` bytes.
+  std::string_view take(std::size_t size);
 
+  // What is still unread; empty after a failure.
   std::string_view rest() const { return rest_; }
+  // Whether all reads so far succeeded.
   bool good() const { return good_; }
+  // Whether all reads succeeded and nothing is left.
   bool ended() const { return good_ && rest_.empty(); }
-  void fail() { good_ = false, rest_ = {}; }
+  // Lets this and all further reads fail.
+  void fail() {
+    good_ = false;
+    rest_ = {};
+  }
 
  private:
   std::string_view rest_;
   bool good_ = true;
 };
 
-void addByte(std::string& to, std::uint8_t v);
-void addShort(std::string& to, std::uint16_t v);
-void addInt(std::string& to, std::int32_t v);
-void addLong(std::string& to, std::int64_t v);
-void addString(std::string& to, std::string_view v);  // cut at 65,535 bytes
-void addLongString(std::string& to, std::string_view v);
-void addShortBytes(std::string& to, std::string_view v);  // cut at 65,535 bytes
-void addBytes(std::string& to, std::string_view v);
-
-// A [bytes map], in the order in which it came.
+// Append one notation each.
+void addByte(std::string& to, std::uint8_t value);
+void addShort(std::string& to, std::uint16_t value);
+void addInt(std::string& to, std::int32_t value);
+void addLong(std::string& to, std::int64_t value);
+void addString(std::string& to, std::string_view value);  // truncated to 65,535 bytes
+void addLongString(std::string& to, std::string_view value);
+void addShortBytes(std::string& to, std::string_view value);  // truncated to 65,535 bytes
+void addBytes(std::string& to, std::string_view value);
+
+// A [bytes map], in the order of the wire.
 using BytesMap = std::vector<std::pair<std::string_view, std::string_view>>;
-// Null values count as empty; false where it can't be read.
-bool readBytesMap(Cursor& c, BytesMap& into);
+
+// Reads a [bytes map], appending to `into`; false if it is invalid. A null value becomes empty.
+bool readBytesMap(Cursor& cursor, BytesMap& into);
+
+// Appends a [bytes map].
 void addBytesMap(std::string& to, const BytesMap& map);
+
+// The first value with this name; empty if there is none.
 std::string_view valueOf(const BytesMap& map, std::string_view name);
 
-// A frame's header for a body of `size` bytes, and a whole frame.
+// Appends the header of a frame whose body has `size` bytes. `answer`: it is a response.
 void addHeader(std::string& to, bool answer, int version, std::uint8_t flags, std::int16_t stream,
-               Opcode o, std::size_t size);
-std::string whole(bool answer, int version, std::uint8_t flags, std::int16_t stream, Opcode o,
+               Opcode opcode, std::size_t size);
+
+// Encodes a whole frame.
+std::string whole(bool answer, int version, std::uint8_t flags, std::int16_t stream, Opcode opcode,
                   std::string_view body);
 
 // The protocol's error codes.
@@ -138,9 +159,10 @@
   kUnprepared = 0x2500,
 };
 
-// The body of an ERROR whose code has no fields of its own.
+// Encodes the body of an ERROR whose code has no further fields.
 std::string errorBody(std::int32_t code, std::string_view text);
 
-const char* nameOf(Opcode o);
+// The specification's name of an opcode; "?" for an unknown one.
+const char* nameOf(Opcode opcode);
 
 }  // namespace reedchute::cql
