--- a/src/decision/engine.cpp
+++ b/src/decision/engine.cpp
@@ -9,21 +9,25 @@
 namespace reedchute {
 namespace {
 
-constexpr double kRetryWaited = 0.5;   // of the SLO time that a client's retry has waited before
-constexpr double kFreshReadPause = 4;  // ticks in which the log may come to a replica
+// Share of the SLO time that a client's retry is assumed to have waited before.
+constexpr double kRetryElapsedShare = 0.5;
+constexpr double kFreshReadDelay = 4;  // ticks; time for the log to reach a replica
 constexpr double kBusyWakePeriod = 2;  // ticks
 constexpr double kIdleWakePeriod = 8;  // ticks
 
-EngineSettings checked(EngineSettings settings) {
+// Returns the settings with `maxPollInterval` raised to the smallest SLO time.
+EngineSettings validateSettings(EngineSettings settings) {
   if (settings.workloads.empty()) throw std::invalid_argument("no workloads are given");
   if (settings.tick <= Duration{}) throw std::invalid_argument("the tick must be above 0");
-  if (settings.maxAttempts < 1) throw std::invalid_argument("no execution is allowed");
+  if (settings.maxAttempts < 1)
+    throw std::invalid_argument("the maximum number of attempts must be at least 1");
   if (!(settings.coldInitialShare > 0 && settings.coldInitialShare <= 1))
     throw std::invalid_argument("the cold share must be in (0, 1]");
   for (const Workload& workload : settings.workloads) {
-    if (workload.slo <= Duration{}) throw std::invalid_argument("a workload has no SLO time");
+    if (workload.slo <= Duration{})
+      throw std::invalid_argument("the SLO time of a workload must be above 0");
     if (workload.level == Level::bounded && workload.stalenessBound <= Duration{})
-      throw std::invalid_argument("a bounded read has no bound");
+      throw std::invalid_argument("the staleness bound of a bounded read must be above 0");
   }
   auto smallest = std::min_element(
       settings.workloads.begin(), settings.workloads.end(),
@@ -32,7 +36,7 @@
   return settings;
 }
 
-// True where nothing of the attempt can have taken effect.
+// True if the attempt can't have had any effect.
 bool provesNothingRan(AttemptOutcome outcome) {
   return outcome == AttemptOutcome::overloaded || outcome == AttemptOutcome::connectFailed ||
          outcome == AttemptOutcome::neverSent || outcome == AttemptOutcome::notServedHere;
@@ -46,7 +50,7 @@
 }  // namespace
 
 DecisionEngine::DecisionEngine(EngineSettings settings, TimePoint now)
-    : settings_(checked(std::move(settings))),
+    : settings_(validateSettings(std::move(settings))),
       random_(settings_.seed),
       stores_(settings_, now),
       probes_(settings_, stores_),
@@ -78,8 +82,8 @@
   while (stores_.endpoints.size() <= store) resetStore(stores_.endpoints.size(), now);
   ensureGroup(group);
   stores_.ensureZone(endpoint.zone);
-  // Hundreds of proxies that meet a store together would each find it free for a read that holds
-  // back.
+  // Delays the first send by a random time: hundreds of proxies that learn of a store at the same
+  // time would otherwise each find spare capacity at it for a read.
   bool isNew = stores_.endpoints.group(store) < 0;
   if (isNew && stores_.limits.isSharedByManyProxies()) {
     double gaps = drawUnit(random_) / stores_.limits.initialLimit();
@@ -105,7 +109,8 @@
   if (polled) stores_.endpoints.onPolled();
 }
 
-// With stores ever new, each round would otherwise walk all that there ever were.
+// Resets the store so that its index can be reused: otherwise each round would iterate over all
+// stores that were ever listed.
 void DecisionEngine::removeEndpoint(int store, TimePoint now) {
   stores_.endpoints.remove(store);
   stores_.primaries.onRemoved(store);
@@ -116,13 +121,13 @@
   stores_.endpoints.onPollFailed(random_, now);
 }
 
-// A zone that is taken back is cold, and each proxy that found its stores away would otherwise
-// probe each.
+// When a zone gets traffic again, its stores are cold. Their ejections end, as otherwise every
+// proxy that found the stores unreachable would probe each of them.
 void DecisionEngine::setZoneShare(int zone, double share, bool mayProbe, TimePoint now) {
   stores_.ensureZone(zone);
   double before = stores_.endpoints.setZoneShare(zone, share, mayProbe);
-  bool isTakenBack = before <= 0 && share > 0;
-  if (!isTakenBack) return;
+  bool regainsTraffic = before <= 0 && share > 0;
+  if (!regainsTraffic) return;
   for (int store = 0; store < stores_.endpoints.size(); ++store) {
     if (stores_.endpoints.zone(store) != zone || stores_.endpoints.group(store) < 0) continue;
     onStoreStarted(store, now);
@@ -130,7 +135,7 @@
   }
 }
 
-// ---- what is learned of stores ----
+// ---- observations of stores ----
 
 void DecisionEngine::onStoreStarted(int store, TimePoint now) {
   stores_.slowStart.beginObserved(store, random_, now);
@@ -160,7 +165,7 @@
 void DecisionEngine::onProbeEnded(int store, bool ok, const ReplicaReport& report, TimePoint now,
                                   Role role) {
   probes_.onProbeEnded(store);
-  // What a response says beside its report counts as known too, and the report may be older.
+  // The role in the response itself counts as known too; the report beside it may be older.
   if (role == Role::replica) observeRole(store, {role, now, RoleSource::response}, now);
   if (!ok) {
     bool isUnreachable = stores_.health.onProbeFailed(store, now);
@@ -168,7 +173,8 @@
     return;
   }
   int group = stores_.endpoints.group(store);
-  // A dead primary of several members would have lost its role.
+  // In a group of several members, a primary that failed would have lost its role to another. One
+  // that reports as primary at a position later than its ejection has kept running.
   bool wasPrimaryThroughout = report.position && report.primary.value_or(false) &&
                               *report.position > stores_.health.ejectedAt(store);
   bool keptRole = wasPrimaryThroughout && stores_.endpoints.groupSize(group) > 1;
@@ -204,21 +210,21 @@
                .tenant = arrival.tenant,
                .session = arrival.session,
                .isOpen = true,
-               // A retry taken for new would often be late, at the cost of others.
-               .arrived = arrival.repeated ? now - workload.slo * kRetryWaited : now,
+               // A retry that counted as new would often be answered late, and delay others.
+               .arrived = arrival.repeated ? now - workload.slo * kRetryElapsedShare : now,
                .giveUpAt = arrival.giveUpAt,
                .requiredPosition = stores_.freshness.requiredPosition(arrival, now),
                .attempts = {}};
-  // At the most advanced replica a fresh read is turned away until the log has come.
+  // Until the log has arrived, even the most advanced replica rejects a fresh read.
   if (workload.level == Level::fresh && settings_.storesRejectStaleReads)
-    statement.notBefore = now + settings_.tick * kFreshReadPause;
+    statement.notBefore = now + settings_.tick * kFreshReadDelay;
   admission_.countTenant(statement, now);
   stores_.statistics.onStatementArrived(statement.workload);
   Duration work = stores_.statistics.leastTime(statement.workload);
   stores_.slowStart.onStatementArrived(statement.group, work, now);
   probes_.onStatementArrived(statement, arrival.repeated, now);
   retries_.onStatementArrived();
-  open_.push_back(id);
+  openStatements_.push_back(id);
   admission_.enqueue(statement);
 }
 
@@ -227,7 +233,7 @@
   Attempt& attempt = statement.attempts[result.attempt];
   if (std::exchange(attempt.isOutstanding, false)) {
     stores_.limits.onReturned(attempt.store);
-    returned_.push_back(attempt.store);
+    endedAttemptStores_.push_back(attempt.store);
   }
   attempt.mayHaveRun = !provesNothingRan(result.outcome);
   learnFromResponse(statement, attempt, result, now);
@@ -238,7 +244,7 @@
   continueStatement(statement, result, now);
 }
 
-// What the response says of its store's role and position.
+// Records the store's role and position as stated by the response.
 void DecisionEngine::learnFromResponse(const StatementState& statement, const Attempt& attempt,
                                        const AttemptResult& result, TimePoint now) {
   int store = attempt.store;
@@ -255,7 +261,7 @@
   probes_.deferByLag(store, now - position, Duration{}, now);
 }
 
-// What the outcome says of its store's health and of the workload's running time.
+// Records what the outcome shows of the store's health and of the workload's running time.
 void DecisionEngine::learnFromAttempt(const StatementState& statement, const Attempt& attempt,
                                       const AttemptResult& result, TimePoint now) {
   int store = attempt.store;
@@ -272,7 +278,7 @@
   if (result.outcome != AttemptOutcome::ok) return;
   stores_.limits.onSuccess(store, attempt, result.elapsed, workload.slo, now);
   stores_.statistics.onSuccess(statement.workload, result.elapsed);
-  // A write was committed before its response was written.
+  // A write is committed before its response is written, so `now` is no earlier than its commit.
   if (workload.level == Level::write && !settings_.readsCarrySessionToken)
     stores_.freshness.onCommit(statement.session, result.position.value_or(now));
 }
@@ -299,9 +305,9 @@
   wakeAt_ = kNever;
 }
 
-// Of what was read by the clock before and what is read by it now, one is wrong, and together they
-// would prove a stale read fresh (test: clockSteps). Positions count as the older, and what open
-// reads need as the later of both readings.
+// Times read before and after the step are not comparable: either reading may be wrong, and mixed
+// they would make a stale read appear fresh (test: clockSteps). Positions therefore count as the
+// older of both readings, and the positions that open reads require as the later.
 void DecisionEngine::onClockStepped(Duration ahead) {
   Duration older = std::max(ahead, Duration{});
   Duration later = older - ahead;
@@ -309,7 +315,7 @@
   stores_.slowStart.onClockStepped(ahead);
   stores_.clockSkew.onClockStepped(ahead);
   probes_.onClockStepped(older);
-  for (int id : open_) {
+  for (int id : openStatements_) {
     TimePoint& required = statements_[id].requiredPosition;
     if (required > kNever) required = required + later;
   }
@@ -330,20 +336,20 @@
   }
 }
 
-// Idle connections of hundreds of proxies fill the tables of stores that accept few. They are not
-// closed at all stores for one that refused, or they would be made anew for each statement while a
-// zone is away.
+// The idle connections of hundreds of proxies fill the connection tables of stores that accept few.
+// One store that refuses connections doesn't close those to all stores: while a zone is
+// unreachable, each statement would need a new connection.
 void DecisionEngine::releaseIdleConnections(const Round& round) {
-  for (int store : returned_) {
+  for (int store : endedAttemptStores_) {
     bool isIdle = stores_.limits.outstanding(store) == 0;
     if (isIdle && stores_.health.hasConnectionShortage(store, round.now)) round.sink.release(store);
   }
-  returned_.clear();
+  endedAttemptStores_.clear();
 }
 
 void DecisionEngine::scheduleWake(const Round& round) {
   if (wakeAt_ > round.now) return;
-  Duration period = settings_.tick * (open_.empty() ? kIdleWakePeriod : kBusyWakePeriod);
+  Duration period = settings_.tick * (openStatements_.empty() ? kIdleWakePeriod : kBusyWakePeriod);
   wakeAt_ = round.now + period;
   round.sink.wake(period);
 }
@@ -354,7 +360,7 @@
   if (stores_.endpoints.takePoll(now)) sink.pollEndpoints();
   refreshStores(now);
   releaseIdleConnections(round);
-  retries_.supervise(open_, statements_, round);
+  retries_.supervise(openStatements_, statements_, round);
   if (settings_.mayProbe)
     for (int group = 0; group < groups; ++group)
       probes_.schedule(group, admission_.waiting(group), statements_, selection_, random_, round);
@@ -362,7 +368,7 @@
     admission_.dispatch(group, selection_, retries_, actions_, round);
     admission_.shed(group, retries_, actions_, round);
   }
-  std::erase_if(open_, [&](int id) { return !statements_[id].isOpen; });
+  std::erase_if(openStatements_, [&](int id) { return !statements_[id].isOpen; });
   scheduleWake(round);
 }
 
--- a/src/decision/engine.h
+++ b/src/decision/engine.h
@@ -1,12 +1,12 @@
-// The decision engine: from facts about statements, stores and the endpoint list to decisions.
+// The decision engine: turns events about statements, stores and the endpoint list into decisions.
 //
-// Build an engine with its settings, feed it the facts of a round in the order in which they came
-// in, then call `decide` once; all decisions go straight into the sink. An engine does no I/O,
-// reads no clock and shares nothing with any other; equal settings and facts give equal decisions.
-// It is used by one thread.
+// Construct an engine with its settings, report the events of a round in the order in which they
+// arrived, then call `decide` once; all decisions are written to the sink. An engine does no I/O,
+// reads no clock and shares no state with other engines; equal settings and events give equal
+// decisions. Not thread-safe.
 //
-// The engine holds the order of a round and passes facts on. Each mechanism is a module of its own:
-// docs/decision-modules.md.
+// The engine defines the order of a round and forwards events to the modules. Each mechanism is a
+// module of its own: docs/decision-modules.md.
 #pragma once
 
 #include <vector>
@@ -25,44 +25,49 @@
 
 class DecisionEngine {
  public:
-  // Throws std::invalid_argument where a setting that it can't do without is missing or makes no
-  // sense.
+  // Throws std::invalid_argument if a required setting is missing or out of range.
   DecisionEngine(EngineSettings settings, TimePoint now);
   DecisionEngine(const DecisionEngine&) = delete;
   DecisionEngine& operator=(const DecisionEngine&) = delete;
 
-  // The endpoint list. A whole snapshot holds all endpoints, another one changes alone.
+  // The endpoint list: a snapshot begins, its endpoints are added, it ends. A whole snapshot
+  // contains all endpoints, any other one only those that changed. `polled`: the snapshot is the
+  // response to a poll, which resets the backoff between polls.
   void beginSnapshot(bool whole);
   void addEndpoint(const EndpointInfo& endpoint, TimePoint now);
   void endSnapshot(bool polled);
-  // The caller holds nothing of the store any more: no attempt is outstanding at it, no open
-  // statement was sent to it. Its index may be another's from now on.
+  // Drops all state of the store; its index may be reused for another store from now on.
+  // Precondition: no attempt is outstanding at the store, and no open statement was sent to it.
   void removeEndpoint(int store, TimePoint now);
   void onDiscoveryFailed(TimePoint now);
 
-  // Statements are named by the ids that the caller gives them; an id may be used again.
+  // Statements are identified by ids that the caller assigns; the id of a statement that has ended
+  // may be reused.
   void onStatementArrived(int id, const Arrival& arrival, TimePoint now);
   void onAttemptEnded(int id, const AttemptResult& result, TimePoint now);
   void onClientClosed(int id);
-  // Until they are released, statements wait and are given up in their time, but none is sent.
+  // Until releaseStatements(), statements are queued and given up at their deadlines, but none is
+  // sent.
   void holdStatements() { admission_.hold(); }
   void releaseStatements(TimePoint now) { admission_.release(now); }
 
-  // The probe never left this proxy, for want of room here.
+  // The probe was not sent, because this proxy lacked the capacity for it.
   void onProbeNotSent(int store, TimePoint now);
-  // `role` is what the response itself says of its store, whatever its report does.
+  // `role` is the store's role according to the response itself, independent of `report`.
   void onProbeEnded(int store, bool ok, const ReplicaReport& report, TimePoint now,
                     Role role = Role::unknown);
 
   void onWake();
-  // The clock that positions are told in was set ahead by this, or back where it is below zero.
+  // The wall clock, which positions are expressed in, was set ahead by `ahead`, or back if it is
+  // negative.
   void onClockStepped(Duration ahead);
-  // How much of a zone's usual traffic this proxy brings its replicas, and whether it may probe
-  // those that are away; all and yes until this is called. The share is a factor in the weight;
-  // writes follow their primary all the same. A zone that had no share counts as started just now.
+  // Sets the share of the zone's usual traffic that this proxy sends to the zone's replicas, and
+  // whether it may probe those that are unreachable; the defaults are 1 and true. The share is a
+  // factor of a replica's weight; writes are sent to their primary regardless. The stores of a zone
+  // whose share was 0 count as started at `now`.
   void setZoneShare(int zone, double share, bool mayProbe, TimePoint now);
 
-  // Ends a round: call it once, after the round's facts.
+  // Ends a round: called once, after the events of the round.
   void decide(TimePoint now, DecisionSink& sink);
 
  private:
@@ -91,8 +96,8 @@
   RetryPolicy retries_;
   std::vector<StatementState> statements_;
   Admission admission_;
-  std::vector<int> open_;      // statements without their final response, oldest first
-  std::vector<int> returned_;  // stores at which attempts ended in this round
+  std::vector<int> openStatements_;      // ids of those without a final response, oldest first
+  std::vector<int> endedAttemptStores_;  // stores at which attempts ended in this round
   TimePoint wakeAt_ = kNever;
 };
 
--- a/src/decision/statement_actions.cpp
+++ b/src/decision/statement_actions.cpp
@@ -8,11 +8,11 @@
 namespace {
 
 constexpr double kRetryAfter = 0.5;    // SLO times
-constexpr double kRoleLifetime = 0.5;  // of the time after which a response is assumed known
+constexpr double kRoleLifetime = 0.5;  // of `responseAssumedKnownAfter`
 
 }  // namespace
 
-bool isRetryHarmless(const StatementState& statement, const Workload& workload) {
+bool isRetrySafe(const StatementState& statement, const Workload& workload) {
   if (workload.effect == Effect::idempotent) return true;
   if (workload.effect == Effect::deduplicated && workload.scope == Scope::everywhere) return true;
   return std::none_of(statement.attempts.begin(), statement.attempts.end(),
@@ -24,7 +24,7 @@
 
 void StatementActions::send(StatementState& statement, int store, const Round& round) {
   TimePoint now = round.now;
-  TimePoint sendBy = leaveBy(statement, store, now);
+  TimePoint sendBy = sendDeadline(statement, store, now);
   statement.attempts.push_back({.store = store,
                                 .sent = now,
                                 .isOutstanding = true,
@@ -37,28 +37,29 @@
   round.sink.send(statement.id, store, statement.giveUpAt, sendBy);
 }
 
-// A connection takes its time to come up, and an attempt that leaves too late is a stale read or a
-// second effect.
-TimePoint StatementActions::leaveBy(const StatementState& statement, int store,
-                                    TimePoint now) const {
+// Establishing a connection takes time, and an attempt that is sent too late may be a stale read or
+// have a second effect.
+TimePoint StatementActions::sendDeadline(const StatementState& statement, int store,
+                                         TimePoint now) const {
   const Workload& workload = settings_.workloads[statement.workload];
-  TimePoint deadline = retryLeaveBy(statement);
-  bool restsOnKnowledge = workload.level != Level::any && workload.level != Level::write &&
-                          !settings_.storesRejectStaleReads;
-  if (!restsOnKnowledge) return deadline;
+  TimePoint deadline = retrySendDeadline(statement);
+  bool reliesOnKnownFreshness = workload.level != Level::any && workload.level != Level::write &&
+                                !settings_.storesRejectStaleReads;
+  if (!reliesOnKnownFreshness) return deadline;
   if (store != stores_.primaries.primary(statement.group)) {
     if (workload.level != Level::bounded) return deadline;
     TimePoint tooOldAt = stores_.freshness.position(store) + workload.stalenessBound;
     return std::min(deadline, tooOldAt);
   }
   if (settings_.responseAssumedKnownAfter <= Duration{}) return deadline;
-  // Meanwhile a response may show that the store is no primary any more, and counts though unread.
+  // A response that is still unread may already show that the store has lost the primary role, and
+  // counts as known after `responseAssumedKnownAfter`.
   TimePoint roleDoubtfulAt = now + settings_.responseAssumedKnownAfter * kRoleLifetime;
   return std::min(deadline, roleDoubtfulAt);
 }
 
-// A retry leaves while the stores still deduplicate what may have run.
-TimePoint StatementActions::retryLeaveBy(const StatementState& statement) const {
+// A retry has to be sent while the stores still deduplicate earlier attempts that may have run.
+TimePoint StatementActions::retrySendDeadline(const StatementState& statement) const {
   const Workload& workload = settings_.workloads[statement.workload];
   TimePoint deadline = statement.giveUpAt;
   if (workload.effect != Effect::deduplicated) return deadline;
@@ -83,7 +84,7 @@
       round.sink.cancel(statement.id, attempt);
   statement.isOpen = false;
   const Workload& workload = settings_.workloads[statement.workload];
-  if (!isRetryHarmless(statement, workload)) {
+  if (!isRetrySafe(statement, workload)) {
     round.sink.abort(statement.id);
     return;
   }
--- a/src/decision/statement_actions.h
+++ b/src/decision/statement_actions.h
@@ -1,7 +1,7 @@
-// What is done with a statement: attempts are sent or cancelled, and a statement is given up.
+// Actions on a statement: sending and cancelling attempts, and giving a statement up.
 //
-// Owns no state. Every send goes through here, so that each module that counts attempts learns of
-// it, and each attempt leaves in time for the data that it rests on.
+// Owns no state. Every send is made here, so that each module that counts attempts is notified, and
+// each attempt has a send deadline until which the state that the decision relies on holds.
 #pragma once
 
 #include "base/time.h"
@@ -15,20 +15,24 @@
  public:
   StatementActions(const EngineSettings& settings, StoreModules& stores);
 
+  // Adds an attempt at `store` and sends it.
   void send(StatementState& statement, int store, const Round& round);
+  // Cancels the attempt with index `attempt`.
   void cancel(StatementState& statement, int attempt, const Round& round);
-  // Ends an open statement with a rejection, or with an abort where a retry could do harm.
+  // Ends an open statement with a rejection, or with an abort if a retry is not safe.
   void giveUp(StatementState& statement, const Round& round);
 
  private:
-  TimePoint leaveBy(const StatementState& statement, int store, TimePoint now) const;
-  TimePoint retryLeaveBy(const StatementState& statement) const;
+  // The time by which an attempt at `store` has to be written.
+  TimePoint sendDeadline(const StatementState& statement, int store, TimePoint now) const;
+  // The same for reasons other than freshness: the client's deadline and the deduplication window.
+  TimePoint retrySendDeadline(const StatementState& statement) const;
 
   const EngineSettings& settings_;
   StoreModules& stores_;
 };
 
-// True where a client may be told that a retry does no harm.
-bool isRetryHarmless(const StatementState& statement, const Workload& workload);
+// True if a client can safely retry the statement: a further execution can't repeat an effect.
+bool isRetrySafe(const StatementState& statement, const Workload& workload);
 
 }  // namespace reedchute
--- a/src/decision/store_modules.h
+++ b/src/decision/store_modules.h
@@ -1,6 +1,6 @@
-// The modules that own what is known of stores, under one index.
+// The modules that own the state of stores, all indexed by store.
 //
-// The engine feeds facts to each of them; policies read them.
+// The engine forwards events to each of them; policies read them.
 #pragma once
 
 #include "base/time.h"
@@ -19,12 +19,13 @@
 struct StoreModules {
   StoreModules(const EngineSettings& settings, TimePoint now);
 
-  // Nothing is known of the store, which may be one more; its data counts as drained.
+  // Resets the store to the state where nothing is known of it, adding it if its index is new. Its
+  // data counts as drained.
   void reset(int store, TimePoint now);
   void ensureGroup(int group);
   void ensureZone(int zone);
 
-  // True where statements may be sent to the store at all.
+  // True if the store is listed as up and is available: neither ejected nor left to probes.
   bool isUsable(int store, TimePoint now) const {
     return endpoints.isUp(store) && health.isAvailable(store, now);
   }
@@ -34,7 +35,7 @@
   bool hasUsablePrimary(int group, TimePoint now) const;
 
   WorkloadStatistics statistics;
-  const Duration rateMemory;  // how far back rates look
+  const Duration rateMemory;  // time constant of decaying rates
   EndpointList endpoints;
   Freshness freshness;
   PrimaryTracker primaries;
