--- a/src/invariants/attempt_guard.cpp
+++ b/src/invariants/attempt_guard.cpp
@@ -69,7 +69,7 @@
   return since < kForever && now - since >= grace;
 }
 
-// Does a store know the idempotency keys that the earlier one has seen?
+// True if `store` knows the idempotency keys that `earlierStore` has received.
 bool AttemptGuard::sharesKeys(Scope scope, int store, int earlierStore) const {
   switch (scope) {
     case Scope::everywhere:
@@ -104,7 +104,7 @@
   if (attempt.isCancelled) return Refusal::cancelled;
   if (now >= attempt.deadline) return Refusal::deadlinePassed;
   if (now >= attempt.sendBy) return Refusal::sendByPassed;
-  // The process may stand still between here and the write, so the grace ends earlier.
+  // The process may be paused between this check and the write, so the grace ends earlier here.
   Duration grace = std::max(Duration{}, settings_.drainGrace - kMaxStall);
   if (isPastDrainGrace(attempt.store, grace, now)) return Refusal::storeDraining;
   Refusal retry = refusalToRetry(attempt, earlier, now);
--- a/src/invariants/attempt_guard.h
+++ b/src/invariants/attempt_guard.h
@@ -1,6 +1,6 @@
 // The rules for what may be written to a store: first attempts, retries and hedged attempts alike.
-// Asked right before the first byte is written, it judges by what was written before and how that
-// ended, not by what was decided. No I/O, no clock.
+// The guard is called right before the first byte is written. It decides by what was written before
+// and how that ended, independent of the decision engine. No I/O, no clock.
 #pragma once
 
 #include <vector>
@@ -13,7 +13,7 @@
 // An earlier attempt of the same statement.
 struct EarlierAttempt {
   int store = -1;
-  TimePoint sentAt = kNever;  // when its first byte was written; kNever: it wasn't
+  TimePoint sentAt = kNever;  // when its first byte was written; kNever: not written
   bool mayHaveRun = true;     // as far as is known by now
 };
 
@@ -21,7 +21,7 @@
 struct AttemptToSend {
   int workload = -1;
   int store = -1;
-  bool isOpen = false;  // its client still awaits the final response
+  bool isOpen = false;  // the statement has no final response yet
   bool isClientGone = false;
   bool isCancelled = false;
   TimePoint deadline;
@@ -36,37 +36,41 @@
   cancelled,
   deadlinePassed,
   sendByPassed,
-  storeDraining,            // and its drain grace is over
-  mayHaveRun,               // an earlier attempt, of a statement that must not run twice
-  deduplicationWindowOver,  // an earlier attempt may have run, and its key may be forgotten
-  outOfDeduplicationScope,  // an earlier attempt may have run where this store can't know its key
+  storeDraining,            // the store is draining, and its drain grace is over
+  mayHaveRun,               // an earlier attempt of a non-idempotent statement may have run
+  deduplicationWindowOver,  // an earlier attempt may have run, and stores may have dropped its key
+  outOfDeduplicationScope,  // an earlier attempt may have run at a store that shares no keys
   count
 };
-// As the log words it.
+// The value in log lines and counters.
 const char* nameOf(Refusal refusal);
 
-// Does this outcome prove that an attempt that was written has not run?
+// True if this outcome proves that an attempt that was written has not run.
 bool provesNothingRan(AttemptOutcome outcome);
 
 class AttemptGuard {
  public:
-  // For how long the process may stand still between reading the clock and writing.
+  // The longest pause of the process that is allowed for between reading the clock and writing.
   static constexpr Duration kMaxStall{150'000};
 
   explicit AttemptGuard(const EngineSettings& settings) : settings_(settings) {}
 
-  // What the endpoint list states of a store. A drain lasts from the first time that it is stated.
+  // Updates a store from the endpoint list. A drain begins when it is first listed, and ends when
+  // the store is listed as up.
   void onEndpointListed(int store, int group, int zone, EndpointStatus status, TimePoint now);
-  // A full endpoint list leaves the store out.
+  // A full endpoint list doesn't contain the store.
   void onEndpointDropped(int store, TimePoint now);
-  // The store's index may be another store's from now on.
+  // Drops the state of the store, whose index may be reused for another store from now on.
   void forget(int store);
 
+  // Why the attempt may not be sent now. `earlier` holds the attempts of its statement, of which
+  // those that were not written don't count.
   Refusal refusalToSend(const AttemptToSend& attempt, const std::vector<EarlierAttempt>& earlier,
                         TimePoint now) const;
-  // Judges only whether the attempt could repeat the effect of an earlier one.
+  // The same, but checks only whether the attempt could repeat the effect of an earlier one.
   Refusal refusalToRetry(const AttemptToSend& attempt, const std::vector<EarlierAttempt>& earlier,
                          TimePoint now) const;
+  // True if the store has been draining for `grace` or longer.
   bool isPastDrainGrace(int store, Duration grace, TimePoint now) const;
 
  private:
--- a/src/invariants/violations.cpp
+++ b/src/invariants/violations.cpp
@@ -9,7 +9,7 @@
 namespace reedchute::invariants {
 namespace {
 
-constexpr std::size_t kMaxFieldBytes = 320;  // of one log line
+constexpr std::size_t kMaxFieldBytes = 320;  // per log line; longer ones are cut off
 
 std::array<std::uint64_t, static_cast<std::size_t>(Rule::count)> counts;
 
