--- a/tests/decision/engine_scenarios_test.cpp
+++ b/tests/decision/engine_scenarios_test.cpp
@@ -1,4 +1,5 @@
-// Each scenario prints a trace of decisions; tests/traces holds the kept ones.
+// Scenarios of the decision engine. Each prints a trace of decisions, which is compared with the
+// expected one in tests/traces.
 #include <algorithm>
 #include <cmath>
 #include <cstring>
@@ -21,7 +22,7 @@
   w.slo = ms(4000);
   return w;
 }();
-const Workload kOnce = Bench::work(Level::write, Effect::nonIdempotent);
+const Workload kNonIdempotent = Bench::work(Level::write, Effect::nonIdempotent);
 
 void curve() {
   Bench b(Bench::terms({kBounded}));
@@ -29,19 +30,19 @@
   for (int s = 1; s < 4; ++s) b.report(s, 10);
   b.note("slow start is over: all three young, then store 3 at 130 of 200 ms, then at 210");
   b.pass(5000);
-  auto ages = [&](double third) {
-    return [&b, third] { b.report(1, 10), b.report(2, 10), b.report(3, third); };
+  auto reportAges = [&](double ageOfThird) {
+    return [&b, ageOfThird] { b.report(1, 10), b.report(2, 10), b.report(3, ageOfThird); };
   };
-  b.shares(0, 300, 4, ages(10));
+  b.shares(0, 300, 4, reportAges(10));
   b.clock = b.clock + ms(500);
-  b.shares(0, 300, 4, ages(130));
+  b.shares(0, 300, 4, reportAges(130));
   b.clock = b.clock + ms(500);
-  b.shares(0, 300, 4, ages(210));
+  b.shares(0, 300, 4, reportAges(210));
   b.note("back at 190 ms it stays drained: the re-entry gap; at 90 ms it returns, ramping up");
   b.clock = b.clock + ms(500);
-  b.shares(0, 100, 4, ages(190));
+  b.shares(0, 100, 4, reportAges(190));
   b.clock = b.clock + ms(500);
-  b.shares(0, 100, 4, ages(90));
+  b.shares(0, 100, 4, reportAges(90));
 }
 
 void unmeasured() {
@@ -93,7 +94,7 @@
 }
 
 void nonIdempotent() {
-  Bench b(Bench::terms({kOnce}));
+  Bench b(Bench::terms({kNonIdempotent}));
   b.list(2);
   b.note("full never ran: sent again; an error may have: aborted, neither sent again nor rejected");
   b.arrive(0);
@@ -212,17 +213,17 @@
   Bench b(Bench::terms({kAny}));
   b.list(3);
   b.note("store 1 stays silent: its reads get second copies elsewhere and new ones keep away");
-  std::vector<int> stuck;
+  std::vector<int> stuckStatements;
   for (int k = 0; k < 200; ++k) {
     b.quiet = true;
     int statement = b.arrive(0);
     b.round();
     b.quiet = false;
     if (b.last != 1) b.answer(statement, AttemptOutcome::ok);
-    if (b.last == 1) stuck.push_back(statement);
+    if (b.last == 1) stuckStatements.push_back(statement);
     b.pass(2);
   }
-  std::printf("held by store 1: %zu of 200\n", stuck.size());
+  std::printf("held by store 1: %zu of 200\n", stuckStatements.size());
 }
 
 void fastErrors() {
@@ -294,14 +295,14 @@
   b.note(
       "danger: a position that stands still is no report to be renewed; it is looked at by its "
       "lag");
-  TimePoint stands = b.clock - ms(20);
+  TimePoint position = b.clock - ms(20);
   int probes = 0;
   b.quiet = true;
   for (int k = 1; k <= 800; ++k) {
     b.probed = -1;
     if (k % 20 == 0) b.arrive(0, 300);
     b.pass(5);
-    if (b.probed == 1) ++probes, b.report(1, (b.clock - stands).seconds() * 1000);
+    if (b.probed == 1) ++probes, b.report(1, (b.clock - position).seconds() * 1000);
     if (k % 200 == 0) std::printf("after %d ms: %d probes\n", k * 5, probes);
   }
 }
@@ -320,10 +321,10 @@
       b.last = -1;
       b.arrive(0, 300);
       b.round();
-      bool sent = b.last == (w.level == Level::any);
+      bool isSent = b.last == (w.level == Level::any);
       b.clock = b.clock + ms(250);
-      if (sent) b.answer(b.lastStmt, AttemptOutcome::ok, Role::unknown, 0, -1, 250);
-      if (k % 10 == 0) std::printf("statement %d: %s\n", k, sent ? "sent at once" : "held");
+      if (isSent) b.answer(b.lastStmt, AttemptOutcome::ok, Role::unknown, 0, -1, 250);
+      if (k % 10 == 0) std::printf("statement %d: %s\n", k, isSent ? "sent at once" : "held");
       b.pass(100);
     }
   }
@@ -337,7 +338,7 @@
   b.note(
       "tenant 0 sends far beyond its share; when room is short its excess waits behind tenant 1");
   b.quiet = true;
-  std::vector<int> stmts;
+  std::vector<int> statements;
   for (int k = 0; k < 40; ++k) b.arrive(0), b.round();
   int other = b.arrive(0, 2000, 0, false, 1);
   std::printf("tenant 1 waits with #%d\n", other);
@@ -369,9 +370,9 @@
 
 void coldDebt() {
   int sent = 0;
-  for (int front = 0; front < 60; ++front) {
+  for (int proxy = 0; proxy < 60; ++proxy) {
     EngineSettings t = Bench::terms({kAny});
-    t.proxyCount = 60, t.seed = static_cast<std::uint64_t>(front);
+    t.proxyCount = 60, t.seed = static_cast<std::uint64_t>(proxy);
     Bench b(t);
     b.quiet = true;
     b.list(2);
@@ -384,15 +385,16 @@
   std::printf("fronts that sent one: %d of 60\n", sent);
 }
 
-// Danger: a debt by the dearest statement's work kept a new primary empty until it was warm, though
-// it was told of writes only; and what all fronts together send must stay under the multiple at
-// which a cold store falls over.
+// A budget that started in debt by the work of the most expensive statement kept a new primary
+// without any statements until it was warm, though only writes had to be sent to it. What all
+// proxies send together must still stay below the multiple of its load at which a cold store is
+// overloaded.
 void coldPrimary() {
-  constexpr int kFronts = 200;
-  std::vector<std::unique_ptr<Bench>> fronts;
+  constexpr int kProxies = 200;
+  std::vector<std::unique_ptr<Bench>> proxies;
   std::ranlux24_base chance(5);
   int writes = 0, reads = 0;
-  auto second = [&](Bench& b) {
+  auto runSecond = [&](Bench& b) {
     TimePoint end = b.clock + ms(1000);
     b.pass(static_cast<double>(chance() % 400));
     for (int workload : {0, 1}) {
@@ -404,26 +406,26 @@
     }
     while (b.clock < end) b.pass(5);
   };
-  for (int front = 0; front < kFronts; ++front) {
-    Bench& b = *fronts.emplace_back(
-        std::make_unique<Bench>(Bench::terms({kWrite, kAny, kLongRead}, kFronts, front), 4));
-    for (int k = 0; k < 10; ++k) second(b);
+  for (int proxy = 0; proxy < kProxies; ++proxy) {
+    Bench& b = *proxies.emplace_back(
+        std::make_unique<Bench>(Bench::terms({kWrite, kAny, kLongRead}, kProxies, proxy), 4));
+    for (int k = 0; k < 10; ++k) runSecond(b);
     b.listOne(0, true, EndpointStatus::up, b.clock);
   }
   std::printf(
       "-- %d fronts, a write and a short read a second each, four members; the primary starts "
       "anew\n",
-      kFronts);
+      kProxies);
   std::printf("warm: %d writes a second, %d reads\n", writes / 10, reads / 10);
   for (int n = 1; n <= 10; ++n) {
     writes = reads = 0;
-    for (auto& b : fronts) second(*b);
+    for (auto& b : proxies) runSecond(*b);
     if (n % 3 == 1) std::printf("second %d: %d writes, %d reads\n", n, writes, reads);
   }
 }
 
 void probesEarned() {
-  for (bool lag : {false, true}) {
+  for (bool allLag : {false, true}) {
     EngineSettings t = Bench::terms({kBounded});
     t.proxyCount = 100, t.probeCost = 0.03;
     Bench b(t);
@@ -433,24 +435,25 @@
     for (int k = 0; k < 200; ++k) {
       if (k % 20 == 0) b.arrive(0, 300);
       b.probed = b.last = -1, b.pass(50);
-      if (b.probed >= 0) ++probes, b.report(b.probed, lag ? 5000 : 20, b.probed == 0);
+      if (b.probed >= 0) ++probes, b.report(b.probed, allLag ? 5000 : 20, b.probed == 0);
       if (b.last >= 0) b.answer(b.lastStmt, AttemptOutcome::ok);
     }
-    std::printf("%s: %d probes for 10 reads\n", lag ? "all lag" : "all fresh", probes);
+    std::printf("%s: %d probes for 10 reads\n", allLag ? "all lag" : "all fresh", probes);
   }
 }
 
-// Danger: what was sent ahead of a pace that was cut stood as owed for minutes; a primary that was
-// full for two seconds got a fifth of its writes for half a minute after.
+// Statements sent ahead of the pace counted against it for minutes after the pace was cut: a
+// primary that was overloaded for two seconds got a fifth of its writes for half a minute
+// afterwards.
 void paceReturns() {
   Bench b(Bench::terms({kWrite}, 300), 1);
-  auto second = [&](bool full, double took) {
+  auto runSecond = [&](bool isOverloaded, double elapsed) {
     int sent = 0;
     for (int k = 0; k < 2; ++k) {
       b.ask(0, 300, 5);
       if (b.last >= 0)
-        ++sent, b.answer(b.lastStmt, full ? AttemptOutcome::overloaded : AttemptOutcome::ok,
-                         Role::primary, 0, -1, took);
+        ++sent, b.answer(b.lastStmt, isOverloaded ? AttemptOutcome::overloaded : AttemptOutcome::ok,
+                         Role::primary, 0, -1, elapsed);
       b.pass(495);
     }
     return sent;
@@ -459,22 +462,22 @@
       "300 fronts; two writes a second; the primary is well, then full for two seconds, then well "
       "again");
   int sent = 0;
-  for (int k = 0; k < 4; ++k) sent += second(false, 30);
+  for (int k = 0; k < 4; ++k) sent += runSecond(false, 30);
   std::printf("well: %d of 8 sent\n", std::exchange(sent, 0));
-  for (int k = 0; k < 2; ++k) sent += second(true, 2);
+  for (int k = 0; k < 2; ++k) sent += runSecond(true, 2);
   std::printf("full: %d of 4 sent\n", std::exchange(sent, 0));
   for (int k = 1; k <= 30; ++k) {
-    sent += second(false, 30);
+    sent += runSecond(false, 30);
     if (k % 10 == 0) std::printf("%d s after: %d of 20 sent\n", k, std::exchange(sent, 0));
   }
 }
 
-// Danger: 300 fronts that start together each found the primary free for one read that no replica
-// was fresh for; their first reads alone jammed it for four seconds.
+// 300 proxies that started together each found capacity at the primary for a read that no replica
+// was fresh enough for; their first reads alone overloaded it for four seconds.
 void firstReads() {
   int sent[3] = {};
-  for (int front = 0; front < 300; ++front) {
-    EngineSettings t = Bench::terms({kBounded}, 300, front);
+  for (int proxy = 0; proxy < 300; ++proxy) {
+    EngineSettings t = Bench::terms({kBounded}, 300, proxy);
     t.probeCost = 0.03;
     Bench b(t, 1);
     for (int k = 0; k < 3; ++k) {
@@ -495,145 +498,146 @@
   b.engine.endSnapshot(true);
 }
 
-// Danger: a zone is lost, and each front finds out store by store. Three tries in vain with no word
-// from the zone between, and its replicas are left to the others; one word from it, or a while, and
-// they count again.
+// When a zone failed, each proxy detected it store by store. After three failed attempts with no
+// response from the zone in between, reads avoid its replicas; after one response from the zone, or
+// after eight connect time-outs, they are used again.
 void zoneDoubt() {
   Bench b(Bench::terms({kAny}));
   listTwoZones(b, 21, 0);
-  auto share = [&](const char* what) {
-    int there = 0;
+  auto printShare = [&](const char* what) {
+    int zoneOneReads = 0;
     for (int k = 0; k < 100; ++k) {
       int statement = b.ask(0);
-      there += b.last % 2;
+      zoneOneReads += b.last % 2;
       if (b.last >= 0)
         b.answer(statement, b.last % 2 ? AttemptOutcome::neverSent : AttemptOutcome::ok);
       b.engine.onClientClosed(statement);
     }
     std::printf("%s: %s of 100 reads go to zone 1\n", what,
-                there == 0   ? "none"
-                : there < 10 ? "a few"
-                : there > 30 ? "half"
-                             : "some");
+                zoneOneReads == 0   ? "none"
+                : zoneOneReads < 10 ? "a few"
+                : zoneOneReads > 30 ? "half"
+                                    : "some");
   };
-  auto vain = [&](int times) {
-    for (int k = 0, tried = 0; k < times && tried < 2000; ++tried) {
+  auto failAttempts = [&](int times) {
+    for (int k = 0, tries = 0; k < times && tries < 2000; ++tries) {
       int statement = b.ask(0);
-      bool one = b.last % 2 == 1;
+      bool isInZoneOne = b.last % 2 == 1;
       if (b.last >= 0)
-        b.answer(statement, one ? AttemptOutcome::connectFailed : AttemptOutcome::ok);
+        b.answer(statement, isInZoneOne ? AttemptOutcome::connectFailed : AttemptOutcome::ok);
       b.engine.onClientClosed(statement);
-      k += one;
+      k += isInZoneOne;
     }
   };
-  share("all well");
-  vain(2);
-  share("two tries in vain");
-  vain(1);
-  share("three");
+  printShare("all well");
+  failAttempts(2);
+  printShare("two tries in vain");
+  failAttempts(1);
+  printShare("three");
   for (int s = 1; s < 21; s += 2) b.engine.onProbeEnded(s, true, {}, b.clock);
-  share("a word from it");
-  vain(3);
-  share("three more");
+  printShare("a word from it");
+  failAttempts(3);
+  printShare("three more");
   b.pass(2100);
-  share("after eight connect time-outs");
+  printShare("after eight connect time-outs");
 }
 
-// A zone's share is one factor of the weight; none means none, but for writes. ReceivedStatement
-// back, its stores are cold.
+// A zone's share is a factor of its replicas' weight; a share of 0 leaves them no reads, while
+// writes are still sent to a primary there. When the zone gets a share again, its stores are cold.
 void zoneShares() {
   Bench b(Bench::terms({kAny, kWrite}));
   listTwoZones(b, 20, 1);
   b.round();
   for (int k = 0; k < 20; ++k) b.report(k, 10, k == 1);
-  auto share = [&](const char* what) {
-    int there = 0;
+  auto printShare = [&](const char* what) {
+    int zoneOneReads = 0;
     for (int k = 0; k < 400; ++k) {
       int statement = b.ask(0);
-      there += b.last % 2;
+      zoneOneReads += b.last % 2;
       if (b.last >= 0) b.answer(statement, AttemptOutcome::ok);
       b.clock = b.clock + ms(1);
     }
-    std::printf("%s: %d tenths of 400 reads go to zone 1\n", what, (there + 20) / 40);
+    std::printf("%s: %d tenths of 400 reads go to zone 1\n", what, (zoneOneReads + 20) / 40);
   };
-  share("whole");
-  b.engine.setZoneShare(1, 0.25, true, b.clock), share("a quarter");
-  b.engine.setZoneShare(1, 0, false, b.clock), share("none");
+  printShare("whole");
+  b.engine.setZoneShare(1, 0.25, true, b.clock), printShare("a quarter");
+  b.engine.setZoneShare(1, 0, false, b.clock), printShare("none");
   b.pass(1000);
   b.ask(1);
   std::printf("a write meanwhile goes to store %d, its primary there\n", b.last);
   b.answer(b.lastStmt, AttemptOutcome::connectFailed);
   b.engine.onClientClosed(b.lastStmt);
-  auto looked = [&] {
-    bool so = false;
-    for (int k = 0; k < 400; ++k) b.pass(5), so |= b.probed == 1;
-    return so ? "yes" : "no";
+  auto wasProbed = [&] {
+    bool isProbed = false;
+    for (int k = 0; k < 400; ++k) b.pass(5), isProbed |= b.probed == 1;
+    return isProbed ? "yes" : "no";
   };
-  std::printf("it refuses; looked at while others look: %s\n", looked());
+  std::printf("it refuses; looked at while others look: %s\n", wasProbed());
   b.engine.setZoneShare(1, 0, true, b.clock);
-  std::printf("when it is this front's turn: %s\n", looked());
-  b.engine.setZoneShare(1, 1, true, b.clock), share("taken back, all its stores cold");
-  b.pass(11'000), share("warm");
+  std::printf("when it is this front's turn: %s\n", wasProbed());
+  b.engine.setZoneShare(1, 1, true, b.clock), printShare("taken back, all its stores cold");
+  b.pass(11'000), printShare("warm");
 }
 
-// A cold store falls when all fronts together bring it more than N + 3 root N + 3 statements of
-// mean work in a window, N being its multiple of what it can do then. The budgets of 300 fronts,
-// one in ten with six times the others' traffic, all of it writes for that one store, in a fleet
-// that is asked for a fifth more than it can do.
-void coldSumOf(int kFronts, double perSecond) {
+// A cold store is overloaded when all proxies together send it more than N + 3 sqrt(N) + 3
+// statements of mean work in a window, where N is the overload multiple times its capacity at that
+// time; the check allows N + 2 sqrt(N) + 2. Sums the budgets of up to 300 proxies, one in ten with
+// six times the traffic of each of the others, all of it writes for that store, at a load of a
+// fifth above the capacity of all stores.
+void coldSumOf(int proxies, double statementsPerSecond) {
   constexpr int kMembers = 6, kSeconds = 10;
   std::vector<double> sentAt;
-  double asked = 0;
-  EngineSettings t = Bench::terms({kWrite}, kFronts);
+  double requestedPerSecond = 0;
+  EngineSettings t = Bench::terms({kWrite}, proxies);
   t.coldOverloadWindow = ms(2000);
-  for (int front = 0; front < kFronts; ++front) {
-    t.seed = static_cast<std::uint64_t>(front);
+  for (int proxy = 0; proxy < proxies; ++proxy) {
+    t.seed = static_cast<std::uint64_t>(proxy);
     Bench b(t, kMembers);
-    // One front in ten, or the first of few, gets six times what each of the others gets.
-    bool heavy = front % 10 == 0;
-    double shares = kFronts + 5.0 * ((kFronts + 9) / 10),
-           every = 1000 * shares / perSecond / (heavy ? 6 : 1);  // ms
-    std::ranlux24_base chance(static_cast<std::uint32_t>(front + 1));
-    TimePoint restarts = b.clock + ms(8000), next = b.clock;
-    bool cold = false;
-    auto answers = [&] {
+    // One proxy in ten, or the first of few, gets six times the traffic of each of the others.
+    bool isHeavy = proxy % 10 == 0;
+    double shares = proxies + 5.0 * ((proxies + 9) / 10),
+           meanGap = 1000 * shares / statementsPerSecond / (isHeavy ? 6 : 1);  // ms
+    std::ranlux24_base chance(static_cast<std::uint32_t>(proxy + 1));
+    TimePoint restartAt = b.clock + ms(8000), next = b.clock;
+    bool isCold = false;
+    auto answerIfSent = [&] {
       if (b.last != 0) return;
-      if (cold) sentAt.push_back((b.clock - restarts).seconds());
+      if (isCold) sentAt.push_back((b.clock - restartAt).seconds());
       b.answer(b.lastStmt, AttemptOutcome::ok, Role::primary, b.lastExecution, -1, 30);
     };
-    while (b.clock < restarts + ms(kSeconds * 1000)) {
-      if (!cold && b.clock >= restarts)
-        cold = true, b.listOne(0, true, EndpointStatus::up, b.clock);
+    while (b.clock < restartAt + ms(kSeconds * 1000)) {
+      if (!isCold && b.clock >= restartAt)
+        isCold = true, b.listOne(0, true, EndpointStatus::up, b.clock);
       for (; b.clock >= next;
-           next = next + ms(every * 2 * (static_cast<double>(chance() % 1000) / 1000))) {
-        if (!cold) asked += 1 / 8.0;
-        b.ask(0, 300), answers();
+           next = next + ms(meanGap * 2 * (static_cast<double>(chance() % 1000) / 1000))) {
+        if (!isCold) requestedPerSecond += 1 / 8.0;
+        b.ask(0, 300), answerIfSent();
       }
-      b.last = -1, b.round(), answers();
+      b.last = -1, b.round(), answerIfSent();
       b.clock = b.clock + ms(5);
     }
   }
-  double can = asked / kMembers / 1.2;
+  double capacity = requestedPerSecond / kMembers / 1.2;
   std::printf("-- %d fronts of uneven traffic, every write for a store that has just started\n",
-              kFronts);
-  bool under = true;
+              proxies);
+  bool isBelowLimit = true;
   for (int second = 0; second + 2 <= kSeconds; second += 2) {
-    double most = 0;
+    double maxLoad = 0;
     for (int step = 0; step < 20; ++step) {
       double from = second + step * 0.1;
-      double came = static_cast<double>(std::count_if(
+      double arrivals = static_cast<double>(std::count_if(
           sentAt.begin(), sentAt.end(), [&](double at) { return at >= from && at < from + 2; }));
-      // As cold as it is when the window begins.
+      // The capacity at the beginning of the window, when the store is coldest.
       double n = t.coldOverloadMultiple *
                  (t.coldInitialShare + (1 - t.coldInitialShare) * from / t.warmUpTime.seconds()) *
-                 can * 2;
-      most = std::max(most, came / (n + 2 * std::sqrt(n) + 2));
+                 capacity * 2;
+      maxLoad = std::max(maxLoad, arrivals / (n + 2 * std::sqrt(n) + 2));
     }
-    under &= most <= 1;
+    isBelowLimit &= maxLoad <= 1;
     std::printf("from second %d on: at most %d hundredths of what it bears\n", second,
-                static_cast<int>(std::ceil(most * 100)));
+                static_cast<int>(std::ceil(maxLoad * 100)));
   }
-  std::printf("never over it: %s\n", under ? "yes" : "no");
+  std::printf("never over it: %s\n", isBelowLimit ? "yes" : "no");
 }
 
 void coldSum() {
@@ -643,9 +647,9 @@
   coldSumOf(300, 600);
 }
 
-// Danger: a look for nearly every bounded read, half of them in vain, while primaries have room.
-// Where its pace has a place the primary takes it at once; where it was cut, is cold, or is named
-// by a report alone, a look comes first.
+// Nearly every bounded read caused a probe, half of them without success, while primaries had spare
+// capacity. A primary whose pace allows it gets the read at once; if its pace was cut, it is cold,
+// or only a report names it, a probe is sent first.
 void primaryFirst() {
   for (const char* what : {"a primary with room", "cut by a slow answer", "cold",
                            "named by a report alone", "taken a moment ago"}) {
@@ -674,9 +678,9 @@
   }
 }
 
-// Danger: at many fronts most replicas have no room for one more read from here. Fresh ones among
-// them stood for replicas at hand, so that none was looked for; and looks began with the hosts of
-// long reads, which always lag.
+// With many proxies, most replicas have no capacity for a further read from this one. Fresh
+// replicas without capacity counted as available, so that no others were probed; and probes began
+// with the replicas that serve long reads, which always lag.
 void looks() {
   EngineSettings t = Bench::terms({kBounded, kLongRead}, 100);
   t.probeCost = 0.01;
@@ -690,9 +694,9 @@
     b.ask(1, 300, 50);
     if (b.last >= 0) b.answer(b.lastStmt, AttemptOutcome::ok, Role::unknown, 0, -1, 1200);
   }
-  int looked[6] = {}, served[6] = {};
-  auto look = [&](int s) {
-    ++looked[s];
+  int probed[6] = {}, served[6] = {};
+  auto answerProbe = [&](int s) {
+    ++probed[s];
     b.report(s, s == 0 ? 30 : s < 3 ? 3000 : s == 3 ? 250 : 30, s == 0);
   };
   for (int k = 0; k < 40; ++k) {
@@ -700,22 +704,23 @@
     b.last = -1;
     for (int n = 0; n < 30 && b.lastStmt != statement; ++n) {
       b.probed = -1, b.pass(5);
-      if (b.probed >= 0) look(b.probed);
+      if (b.probed >= 0) answerProbe(b.probed);
     }
     if (b.lastStmt == statement)
       ++served[b.last], b.answer(statement, AttemptOutcome::ok, Role::unknown, 0, -1, 60);
     b.pass(300);
   }
   for (int s = 0; s < 6; ++s)
-    std::printf("store %d: looked at %d times, %d of 40 reads\n", s, looked[s], served[s]);
+    std::printf("store %d: looked at %d times, %d of 40 reads\n", s, probed[s], served[s]);
 }
 
-// Danger: at many fronts short reads that all went to the hosts of long reads first filled those; a
-// light front hears of it too late. There they take hosts like any other replica.
+// With many proxies, short reads that were all sent first to the replicas that serve long reads
+// overloaded those; a proxy with little traffic notices too late. With many proxies, short reads
+// treat them like any other replica.
 void hostsShared() {
   std::vector<int> sent(6, 0);
-  for (int front = 0; front < 100; ++front) {
-    Bench b(Bench::terms({kAny, kLongRead, kBounded}, 100, front), 6);
+  for (int proxy = 0; proxy < 100; ++proxy) {
+    Bench b(Bench::terms({kAny, kLongRead, kBounded}, 100, proxy), 6);
     b.pass(5000);
     b.ask(0);
     if (b.last >= 0) ++sent[static_cast<std::size_t>(b.last)];
@@ -747,8 +752,8 @@
   b.round();
 }
 
-// Danger: hundreds of fronts that met a dead store each gave back all connections after every use,
-// for a warm-up's time.
+// After a store had failed, hundreds of proxies each closed their connections to all stores after
+// every use, for the length of the warm-up time.
 void othersKeep() {
   EngineSettings t = Bench::terms({kWrite, kAny});
   t.proxyCount = 100;
@@ -776,8 +781,8 @@
   c.pass(20);
 }
 
-// Danger: where answers take a hundredth of the SLO time, one connection that fell silent, or that
-// never came up, would block a store that answers on all its others.
+// Where responses take a hundredth of the SLO time, one connection that stopped responding, or
+// could not be established, would eject a store that responds on all its others.
 void oneConnection() {
   Bench b(Bench::terms({kAny}));
   b.list(1);
@@ -794,11 +799,11 @@
     b.answer((b.arrive(0), b.round(), b.lastStmt), AttemptOutcome::ok, Role::primary, 0, -1, 2);
   }
   b.note("and one gets no connection, though others were answered since");
-  int lost = b.arrive(0);
+  int unconnected = b.arrive(0);
   b.round();
   b.pass(10);
   b.answer((b.arrive(0), b.round(), b.lastStmt), AttemptOutcome::ok, Role::primary, 0, -1, 2);
-  b.answer(lost, AttemptOutcome::connectFailed);
+  b.answer(unconnected, AttemptOutcome::connectFailed);
   b.arrive(0);
   b.round();
   b.note("two answers are owed for long, no other is; the store is used at once all the same");
@@ -812,8 +817,8 @@
   b.round();
 }
 
-// Danger: where connections break now and then, one probe or one connection in vain would leave a
-// replica without bounded reads for many bounds.
+// Where connections break occasionally, one failed probe or connection would leave a replica
+// without bounded reads for many times the staleness bound.
 void oneInVain() {
   Bench b(Bench::terms({kBounded}));
   b.list(2);
@@ -840,29 +845,30 @@
   b.round();
 }
 
-// The front had no room to ask: that is no probe in vain.
+// A probe that the proxy lacked the capacity to send must not count as a failed probe.
 void unasked() {
-  for (bool asked : {true, false}) {
+  for (bool isProbeSent : {true, false}) {
     Bench b(Bench::terms({kAny, kBounded}));
     b.quiet = true;
     b.list(3);
     b.report(1, 10), b.report(2, 10);
     b.pass(5000);
     b.answer((b.arrive(0), b.round(), b.lastStmt), AttemptOutcome::connectFailed);
-    int away = b.last;
+    int refusingStore = b.last;
     b.answer((b.round(), b.lastStmt), AttemptOutcome::ok, Role::replica, 1);
     for (int k = 0; k < 3; ++k) {
       b.pass(300);
-      asked ? b.engine.onProbeEnded(away, false, {}, b.clock)
-            : b.engine.onProbeNotSent(away, b.clock);
+      isProbeSent ? b.engine.onProbeEnded(refusingStore, false, {}, b.clock)
+                  : b.engine.onProbeNotSent(refusingStore, b.clock);
     }
     b.pass(2500);
-    b.report(away, 10);
+    b.report(refusingStore, 10);
     b.round();
     b.quiet = false;
-    b.note(asked ? "three looks in vain at one that refused a connection, then an answer: it was "
-                   "dead, and is cold"
-                 : "three that never left this front, then an answer: it is as it was");
+    b.note(isProbeSent
+               ? "three looks in vain at one that refused a connection, then an answer: it was "
+                 "dead, and is cold"
+               : "three that never left this front, then an answer: it is as it was");
     b.shares(0, 100, 3);
   }
 }
@@ -881,12 +887,12 @@
 }
 
 void emptyList() {
-  for (bool binds : {false, true}) {
+  for (bool removalMeansDrained : {false, true}) {
     EngineSettings t = Bench::terms({kAny});
-    t.removalMeansDrained = binds;
+    t.removalMeansDrained = removalMeansDrained;
     Bench b(t);
-    b.note(binds ? "where it binds: nothing is sent until the list is back"
-                 : "an empty list, not binding");
+    b.note(removalMeansDrained ? "where it binds: nothing is sent until the list is back"
+                               : "an empty list, not binding");
     b.list(2), b.list(0);
     b.arrive(0, 300);
     b.round();
@@ -912,8 +918,8 @@
   }
 }
 
-// Danger: a statement answered past half of its client's time, with nothing ever sent, leaves the
-// client too little to try again.
+// A statement that is rejected after more than half of its client's time-out, without ever having
+// been sent, leaves the client too little time to retry.
 void lateWait() {
   EngineSettings t = Bench::terms({kWrite, kBounded});
   t.workloads[0].lateShare = 0.3, t.workloads[1].lateShare = 0.2;
@@ -923,21 +929,21 @@
   b.note(
       "the primary dies: a write and a bounded read past their SLO time wait less than half their "
       "2 s");
-  int first = b.arrive(0);
+  int firstWrite = b.arrive(0);
   b.round();
-  b.answer(first, AttemptOutcome::connectFailed);
+  b.answer(firstWrite, AttemptOutcome::connectFailed);
   b.pass(300);
   b.arrive(0), b.arrive(1);
   b.pass(1200);
 }
 
-// Danger: an answer that can't be read, or one connection that ends, taken for a death, would block
+// One malformed response or one closed connection, if taken for a failure of the store, would eject
 // store after store and make each cold for its warm-up time.
 void oneEnd() {
   Bench b(Bench::terms({kAny}));
   b.list(3);
-  for (AttemptOutcome ending : {AttemptOutcome::malformedResponse, AttemptOutcome::reset}) {
-    b.note(ending == AttemptOutcome::malformedResponse
+  for (AttemptOutcome outcome : {AttemptOutcome::malformedResponse, AttemptOutcome::reset}) {
+    b.note(outcome == AttemptOutcome::malformedResponse
                ? "every tenth answer is spoilt, at all stores alike"
                : "every tenth answer ends with its connection");
     int k = 0;
@@ -947,11 +953,11 @@
       b.last = -1;
       int statement = b.arrive(0);
       b.round();
-      bool sent = b.last >= 0, bad = sent && ++k % 10 == 0;
-      if (sent) b.answer(statement, bad ? ending : AttemptOutcome::ok);
+      bool isSent = b.last >= 0, isFailing = isSent && ++k % 10 == 0;
+      if (isSent) b.answer(statement, isFailing ? outcome : AttemptOutcome::ok);
       b.last = -1;
       b.round();
-      if (bad && b.last >= 0) b.answer(statement, AttemptOutcome::ok, Role::unknown, 1);
+      if (isFailing && b.last >= 0) b.answer(statement, AttemptOutcome::ok, Role::unknown, 1);
       b.clock = b.clock + ms(1);
     }
     b.quiet = false;
@@ -965,7 +971,7 @@
   b.round();
 }
 
-// Danger: what was known of a store that is gone would be taken for the one that has its place now.
+// The state of a removed store must not be applied to the store that reuses its index.
 void places() {
   Bench b(Bench::terms({kBounded, kWrite}));
   b.list(2);
@@ -989,8 +995,8 @@
   b.pass(3000);
 }
 
-// Danger: a read that leaves late, as its connection came up late, would find data older than its
-// bound.
+// A read that is sent late, because its connection was established late, would see data older than
+// its staleness bound.
 void sendBy() {
   Bench b(Bench::terms({kBounded, kAny, kWrite}));
   b.bySend = true;
@@ -1009,8 +1015,8 @@
   b.round();
 }
 
-// What was read by a clock before it was set and what is read by it since, told by who gets the
-// reads.
+// Positions and commits that were recorded before a clock step must not make a stale replica appear
+// fresh after it; the stores that get the reads show it.
 void clockSteps() {
   for (double ahead : {150.0, -150.0}) {
     EngineSettings t = Bench::terms({kBounded, kSession, kWrite});
@@ -1032,8 +1038,8 @@
     b.arrive(0), b.arrive(1);
     b.round();
     b.note("a report of before the commit, and one of after it, by the clock as it is now");
-    for (double behind : {30.0, -30.0}) {
-      b.report(1, ahead + 30 + behind);
+    for (double beforeCommit : {30.0, -30.0}) {
+      b.report(1, ahead + 30 + beforeCommit);
       b.arrive(1);
       b.round();
     }
@@ -1049,33 +1055,33 @@
   b.report(1, -160), b.round();
 }
 
-// Danger: a primary that was cut off for a while, taken for cold, would leave writes waiting for a
-// warm-up.
+// A primary that was unreachable for a while, if taken for cold, would leave writes waiting during
+// its warm-up.
 void cutOff() {
-  for (bool primary : {true, false}) {
+  for (bool isStillPrimary : {true, false}) {
     Bench b(Bench::terms({kWrite}));
     b.list(3);
-    int first = b.arrive(0);
+    int firstWrite = b.arrive(0);
     b.round();
     b.note(
-        primary
+        isStillPrimary
             ? "the primary is out of reach, then reports as primary: it was cut off, writes go on"
             : "it reports as replica: it died, and the new primary gets the writes");
-    b.answer(first, AttemptOutcome::connectFailed);
+    b.answer(firstWrite, AttemptOutcome::connectFailed);
     b.round();
     b.engine.onProbeEnded(0, false, {}, b.clock);
-    b.answer(first, AttemptOutcome::notServedHere, Role::replica, 1);
+    b.answer(firstWrite, AttemptOutcome::notServedHere, Role::replica, 1);
     b.pass(1000);
-    b.report(0, 50, primary);
-    if (!primary) b.report(1, 50, true);
+    b.report(0, 50, isStillPrimary);
+    if (!isStillPrimary) b.report(1, 50, true);
     for (int k = 0; k < 3; ++k) b.arrive(0);
     b.round();
   }
 }
 
-// Danger: a primary dies and comes back as a replica that catches up. Its position stands at what
-// it was last seen with, so its report seemed older than its role, and bounded reads went to it as
-// to a primary.
+// A primary fails and restarts as a replica that is catching up. Its position is still the one that
+// it was last seen with, so its report seemed older than its role, and bounded reads were sent to
+// it as to a primary.
 void primaryReturns() {
   Bench b(Bench::terms({kBounded, kWrite}), 3);
   int writes = 0, reads = 0;
@@ -1101,8 +1107,8 @@
               reads > 0 ? "yes" : "no");
 }
 
-// A replica that was fresh starts again with old data: what it told before counts no more, and no
-// bounded read goes to it until it has told anew that it is fresh.
+// A replica that was fresh restarts with old data: its earlier reports no longer count, and no
+// bounded read is sent to it until it reports again that it is fresh.
 void startsAgainOld() {
   Bench b(Bench::terms({kBounded, kWrite}), 3);
   auto readsAt = [&](int store) {
@@ -1129,8 +1135,8 @@
   std::printf("fresh again, it gets some: %s\n", readsAt(1) > 0 ? "yes" : "no");
 }
 
-// A report names the primary between the send of a write and its answer as primary: that answer
-// still makes it sure, and bounded reads that find no fresh replica go there.
+// A report names the primary after a write was sent to it and before it responds as primary: the
+// response still confirms the role, and bounded reads without a fresh replica are sent there.
 void reportCrosses() {
   Bench b(Bench::terms({kBounded, kWrite}));
   b.quiet = true;
@@ -1144,69 +1150,71 @@
   std::printf("a bounded read after that: %s\n", b.last == primary ? "sent to it" : "waits");
 }
 
-// Danger: a light front hears of a jam once in seconds. By one small cut each, a hundred of them
-// held a primary's queue at three seconds; its writes were late, and it looked silent.
+// A proxy with little traffic learns of an overload only once in seconds. With one small cut of the
+// limit by each, a hundred proxies kept a primary's queue at three seconds: its writes were late,
+// and it seemed unresponsive.
 void jammedPrimary() {
-  constexpr int kFronts = 100;
-  constexpr double kEach = 1000.0 / 75;  // ms that a write takes; they come at a hundred a second
-  struct Out {
-    Bench* front;
+  constexpr int kProxies = 100;
+  constexpr double kWriteTime = 1000.0 / 75;  // ms a write takes; a hundred arrive each second
+  struct PendingWrite {
+    Bench* proxy;
     int statement;
-    TimePoint sent, done;
+    TimePoint sent, doneAt;
   };
-  std::vector<std::unique_ptr<Bench>> fronts;
-  std::vector<Out> queue;
+  std::vector<std::unique_ptr<Bench>> proxies;
+  std::vector<PendingWrite> queue;
   std::ranlux24_base chance(7);
-  for (int k = 0; k < kFronts; ++k)
-    fronts.push_back(std::make_unique<Bench>(Bench::terms({kWrite}, kFronts, k), 1));
+  for (int k = 0; k < kProxies; ++k)
+    proxies.push_back(std::make_unique<Bench>(Bench::terms({kWrite}, kProxies, k), 1));
   std::printf(
       "-- %d fronts, a write a second each; the primary can do 75 a second, one after the other\n",
-      kFronts);
-  TimePoint now = fronts[0]->clock, free = now;
+      kProxies);
+  TimePoint now = proxies[0]->clock, freeAt = now;
   int inTime = 0, late = 0;
   for (int step = 1; step <= 8000; ++step) {
     now = now + ms(5);
-    std::erase_if(queue, [&](const Out& o) {
-      if (o.done > now) return false;
-      o.front->clock = now;
-      o.front->answer(o.statement, AttemptOutcome::ok, Role::primary, 0, -1,
-                      (now - o.sent).seconds() * 1000);
-      return ++(now - o.sent <= kWrite.slo ? inTime : late), true;
+    std::erase_if(queue, [&](const PendingWrite& write) {
+      if (write.doneAt > now) return false;
+      write.proxy->clock = now;
+      write.proxy->answer(write.statement, AttemptOutcome::ok, Role::primary, 0, -1,
+                          (now - write.sent).seconds() * 1000);
+      return ++(now - write.sent <= kWrite.slo ? inTime : late), true;
     });
-    for (auto& f : fronts) {
-      f->clock = now, f->last = -1;
-      if (chance() % 200 == 0) f->arrive(0, 5000);
-      f->engine.onWake(), f->round();
-      if (f->last != 0) continue;
-      free = std::max(free, now) + ms(kEach);
-      queue.push_back({f.get(), f->lastStmt, now, free});
+    for (auto& proxy : proxies) {
+      proxy->clock = now, proxy->last = -1;
+      if (chance() % 200 == 0) proxy->arrive(0, 5000);
+      proxy->engine.onWake(), proxy->round();
+      if (proxy->last != 0) continue;
+      freeAt = std::max(freeAt, now) + ms(kWriteTime);
+      queue.push_back({proxy.get(), proxy->lastStmt, now, freeAt});
     }
     if (step % 2000) continue;
     std::printf("until %d s: of 1000 about %d in time, %d late, the queue is %d ms long\n",
                 step / 200, (std::exchange(inTime, 0) + 25) / 50 * 50,
                 (std::exchange(late, 0) + 25) / 50 * 50,
-                static_cast<int>(std::max(0.0, (free - now).seconds() * 1000 + 50) / 100) * 100);
+                static_cast<int>(std::max(0.0, (freeAt - now).seconds() * 1000 + 50) / 100) * 100);
   }
 }
 
-// Danger: writes that look for another primary while theirs is only jammed spend their tries on
-// replicas.
+// Writes that search for another primary while theirs is only stalled would use up their attempts
+// on replicas.
 void searchInVain() {
   EngineSettings t = Bench::terms({kWrite}, 100);
   t.mayProbe = false;
   Bench b(t, 4);
-  int got = 0, asked = 0;
+  int primaryWrites = 0, replicaRejections = 0;
   for (int k = 0; k < 2000; ++k) {
     b.last = -1;
     if (k % 60 == 0) b.arrive(0, 5000);
     b.pass(5);
     if (b.last > 0)
-      ++asked, b.answer(b.lastStmt, AttemptOutcome::notServedHere, Role::replica, b.lastExecution,
-                        -1, 1);
-    got += b.last == 0;
+      ++replicaRejections, b.answer(b.lastStmt, AttemptOutcome::notServedHere, Role::replica,
+                                    b.lastExecution, -1, 1);
+    primaryWrites += b.last == 0;
   }
   std::printf("-- a primary takes writes and answers none for 10 s; another is looked for\n");
-  std::printf("writes that it got: %d; writes that replicas turned away: %d\n", got, asked);
+  std::printf("writes that it got: %d; writes that replicas turned away: %d\n", primaryWrites,
+              replicaRejections);
 }
 
 const Case kScenarios[] = {
