--- a/src/client/acceptor.cpp
+++ b/src/client/acceptor.cpp
@@ -5,19 +5,23 @@
 namespace reedchute::client {
 namespace {
 
-constexpr int kMaxAcceptedInARow = 16;  // connections, before others have their turn
-constexpr Duration kYield{1};           // until the next turn of the scheduler
-constexpr Duration kMinPause{500};      // after a call that failed
-constexpr double kDrainPauses = 4;      // longest pauses, for draining the kernel's queue
+constexpr int kMaxAcceptedInARow = 16;   // connections, before other coroutines run
+constexpr Duration kYieldDelay{1};       // resumes in the scheduler's next round
+constexpr Duration kMinRetryDelay{500};  // after a failed accept()
+// Time limit for draining the accept queue, in multiples of the longest retry delay.
+constexpr double kDrainTimeInMaxDelays = 4;
 
 }  // namespace
 
-Acceptor::Acceptor(runtime::Scheduler& scheduler, AcceptorHost& host, Duration maxPause)
-    : scheduler_(scheduler), host_(host), maxPause_(maxPause), backoff_(kMinPause, maxPause) {}
+Acceptor::Acceptor(runtime::Scheduler& scheduler, AcceptorOwner& owner, Duration maxRetryDelay)
+    : scheduler_(scheduler),
+      owner_(owner),
+      maxRetryDelay_(maxRetryDelay),
+      backoff_(kMinRetryDelay, maxRetryDelay) {}
 
 int Acceptor::listen(const sockaddr_in& address) {
   listener_ = std::make_unique<runtime::Descriptor>(scheduler_, runtime::openListener(address));
-  waitedSince_ = scheduler_.now();
+  acceptableSince_ = scheduler_.now();
   return runtime::localPort(listener_->fd());
 }
 
@@ -27,35 +31,37 @@
   switch (accepted.status) {
     case runtime::AcceptStatus::accepted:
       backoff_.reset();
-      host_.onAccepted(accepted.fd, waitedSince_);
+      owner_.onAccepted(accepted.fd, acceptableSince_);
       return true;
     case runtime::AcceptStatus::queueEmpty:
       backoff_.reset();
-      waitedSince_ = kNever;
+      acceptableSince_ = kNever;
       return false;
     default:
       log::line("accept_failed", "errno=%d exhausted=%d", accepted.error,
                 accepted.status == runtime::AcceptStatus::exhausted);
-      if (waitedSince_ == kNever) waitedSince_ = scheduler_.now();
+      if (acceptableSince_ == kNever) acceptableSince_ = scheduler_.now();
       return true;
   }
 }
 
-// After a call that failed. An error tells of one connection or of one moment, and no edge tells
-// when the next call would succeed (test acceptMoment); one that lasts would be met in a loop.
+// Returns when to call accept() again after a failure. Most errors concern a single connection or
+// are momentary, and epoll reports no edge when the next call would succeed (test acceptMoment), so
+// the call is retried by time. The backoff keeps a persistent error from causing a busy loop.
 TimePoint Acceptor::retryAt() {
   TimePoint now = scheduler_.now();
   TimePoint next = now + backoff_.nextDelay(now);
-  bool hasLasted = now - backoff_.failingSince() >= maxPause_;
-  if (lastStatus_ == runtime::AcceptStatus::exhausted && hasLasted) host_.onDescriptorsExhausted();
+  bool isPersistent = now - backoff_.failingSince() >= maxRetryDelay_;
+  if (lastStatus_ == runtime::AcceptStatus::exhausted && isPersistent)
+    owner_.onDescriptorsExhausted();
   return next;
 }
 
 runtime::Task<> Acceptor::run() {
   int acceptedInARow = 0;
   while (listener_->isOpen()) {
-    if (std::optional<TimePoint> until = host_.pauseUntil()) {
-      if (waitedSince_ == kNever) waitedSince_ = scheduler_.now();
+    if (std::optional<TimePoint> until = owner_.pauseUntil()) {
+      if (acceptableSince_ == kNever) acceptableSince_ = scheduler_.now();
       co_await listener_->readable.wait(*until);
       continue;
     }
@@ -67,23 +73,23 @@
       TimePoint next = retryAt();
       co_await runtime::sleepUntil(scheduler_, next);
     } else if (++acceptedInARow >= kMaxAcceptedInARow) {
-      // Clients that reconnect without end would keep all others waiting.
+      // Clients that reconnect continuously must not starve the other coroutines.
       acceptedInARow = 0;
-      co_await runtime::sleepUntil(scheduler_, scheduler_.now() + kYield);
+      co_await runtime::sleepUntil(scheduler_, scheduler_.now() + kYieldDelay);
     }
   }
 }
 
 runtime::Task<> Acceptor::drainAndClose() {
   if (!listener_ || !listener_->isOpen()) co_return;
-  TimePoint until = scheduler_.now() + maxPause_ * kDrainPauses;
+  TimePoint until = scheduler_.now() + maxRetryDelay_ * kDrainTimeInMaxDelays;
   int acceptedInARow = 0;
   while (listener_->isOpen() && scheduler_.now() < until && acceptOne()) {
     TimePoint next = scheduler_.now();
     if (lastStatus_ != runtime::AcceptStatus::accepted)
       next = retryAt();
     else if (++acceptedInARow % kMaxAcceptedInARow == 0)
-      next = next + kYield;
+      next = next + kYieldDelay;
     if (next > scheduler_.now()) co_await runtime::sleepUntil(scheduler_, next);
   }
   listener_->close();
--- a/src/client/acceptor.h
+++ b/src/client/acceptor.h
@@ -1,5 +1,5 @@
-// A listening socket. Accepts connections through the failures that accept() is documented to have,
-// and knows since when a connection may have waited in the kernel's queue.
+// Accepts connections on a listening socket. Retries after every failure documented in accept(2),
+// and tracks since when a connection may have been waiting in the kernel's accept queue.
 #pragma once
 
 #include <memory>
@@ -10,42 +10,46 @@
 
 namespace reedchute::client {
 
-// The owner of the accepted connections.
-class AcceptorHost {
+// Receives the accepted connections and controls when they are accepted.
+class AcceptorOwner {
  public:
-  virtual ~AcceptorHost() = default;
-  // `waitedSince`: since when it may have waited to be accepted; kNever: it has just come.
-  virtual void onAccepted(int fd, TimePoint waitedSince) = 0;
-  // Until when no connection is to be accepted; nothing: one may be accepted now.
+  virtual ~AcceptorOwner() = default;
+  // Takes ownership of `fd`. `acceptableSince`: the earliest time at which the connection may have
+  // entered the accept queue; kNever if it has only just arrived.
+  virtual void onAccepted(int fd, TimePoint acceptableSince) = 0;
+  // Returns until when no connection may be accepted, or nullopt if one may be accepted now.
   virtual std::optional<TimePoint> pauseUntil() = 0;
-  // No descriptor or memory has been left for so long that the host should free some.
+  // Called when accept() has lacked descriptors or memory for at least `maxRetryDelay`; the owner
+  // should free some.
   virtual void onDescriptorsExhausted() = 0;
 };
 
 class Acceptor {
  public:
-  // `maxPause`: between two calls of accept() that fail.
-  Acceptor(runtime::Scheduler& scheduler, AcceptorHost& host, Duration maxPause);
+  // `maxRetryDelay`: the longest delay between two failing calls of accept().
+  Acceptor(runtime::Scheduler& scheduler, AcceptorOwner& owner, Duration maxRetryDelay);
 
-  // Returns the port; throws where the address can't be had. New clients wait in the kernel.
+  // Opens the listener and returns its port. Clients wait in the accept queue until run(). Throws
+  // std::system_error if the address can't be bound.
   int listen(const sockaddr_in& address);
   // Accepts until the listener is closed.
   runtime::Task<> run();
-  // Accepts those that wait in the kernel, which the close would reset, and closes the listener.
+  // Accepts the connections left in the accept queue, which closing the listener would reset, and
+  // closes the listener.
   runtime::Task<> drainAndClose();
 
  private:
-  // False where no connection waits.
+  // Calls accept() once. Returns false if the accept queue is empty; true also after an error.
   bool acceptOne();
   TimePoint retryAt();
 
   runtime::Scheduler& scheduler_;
-  AcceptorHost& host_;
-  const Duration maxPause_;
+  AcceptorOwner& owner_;
+  const Duration maxRetryDelay_;
   std::unique_ptr<runtime::Descriptor> listener_;
   runtime::Backoff backoff_;
-  // Since when a connection may wait; kNever: the kernel's queue was empty when last looked at.
-  TimePoint waitedSince_ = kNever;
+  // Since when a connection may be waiting; kNever: the accept queue was empty when last checked.
+  TimePoint acceptableSince_ = kNever;
   runtime::AcceptStatus lastStatus_ = runtime::AcceptStatus::queueEmpty;
 };
 
--- a/src/client/arrival_clock.cpp
+++ b/src/client/arrival_clock.cpp
@@ -5,41 +5,44 @@
 namespace reedchute::client {
 namespace {
 
-// Bytes that stood unread for less are not worth asking the kernel about them.
-constexpr Duration kLongUnread{10'000};
-// For a client whose window has opened to send what stood behind it: a retransmission timeout
-// (RFC 6298; 200 ms at least on Linux), after which a lost window update is asked for, and a round
-// trip.
-constexpr Duration kRefillTime{250'000};
-// That a client's kernel holds at most for one connection; Linux's default (tcp(7), tcp_wmem).
+// Bytes that have been unread for a shorter time don't justify the system calls that query the
+// receive queue.
+constexpr Duration kMinUnreadAge{10'000};
+// How long a client may take, once its receive window has reopened, to send the data that was
+// queued behind the full window: a retransmission timeout (RFC 6298; at least 200 ms on Linux),
+// after which the client probes for a lost window update, plus a round trip.
+constexpr Duration kWindowRefillTime{250'000};
+// The most that a client's kernel buffers for one connection: Linux's default maximum (tcp(7),
+// tcp_wmem).
 constexpr std::size_t kMaxSendBuffer = 4 * 1024 * 1024;  // bytes
-// Of the receive buffer. Linux offers half of it or more as the window (tcp(7), tcp_adv_win_scale),
-// and a sender may hold back what doesn't fit into half of the window (RFC 9293, 3.8.6.2.1).
-constexpr std::size_t kFullWindowPart = 4;
+// The window counts as full once unread data fills this fraction of the receive buffer. Linux
+// advertises half of the buffer or more as the window (tcp(7), tcp_adv_win_scale), and a sender may
+// hold back data that doesn't fit into half of the window (RFC 9293, 3.8.6.2.1).
+constexpr std::size_t kFullWindowDivisor = 4;
 
 }  // namespace
 
 bool ArrivalClock::needsQueue(const ReadContext& context) const {
   if (refillUntil_) return true;
   TimePoint since = needsLastReceive() ? acceptableSince_ : context.unreadSince;
-  return since != kNever && context.now - since >= kLongUnread;
+  return since != kNever && context.now - since >= kMinUnreadAge;
 }
 
 TimePoint ArrivalClock::beforeRead(const ReadContext& context) {
   TimePoint first = firstArrival(context);
   if (refillUntil_ && first >= *refillUntil_) {
     refillUntil_.reset();
-    since_.reset();
+    earliestArrival_.reset();
   }
-  if (!since_) {
-    since_ = first;
-    anchor_.reset();
+  if (!earliestArrival_) {
+    earliestArrival_ = first;
+    anchorTime_.reset();
   }
   if (needsQueue(context)) noteQueue(context);
-  return std::min(*since_, context.now);
+  return std::min(*earliestArrival_, context.now);
 }
 
-// A new connection's bytes may have come at any moment since it could have been accepted.
+// The bytes of a new connection may have arrived at any time since it could have been accepted.
 TimePoint ArrivalClock::firstArrival(const ReadContext& context) const {
   TimePoint since = context.unreadSince == kNever ? context.now : context.unreadSince;
   if (!needsLastReceive()) return since;
@@ -53,23 +56,23 @@
     return;
   }
   const runtime::ReceiveQueue& queue = *context.queue;
-  if (queue.unreadBytes >= queue.bufferBytes / kFullWindowPart) wasWindowFull_ = true;
-  if (anchor_) return;
-  anchor_ = context.now;
-  bytesUntilAnchor_ = queue.unreadBytes + kMaxSendBuffer;
+  if (queue.unreadBytes >= queue.bufferBytes / kFullWindowDivisor) wasWindowFull_ = true;
+  if (anchorTime_) return;
+  anchorTime_ = context.now;
+  bytesUntilAnchorTime_ = queue.unreadBytes + kMaxSendBuffer;
 }
 
-void ArrivalClock::afterRead(TimePoint now, std::size_t bytes, bool drained) {
-  bytesUntilAnchor_ -= std::min(bytes, bytesUntilAnchor_);
-  if (anchor_ && bytesUntilAnchor_ == 0) {
-    since_ = std::max(since_.value_or(*anchor_), *anchor_);
-    anchor_.reset();
+void ArrivalClock::afterRead(TimePoint now, std::size_t bytes, bool isDrained) {
+  bytesUntilAnchorTime_ -= std::min(bytes, bytesUntilAnchorTime_);
+  if (anchorTime_ && bytesUntilAnchorTime_ == 0) {
+    earliestArrival_ = std::max(earliestArrival_.value_or(*anchorTime_), *anchorTime_);
+    anchorTime_.reset();
   }
-  if (!drained) return;
+  if (!isDrained) return;
   acceptableSince_ = kNever;
-  if (wasWindowFull_) refillUntil_ = now + kRefillTime;
+  if (wasWindowFull_) refillUntil_ = now + kWindowRefillTime;
   wasWindowFull_ = false;
-  if (!refillUntil_) since_.reset();
+  if (!refillUntil_) earliestArrival_.reset();
 }
 
 }  // namespace reedchute::client
--- a/src/client/arrival_clock.h
+++ b/src/client/arrival_clock.h
@@ -1,5 +1,5 @@
-// Since when the bytes that are read from one connection may have been sent by its client. No I/O,
-// no clock.
+// Bounds the time at which a client sent the bytes that are read from its connection. Does no I/O
+// and reads no clock.
 #pragma once
 
 #include <cstddef>
@@ -10,44 +10,48 @@
 
 namespace reedchute::client {
 
-// What is known of a connection right before it is read.
+// The state of a connection right before it is read.
 struct ReadContext {
   TimePoint now;
-  TimePoint unreadSince = kNever;            // the kernel's first word on unread bytes
-  std::optional<Duration> sinceLastReceive;  // the kernel's, if it tells
+  TimePoint unreadSince = kNever;            // when epoll first reported unread bytes
+  std::optional<Duration> sinceLastReceive;  // if the kernel reports it
   std::optional<runtime::ReceiveQueue> queue;
 };
 
-// Until the kernel's buffer is seen empty, all bytes count from the first one: those that are read
-// later may have stood behind it, in the kernel here or, where the receive window was full, in the
-// client's. A client that keeps the window full for long is bounded by what its kernel can hold.
+// Until the receive queue is found empty, all bytes get the arrival time of the first one: bytes
+// read later may have been queued behind it, in the local kernel or, if the receive window was
+// full, in the client's kernel. If a client keeps the window full for long, the time is bounded by
+// the amount of data that its kernel can buffer.
 class ArrivalClock {
  public:
-  // `acceptableSince`: since when the connection may have waited to be accepted; kNever: it has
-  // just come. `maxAcceptWait`: for how long at most, if the kernel doesn't tell.
+  // `acceptableSince`: the earliest time at which the connection may have entered the accept queue;
+  // kNever if it has only just arrived. `maxAcceptWait`: the longest time that it may have waited
+  // there, used if the kernel doesn't report when it last received bytes.
   ArrivalClock(TimePoint acceptableSince, Duration maxAcceptWait)
       : acceptableSince_(acceptableSince), maxAcceptWait_(maxAcceptWait) {}
 
-  // Which of the kernel's figures the next read depends on; the others need not be asked for.
+  // Which optional fields of ReadContext the next read depends on; the others need not be queried.
   bool needsLastReceive() const { return acceptableSince_ != kNever; }
   bool needsQueue(const ReadContext& context) const;
-  // Called before each read. Returns the earliest moment from which the bytes that it brings count.
+  // Called before each read. Returns the earliest time at which the bytes of this read may have
+  // been sent.
   TimePoint beforeRead(const ReadContext& context);
-  // Called after it. `drained`: the kernel's buffer was found empty.
-  void afterRead(TimePoint now, std::size_t bytes, bool drained);
+  // Called after each read. `isDrained`: the receive queue was found empty.
+  void afterRead(TimePoint now, std::size_t bytes, bool isDrained);
 
  private:
   TimePoint firstArrival(const ReadContext& context) const;
   void noteQueue(const ReadContext& context);
 
-  TimePoint acceptableSince_;  // kNever once all that waited in the kernel is read
+  TimePoint acceptableSince_;  // kNever once the receive queue has been drained
   const Duration maxAcceptWait_;
-  std::optional<TimePoint> since_;
-  bool wasWindowFull_ = false;
+  std::optional<TimePoint> earliestArrival_;
+  bool wasWindowFull_ = false;  // since the receive queue was last drained
+  // Until when data that was held back by a full window may still arrive.
   std::optional<TimePoint> refillUntil_;
-  // What is read after `bytesUntilAnchor_` more bytes was sent after `anchor_`.
-  std::optional<TimePoint> anchor_;
-  std::size_t bytesUntilAnchor_ = 0;
+  // Bytes that are read after another `bytesUntilAnchorTime_` bytes were sent after `anchorTime_`.
+  std::optional<TimePoint> anchorTime_;
+  std::size_t bytesUntilAnchorTime_ = 0;
 };
 
 }  // namespace reedchute::client
--- a/src/client/arrival_times.h
+++ b/src/client/arrival_times.h
@@ -1,4 +1,4 @@
-// When the unread bytes of one connection arrived. No I/O, no clock.
+// Arrival times of the buffered bytes of one connection. Does no I/O and reads no clock.
 #pragma once
 
 #include <algorithm>
@@ -11,7 +11,7 @@
 
 class ArrivalTimes {
  public:
-  // Notes `count` more bytes, none of which arrived before `at`.
+  // Appends `count` bytes, none of which arrived before `at`.
   void append(std::size_t count, TimePoint at) {
     if (count == 0) return;
     end_ += count;
@@ -21,7 +21,7 @@
       segments_.push_back({end_, at});
     if (segments_.size() > kMaxSegments) mergeClosest();
   }
-  // The first `count` bytes are done with.
+  // Removes the first `count` bytes.
   void consume(std::size_t count) {
     begin_ += count;
     auto first = std::find_if(segments_.begin(), segments_.end(),
@@ -31,7 +31,8 @@
     begin_ = 0;
     end_ = 0;
   }
-  // When the last of the first `count` bytes arrived; at least one byte, and so many are there.
+  // Returns when the last of the first `count` bytes arrived. `count` is at least 1 and at most the
+  // number of bytes held.
   TimePoint arrivalOf(std::size_t count) const {
     auto segment = std::find_if(segments_.begin(), segments_.end(),
                                 [&](const Segment& one) { return one.end >= begin_ + count; });
@@ -41,12 +42,12 @@
  private:
   static constexpr std::size_t kMaxSegments = 64;
   struct Segment {
-    std::size_t end;  // counted from the first byte ever that isn't done with
+    std::size_t end;  // byte offset; starts over at 0 whenever all bytes are consumed
     TimePoint arrivedAt;
   };
 
-  // Bounds the memory for a client that sends single bytes (test arrivals). The earlier time holds
-  // for both segments, as a timeout that starts too early does no harm.
+  // Bounds the memory used for a client that sends single bytes (test arrivals). The merged segment
+  // gets the earlier time of the two, as a timeout that starts too early does no harm.
   void mergeClosest() {
     auto gapBefore = [&](std::size_t k) {
       return segments_[k].arrivedAt - segments_[k - 1].arrivedAt;
--- a/src/client/client_connections.cpp
+++ b/src/client/client_connections.cpp
@@ -9,8 +9,10 @@
 namespace reedchute::client {
 namespace {
 
-constexpr std::size_t kMaxRejecting = 8;  // clients being rejected; the next waits in the kernel
-constexpr std::size_t kQueuedPart = 8;    // of the memory for clients, that one may leave unread
+// Clients rejected at the same time; further ones wait in the accept queue.
+constexpr std::size_t kMaxConcurrentRejections = 8;
+// One client may leave this fraction of the memory for all clients unread, plus kReadAheadBytes.
+constexpr std::size_t kQueuedBytesDivisor = 8;
 
 }  // namespace
 
@@ -34,7 +36,7 @@
 }
 
 std::optional<TimePoint> ClientConnections::pauseUntil() {
-  if (rejectingCount_ >= kMaxRejecting) return context_.scheduler.now() + limits_.linger;
+  if (rejectingCount_ >= kMaxConcurrentRejections) return context_.scheduler.now() + limits_.linger;
   return registry_.nextEvictionAt();
 }
 
@@ -52,11 +54,11 @@
   return false;
 }
 
-void ClientConnections::onAccepted(int fd, TimePoint waitedSince) {
+void ClientConnections::onAccepted(int fd, TimePoint acceptableSince) {
   bool hasRoom = makeRoom();
-  std::size_t maxQueuedBytes = limits_.maxBufferBytes / kQueuedPart + kReadAheadBytes;
+  std::size_t maxQueuedBytes = limits_.maxBufferBytes / kQueuedBytesDivisor + kReadAheadBytes;
   auto session = std::make_unique<Session>(context_.scheduler, context_.protocol, fd,
-                                           maxQueuedBytes, waitedSince, limits_.linger);
+                                           maxQueuedBytes, acceptableSince, limits_.linger);
   registry_.add(*session);
   if (hasRoom) {
     context_.scheduler.spawn(serve(std::move(session)));
@@ -66,8 +68,9 @@
   }
 }
 
-// The final message answers the client's first request. Further ones that were read would have no
-// response, while unread ones are sent again by their client, elsewhere (test rejectedPipeline).
+// The final message answers the client's first request. Further requests are left unread: if they
+// were read they would get no response, while the client sends unread ones again to another proxy
+// (test rejectedPipeline).
 runtime::Task<> ClientConnections::reject(std::unique_ptr<Session> session) {
   session->leavesInputUnread = true;
   session->codec->disconnect(DisconnectReason::atCapacity);
@@ -77,15 +80,15 @@
 
 runtime::Task<> ClientConnections::serve(std::unique_ptr<Session> session) {
   SessionLoop loop(*session, context_);
-  // An exception that left this coroutine would leave its session registered and its statements
-  // open (test clientFaults).
+  // If an exception left this coroutine, the session would stay registered and its statements
+  // pending (test clientFaults).
   try {
     co_await loop.run();
   } catch (const std::exception& error) {
     log::line("task_failed", "what=\"%s\"", error.what());
     session->close(CloseReason::taskFailed);
   }
-  loop.settle();
+  loop.abandonResponses();
   registry_.remove(*session);
 }
 
--- a/src/client/client_connections.h
+++ b/src/client/client_connections.h
@@ -1,5 +1,5 @@
-// The clients of one protocol: its listening socket, and a session for each connection. Decides who
-// is accepted, who is rejected, and who makes room.
+// The client connections of one protocol: its listening socket and a session per connection.
+// Decides which clients are accepted, rejected, or evicted to make room for others.
 #pragma once
 
 #include <cstddef>
@@ -16,34 +16,35 @@
 
 namespace reedchute::client {
 
-class ClientConnections : private AcceptorHost {
+class ClientConnections : private AcceptorOwner {
  public:
   using Limits = ClientLimits;
 
   ClientConnections(runtime::Scheduler& scheduler, ClientProtocol& protocol,
                     request::RequestCounters& counters, const Limits& limits);
 
-  // Returns the port; throws where the address can't be had. New clients wait in the kernel until
-  // startAccepting(); from then on they are accepted until stopListening().
+  // Opens the listener and returns its port. Clients wait in the accept queue until
+  // startAccepting() and are then accepted until stopListening(). Throws std::system_error if the
+  // address can't be bound.
   int listen(const sockaddr_in& address);
   void startAccepting();
   runtime::Task<> stopListening();
-  // From now on sessions end when they are idle, at once or after their response.
+  // Ends each session as soon as it is idle: now, or after its pending responses.
   void drain() { registry_.drain(); }
 
   std::size_t sessionCount() const { return registry_.count(); }
-  // Responses to statements that the kernel hasn't taken whole yet.
+  // Number of responses that have not been written completely to the kernel yet.
   std::size_t responsesBeingWritten() const { return registry_.unsentResponses(); }
-  // Connections that have ended since the start.
+  // Connections closed for `reason` since process start.
   std::uint64_t closedCount(CloseReason reason) const { return registry_.closedCount(reason); }
 
  private:
   // AcceptorHost
-  void onAccepted(int fd, TimePoint waitedSince) override;
+  void onAccepted(int fd, TimePoint acceptableSince) override;
   std::optional<TimePoint> pauseUntil() override;
   void onDescriptorsExhausted() override;
 
-  // Makes room for one more session; false where the client is to be rejected.
+  // Evicts a session if the limit is reached. Returns false if the new client must be rejected.
   bool makeRoom();
   runtime::Task<> serve(std::unique_ptr<Session> session);
   runtime::Task<> reject(std::unique_ptr<Session> session);
--- a/src/client/client_limits.h
+++ b/src/client/client_limits.h
@@ -1,4 +1,4 @@
-// What the clients of one protocol may hold, and how long they may take.
+// Resource limits and timeouts for the clients of one protocol.
 #pragma once
 
 #include <cstddef>
@@ -7,25 +7,26 @@
 
 namespace reedchute::client {
 
-inline constexpr std::size_t kReadAheadBytes = 16 * 1024;  // of a client that awaits a response
+// Input that is buffered for a client while a response is pending.
+inline constexpr std::size_t kReadAheadBytes = 16 * 1024;
 
-// Once the proxy shuts down, a connection that owes its client nothing is kept for no longer:
+// While the proxy shuts down, a connection without pending responses is kept open for at most:
 inline constexpr Duration kDrainMessageTime{50'000};  // for a client to finish a message
 inline constexpr Duration kDrainIdleTime{50'000};     // for a client to send its next request
 inline constexpr Duration kDrainLinger{50'000};       // for a client to read what was written last
-// The least time from the drain's beginning in which a client may read its connection's end before
-// it is closed over a request that crosses the end (test restingShut).
+// A client has at least this long from the beginning of the drain to see the end of its connection.
+// Closing earlier would reset the connection if a request crosses that end (test restingShut).
 inline constexpr Duration kMinDrainTime{120'000};
 
 struct ClientLimits {
   std::size_t maxSessions = 0;
   Duration linger;                 // for a client to read its final message
-  Duration writeProgressTimeout;   // for a client to read a part of what is written to it
-  Duration firstRequestGrace;      // within which a new client is likely to send its first request
-  Duration messageTimeout;         // for a client to begin, and to finish a message
-  Duration idleTimeout;            // of a connection between two requests, where many are open
+  Duration writeProgressTimeout;   // for a client to read some of the data written to it
+  Duration firstRequestGrace;      // within which a new client should send its first request
+  Duration messageTimeout;         // for a client to send a whole message, from when it is awaited
+  Duration idleTimeout;            // between two requests, if over half of maxSessions are open
   std::size_t maxIdle = 0;         // connections between two requests
-  std::size_t maxBufferBytes = 0;  // of the buffers of all sessions together
+  std::size_t maxBufferBytes = 0;  // buffers of all sessions together
 };
 
 }  // namespace reedchute::client
--- a/src/client/client_protocol.h
+++ b/src/client/client_protocol.h
@@ -1,6 +1,5 @@
-// The interface between the connections of clients and the protocol spoken on them: one
-// ClientProtocol for all connections, and one ClientCodec each, which talks through a
-// ClientChannel.
+// The interface between client connections and their protocol: one ClientProtocol for all
+// connections, and per connection one ClientCodec, which sends through a ClientChannel.
 #pragma once
 
 #include <cstddef>
@@ -13,51 +12,52 @@
 
 namespace reedchute::client {
 
-// Why a client is disconnected with a final message.
+// Why the proxy disconnects a client with a final message.
 enum class DisconnectReason {
   atCapacity,      // too many clients are connected
-  memoryLimit,     // its message is too long for the memory that is left
+  memoryLimit,     // its message doesn't fit into the remaining memory
   startupTimeout,  // it didn't complete the protocol's startup in time
-  messageTimeout,  // it left a message unfinished
-  draining,        // it left a message unfinished as the proxy shuts down
+  messageTimeout,  // it didn't complete a message in time
+  draining,        // its message is incomplete while the proxy shuts down
 };
 
-// The connection as the codec sees it. Bytes go out in the order in which they were given.
+// The codec's view of its connection. Bytes are sent in the order of the calls.
 class ClientChannel {
  public:
   virtual ~ClientChannel() = default;
   virtual void send(std::string bytes) = 0;
-  // Sends the whole response to one statement, whose client waits for it until `deadline`.
+  // Sends the whole response to one statement. The client waits for it until `deadline`.
   virtual void sendResponse(std::string bytes, TimePoint deadline) = 0;
-  // Closes once all is sent and the client had time to read it.
+  // Closes the connection once all output is written and the client has had time to read it.
   virtual void closeAfterFlush() = 0;
-  // The same for a proxy that shuts down: what arrives from now on stays unread, so that the client
-  // sends it elsewhere.
+  // Like closeAfterFlush(), while the proxy shuts down: input that arrives from now on is left
+  // unread, so that the client sends it to another proxy.
   virtual void closeForDrain() = 0;
   virtual void closeNow() = 0;
-  // Has the client closed the connection by now?
+  // Whether the client has closed the connection.
   virtual bool isClientGone() const = 0;
 };
 
-// One connection's state in its protocol: decodes messages and encodes responses. No I/O.
+// The protocol state of one connection: decodes messages and encodes responses. Does no I/O.
 class ClientCodec {
  public:
   virtual ~ClientCodec() = default;
-  // Decodes one message from the beginning of `bytes` and sets `used` to the bytes that are done
-  // with; none where the codec is paused by now. False where no whole message is there yet. A
-  // malformed message is answered, and the channel closed. `arrivals`: when the bytes arrived.
+  // Decodes one message from the beginning of `bytes` and sets `used` to the number of bytes
+  // consumed; 0 if the message has paused the codec and is to be decoded again later. Returns false
+  // if no whole message is available yet. A malformed message is answered with an error, and the
+  // channel closed. `arrivals`: the arrival times of `bytes`.
   virtual bool decodeMessage(std::string_view bytes, const ArrivalTimes& arrivals,
                              std::size_t& used) = 0;
   virtual bool hasCompletedStartup() const = 0;
-  // Statements that await their response.
+  // Number of statements whose response is pending.
   virtual std::size_t pendingResponses() const = 0;
-  // True while no further message is decoded before a response is sent.
+  // True while no further message can be decoded until a response has been sent.
   virtual bool isPaused() const = 0;
-  // Whole responses that wait for their turn, of the pending ones.
+  // Number of pending responses that are complete and wait for earlier ones to be sent.
   virtual std::size_t bufferedResponses() const { return 0; }
-  // Sends the final message.
+  // Sends the protocol's final message for `reason` and closes the channel.
   virtual void disconnect(DisconnectReason reason) = 0;
-  // The connection has ended: pending responses are not wanted any more.
+  // Called when the connection has ended. Withdraws the statements whose response is pending.
   virtual void onClientClosed() = 0;
 };
 
@@ -65,7 +65,7 @@
  public:
   virtual ~ClientProtocol() = default;
   virtual std::unique_ptr<ClientCodec> newCodec(ClientChannel& channel) = 0;
-  // Bytes to gather before a message is whole.
+  // Length limit of one message, in bytes.
   virtual std::size_t maxMessageBytes() const = 0;
 };
 
--- a/src/client/close_reason.h
+++ b/src/client/close_reason.h
@@ -1,21 +1,21 @@
-// Why the connection with a client ended.
+// Why a client's connection ended.
 #pragma once
 
 namespace reedchute::client {
 
 enum class CloseReason {
-  none,          // it is open
+  none,          // the connection is open
   clientClosed,  // the client closed or reset it
-  finalMessage,  // the client was sent a final message, or took its leave
+  finalMessage,  // after the proxy's final message, or the client's own termination message
   idle,          // it was idle for too long
   evicted,       // closed to make room for another
   draining,      // the proxy shuts down
-  slowReader,    // the client leaves too much unread
+  slowReader,    // the client leaves too much output unread
   writeFailed,   // a response couldn't be written in time
-  taskFailed,    // an exception
+  taskFailed,    // the session's coroutine threw an exception
   count
 };
-// As the log words it.
+// Returns the value written to the log.
 const char* nameOf(CloseReason reason);
 
 }  // namespace reedchute::client
--- a/src/client/session.cpp
+++ b/src/client/session.cpp
@@ -23,8 +23,8 @@
 }
 
 void Session::send(std::string bytes) {
-  // A client that sends requests on many streams and reads nothing would have responses gathered
-  // without end.
+  // Bounds the memory for a client that sends requests on many streams and doesn't read the
+  // responses.
   if (isWriting && queued.bytes.size() + bytes.size() > maxQueuedBytes_) {
     log::line("client_reads_nothing", "bytes=%zu", queued.bytes.size());
     hasClientEnded = true;
@@ -47,8 +47,8 @@
   socket.close();
 }
 
-// The process may have stood still since the events of this round were read, so the kernel is asked
-// once more (test leavesInRound).
+// The process may have been stopped since the events of this round were read. If so, the kernel is
+// queried again (test leavesInRound).
 bool Session::isClientGone() const {
   if (!socket.isOpen() || socket.hasPeerClosed()) return true;
   if (!scheduler_.isRoundStale()) return false;
--- a/src/client/session.h
+++ b/src/client/session.h
@@ -1,5 +1,5 @@
-// One client's connection: its socket, its buffers and what is known of its client. What is spoken
-// on it is its ClientCodec's business, and when it is read and written its SessionLoop's.
+// A client's connection: its socket, its buffers and its state. The ClientCodec implements the
+// protocol; the SessionLoop decides when the socket is read and written.
 #pragma once
 
 #include <cstddef>
@@ -18,7 +18,7 @@
 
 namespace reedchute::client {
 
-// Bytes for the client, and the deadlines of the responses among them.
+// Output for the client, and the deadlines of the responses that it contains.
 struct OutputBuffer {
   std::string bytes;
   std::vector<TimePoint> responseDeadlines;
@@ -26,9 +26,8 @@
 
 class Session : public ClientChannel {
  public:
-  // `maxQueuedBytes`: where the client leaves more than this unread, it is disconnected.
-  // `acceptableSince`: since when the connection may have waited to be accepted; kNever: it has
-  // just come. `maxAcceptWait`: for how long at most, where the kernel doesn't tell.
+  // Takes ownership of `fd`. `maxQueuedBytes`: the client is disconnected if more output than this
+  // is queued while it doesn't read. `acceptableSince`, `maxAcceptWait`: see ArrivalClock.
   Session(runtime::Scheduler& scheduler, ClientProtocol& protocol, int fd,
           std::size_t maxQueuedBytes, TimePoint acceptableSince, Duration maxAcceptWait);
 
@@ -40,25 +39,25 @@
   void closeNow() override { close(CloseReason::finalMessage); }
   bool isClientGone() const override;
 
-  // Ends the session once its output is written. The first reason given stands.
+  // Ends the session once its output is written. Only the first reason given is kept.
   void finish(CloseReason why);
-  // Ends the session at once.
+  // Ends the session immediately.
   void close(CloseReason why);
 
-  // What was read and is not decoded yet.
+  // Input that was read and is not decoded yet.
   std::string_view unread() const { return std::string_view(input_).substr(consumed_); }
   std::size_t inputBytes() const { return input_.size(); }
   const ArrivalTimes& arrivals() const { return arrivals_; }
-  // The first `count` bytes of unread() are done with.
+  // Removes the first `count` bytes of unread().
   void consume(std::size_t count);
-  // Reads what has come, at most until there are `maxBytes` of input.
+  // Reads the available input until `maxBytes` of input are buffered.
   runtime::Socket::ReadStatus read(std::size_t maxBytes);
-  // Drops all input, and reads some more of what has come.
+  // Drops the buffered input, and reads at most kReadAheadBytes of the available input.
   runtime::Socket::ReadStatus discardAndRead();
 
-  // Nothing is pending, and no message has begun.
+  // Whether startup is complete, no response is pending and no message has begun.
   bool isAwaitingRequest() const;
-  // Whole responses that the kernel hasn't taken yet.
+  // Number of complete responses that have not been written completely to the kernel yet.
   std::size_t unsentResponses() const;
   std::size_t bufferBytes() const;
 
@@ -67,26 +66,26 @@
   OutputBuffer queued;   // to be written
   OutputBuffer sending;  // being written
   CloseReason closeReason = CloseReason::none;
-  bool isEnding = false;   // once its output is written
-  bool isWriting = false;  // `sending` must not move
+  bool isEnding = false;   // the session ends once its output is written
+  bool isWriting = false;  // `sending` must not be moved
   bool hasSentRequest = false;
-  bool hasClientEnded = false;        // the client closed the connection, or reads nothing
-  bool endedByMessage = false;        // what the client sent has ended the session
-  bool leavesInputUnread = false;     // also after a final message
-  int decodedInARow = 0;              // messages, since the session last had nothing to read
-  TimePoint messageBegunAt = kNever;  // when its first unfinished message was first waited for
-  TimePoint idleSince = kNever;       // when it last came to await a request
+  bool hasClientEnded = false;          // the client closed the connection, or has stopped reading
+  bool isEndedByClientMessage = false;  // the client's last message has ended the session
+  bool leavesInputUnread = false;       // even after a final message
+  int decodedInARow = 0;                // messages decoded since the socket last had no input
+  TimePoint messageBegunAt = kNever;    // when the wait for the current message began
+  TimePoint idleSince = kNever;         // when the wait for the next request began
 
-  // What SessionRegistry has read while the session waited, and the session has not seen yet.
+  // Whether SessionRegistry has read input during the wait that the session has not processed yet.
   bool hasUnseenInput = false;
-  // Where SessionRegistry holds it.
-  std::list<Session*>::iterator place;
-  std::list<Session*>::iterator waitPlace;
-  std::list<Session*>* waitQueue = nullptr;  // none while it doesn't wait for its client
+  // The session's entries in the lists of SessionRegistry.
+  std::list<Session*>::iterator registryEntry;
+  std::list<Session*>::iterator waitQueueEntry;
+  std::list<Session*>* waitQueue = nullptr;  // null while not waiting for the client
   TimePoint waitingSince;
 
  private:
-  // Since when the bytes that are read next may have been sent.
+  // Returns the earliest time at which the bytes of the next read may have been sent.
   TimePoint earliestArrival(TimePoint now);
 
   runtime::Scheduler& scheduler_;
--- a/src/client/session_context.h
+++ b/src/client/session_context.h
@@ -1,4 +1,4 @@
-// What the sessions with the clients of one protocol share.
+// The objects shared by all sessions of one protocol.
 #pragma once
 
 #include "client/client_limits.h"
--- a/src/client/session_loop.cpp
+++ b/src/client/session_loop.cpp
@@ -9,13 +9,15 @@
 namespace {
 
 constexpr std::size_t kMaxDiscardedBytes = 64 * 1024;  // read after the final message
-constexpr int kMaxDecodedInARow = 16;                  // messages, before others have their turn
-// Of the memory for clients, from which on nobody reads further ahead than kReadAheadBytes.
-constexpr std::size_t kReadAheadPart = 2;
-// Graces that a connection is idle before a proxy that shuts down closes it. A client that sends
-// its next request at once would meet the close with it (test termAsksAgain).
-constexpr double kDrainIdleGraces = 2;
-constexpr Duration kYield{1};  // until the next turn of the scheduler
+constexpr int kMaxDecodedInARow = 16;                  // messages, before other coroutines run
+// Once the buffers of all clients fill this fraction of the memory for clients, no session reads
+// ahead more than kReadAheadBytes.
+constexpr std::size_t kReadAheadDivisor = 2;
+// While the proxy shuts down, a connection is closed after being idle for this multiple of
+// firstRequestGrace. Closed at once, it would cross a request that the client sends right after
+// the last response (test termAsksAgain).
+constexpr double kDrainIdleGraceFactor = 2;
+constexpr Duration kYieldDelay{1};  // resumes in the scheduler's next round
 
 }  // namespace
 
@@ -28,7 +30,7 @@
     co_await closeLeavingInputUnread();
 }
 
-// What a client that has gone had sent ahead is not served any more.
+// Requests that a client had sent ahead before it disconnected are not served any more.
 bool SessionLoop::isServing() const {
   return !session_.isEnding && session_.socket.isOpen() && !session_.socket.hasPeerClosed();
 }
@@ -44,7 +46,7 @@
         session_.decodedInARow = 0;
         co_await yieldToOthers();
       }
-      if (gathersResponses()) continue;
+      if (shouldBatchResponses()) continue;
     } else if (session_.queued.bytes.empty() && !session_.isEnding) {
       isConnected = co_await readMore();
     }
@@ -59,23 +61,24 @@
   bool hasDecoded = codec.decodeMessage(session_.unread(), session_.arrivals(), used);
   if (hasDecoded) {
     session_.messageBegunAt = kNever;
-    session_.endedByMessage = session_.isEnding &&
-                              session_.closeReason == CloseReason::finalMessage;
+    session_.isEndedByClientMessage = session_.isEnding &&
+                                      session_.closeReason == CloseReason::finalMessage;
     if (codec.pendingResponses() > 0) session_.hasSentRequest = true;
   }
   session_.consume(used);
   return hasDecoded;
 }
 
-// Responses that are ready at once go out together, as the client sent its messages together.
-bool SessionLoop::gathersResponses() const {
+// Responses that are ready immediately are written together if the client sent its requests
+// together.
+bool SessionLoop::shouldBatchResponses() const {
   return session_.codec->pendingResponses() > 0 && !session_.unread().empty() &&
          session_.queued.bytes.size() < kReadAheadBytes;
 }
 
-// A client that sends without end would keep all others waiting.
+// Keeps a client that sends continuously from starving the others.
 runtime::Task<> SessionLoop::yieldToOthers() {
-  co_await runtime::sleepUntil(context_.scheduler, context_.scheduler.now() + kYield);
+  co_await runtime::sleepUntil(context_.scheduler, context_.scheduler.now() + kYieldDelay);
 }
 
 runtime::Task<bool> SessionLoop::readMore() {
@@ -83,7 +86,7 @@
   if (status == runtime::Socket::ReadStatus::closed) co_return false;
   if (status == runtime::Socket::ReadStatus::data) {
     session_.idleSince = kNever;
-    // Hundreds of clients that each send most of a long message would together take all memory.
+    // Hundreds of clients that each send most of a long message would together use up the memory.
     std::size_t allBytes = context_.registry.bufferBytes();
     if (session_.inputBytes() > kReadAheadBytes && allBytes > context_.limits.maxBufferBytes) {
       log::line("client_memory_limit", "bytes=%zu", allBytes);
@@ -103,14 +106,14 @@
   TimePoint now = context_.scheduler.now();
   session_.messageBegunAt = kNever;
   if (session_.idleSince == kNever) session_.idleSince = now;
-  // Connections are few. Clients that send one request and keep their connection would leave none
-  // for others, so those idle longest go as soon as their places are wanted.
+  // The number of connections is limited. Clients that send one request and keep their connection
+  // would leave none for others, so beyond maxIdle the connection idle longest is closed.
   if (session_.hasSentRequest && context_.registry.idleCount() >= context_.limits.maxIdle)
     context_.registry.evictIdle();
   TimePoint until = now + context_.limits.idleTimeout;
   if (context_.registry.isDraining())
     until = session_.idleSince +
-            std::min(context_.limits.firstRequestGrace * kDrainIdleGraces, kDrainIdleTime);
+            std::min(context_.limits.firstRequestGrace * kDrainIdleGraceFactor, kDrainIdleTime);
   if (until > now) {
     WaitFor what = session_.hasSentRequest ? WaitFor::nextRequest : WaitFor::firstRequest;
     bool isSet = co_await context_.registry.wait(session_, session_.socket.readable, what, until);
@@ -124,8 +127,8 @@
 
 runtime::Task<> SessionLoop::waitForMessage() {
   runtime::Event& readable = session_.socket.readable;
-  // The end of the connection would take the pending responses with it, so it isn't closed while
-  // some are: neither to make room nor for a slow message.
+  // Closing the connection would lose the pending responses, so while there are any it is closed
+  // neither to make room nor because of a slow message.
   if (session_.codec->pendingResponses() > 0) {
     if (session_.unread().empty())
       session_.messageBegunAt = kNever;
@@ -149,8 +152,9 @@
   return std::min(until, drainFrom + kDrainMessageTime);
 }
 
-// While the proxy drains, a client that has sent nothing is treated like an idle one, and one in
-// the middle of a message is refused, so that it sends it elsewhere.
+// While the proxy drains, a client that has sent nothing is treated like an idle one. A client that
+// has sent part of a message is disconnected with an error, so that it sends the message to another
+// proxy.
 void SessionLoop::disconnectSlowClient() {
   bool hasStarted = session_.codec->hasCompletedStartup();
   if (context_.registry.isDraining()) {
@@ -162,23 +166,24 @@
                                         : DisconnectReason::startupTimeout);
 }
 
-// What stays in the kernel has no known time of arrival, so some is read ahead; but hundreds of
-// clients that each send much ahead would take all memory (test aheadBounded).
+// The arrival time of bytes that stay in the kernel is unknown, so some input is read ahead. The
+// amount is bounded because hundreds of clients that each send much ahead would use up the memory
+// (test aheadBounded).
 std::size_t SessionLoop::maxReadAheadBytes() const {
   bool mayReadMore = session_.unread().size() >= kReadAheadBytes &&
                      context_.registry.bufferBytes() <
-                         context_.limits.maxBufferBytes / kReadAheadPart;
+                         context_.limits.maxBufferBytes / kReadAheadDivisor;
   return mayReadMore ? context_.protocol.maxMessageBytes() : kReadAheadBytes;
 }
 
-// What a client sends ahead meanwhile is read, as its end would stand behind all that it sent (test
-// goesBehindMuch).
+// Input that the client sends ahead is read meanwhile, because the end of the connection is only
+// seen once everything sent before it has been read (test goesBehindMuch).
 runtime::Task<> SessionLoop::waitForResponse() {
   while (session_.codec->isPaused() && session_.queued.bytes.empty()) {
     bool hasEnded = !session_.socket.isOpen() || session_.socket.hasPeerClosed() ||
                     session_.read(maxReadAheadBytes()) == runtime::Socket::ReadStatus::closed;
     if (hasEnded) {
-      settle();
+      abandonResponses();
       session_.close(CloseReason::clientClosed);
       co_return;
     }
@@ -186,12 +191,12 @@
   }
 }
 
-// A close over unread bytes resets the connection and may take the final message with it, so what
-// the client still sends is read and dropped.
+// Closing a socket with unread input resets the connection, and the client may lose the final
+// message. Further input is therefore read and dropped.
 runtime::Task<> SessionLoop::closeAfterFinalMessage() {
   bool isWritten = co_await writer_.flush();
   session_.socket.shutdownWrite();
-  TimePoint begun = context_.scheduler.now();
+  TimePoint lingerStart = context_.scheduler.now();
   std::size_t discarded = 0;
   while (isWritten && session_.socket.isOpen() && discarded < kMaxDiscardedBytes) {
     runtime::Socket::ReadStatus status = session_.discardAndRead();
@@ -202,38 +207,38 @@
       continue;
     }
     bool isSet = co_await context_.registry.wait(session_, session_.socket.readable, WaitFor::close,
-                                                 lingerDeadline(begun));
+                                                 lingerDeadline(lingerStart));
     if (!isSet) break;
   }
 }
 
-// A request may come at this very moment. One that was read would need a response, while one that
-// wasn't is sent again by its client, elsewhere. So nothing more is read, and the client has time
-// to see the end, and what was sent before, ahead of the reset that a close over unread bytes
-// brings.
+// A request may arrive at this very moment. If it were read it would need a response; if it is left
+// unread the client sends it again to another proxy. So no more input is read. Closing a socket
+// with unread input resets the connection, so the client gets time beforehand to read the remaining
+// output and the end of the stream.
 runtime::Task<> SessionLoop::closeLeavingInputUnread() {
   bool isWaiting = co_await writer_.flush();
   session_.socket.shutdownWrite();
-  TimePoint begun = context_.scheduler.now();
+  TimePoint lingerStart = context_.scheduler.now();
   while (isWaiting && session_.socket.isOpen() && !session_.socket.hasPeerClosed())
     isWaiting = co_await context_.registry.wait(session_, session_.socket.readable, WaitFor::close,
-                                                lingerDeadline(begun));
+                                                lingerDeadline(lingerStart));
 }
 
-TimePoint SessionLoop::lingerDeadline(TimePoint begun) const {
-  TimePoint until = begun + context_.limits.linger;
+TimePoint SessionLoop::lingerDeadline(TimePoint lingerStart) const {
+  TimePoint until = lingerStart + context_.limits.linger;
   if (!context_.registry.isDraining()) return until;
   TimePoint drainFrom = context_.registry.drainingSince();
-  return std::min(until, std::max(begun + kDrainLinger, drainFrom + kMinDrainTime));
+  return std::min(until, std::max(lingerStart + kDrainLinger, drainFrom + kMinDrainTime));
 }
 
-void SessionLoop::settle() {
+void SessionLoop::abandonResponses() {
   ClientCodec& codec = *session_.codec;
   request::RequestCounters& counters = context_.counters;
-  std::uint64_t goneBefore = counters.clientGone;
+  std::uint64_t clientGoneBefore = counters.clientGone;
   std::size_t unsent = session_.unsentResponses();
   std::size_t pending = codec.pendingResponses();
-  bool isByClient = session_.hasClientEnded || session_.endedByMessage ||
+  bool isByClient = session_.hasClientEnded || session_.isEndedByClientMessage ||
                     session_.socket.hasPeerClosed();
   const char* reason = nameOf(session_.closeReason);
   if (unsent + pending > 0 && isByClient)
@@ -242,8 +247,8 @@
     invariants::reportViolation(invariants::Rule::everyResponseSent, "end=%s statements=%zu",
                                 reason, unsent + pending);
   if (pending > 0) codec.onClientClosed();
-  // A response that the proxy failed to send is not one that its client gave up.
-  counters.clientGone = isByClient ? counters.clientGone + unsent : goneBefore;
+  // Responses that the proxy failed to send are not counted as abandoned by the client.
+  counters.clientGone = isByClient ? counters.clientGone + unsent : clientGoneBefore;
   session_.queued.responseDeadlines.clear();
   session_.sending.responseDeadlines.clear();
 }
--- a/src/client/session_loop.h
+++ b/src/client/session_loop.h
@@ -1,5 +1,5 @@
-// The life of one session: reads requests, has them decoded, writes responses, and ends the
-// connection so that the client sees what it was sent last.
+// Runs one session: reads requests, has them decoded, writes responses, and closes the connection
+// in such a way that the client can still read the last output.
 #pragma once
 
 #include "client/session.h"
@@ -13,25 +13,25 @@
   SessionLoop(Session& session, const SessionContext& context)
       : session_(session), context_(context), writer_(session, context) {}
 
-  // Returns once the session is over. May throw.
+  // Returns once the session has ended. May throw.
   runtime::Task<> run();
-  // Withdraws the statements that are still pending, and accounts for each response that the
-  // client didn't get. To be called when the session is over, however it ended.
-  void settle();
+  // Withdraws the statements that are still pending, and counts each response that the client
+  // didn't receive. To be called when the session has ended, also after an exception.
+  void abandonResponses();
 
  private:
   runtime::Task<> serveRequests();
   bool isServing() const;
   bool decodeNext();
-  bool gathersResponses() const;
-  runtime::Task<bool> readMore();  // false: the client has ended the connection
+  bool shouldBatchResponses() const;
+  runtime::Task<bool> readMore();  // false: the client has closed the connection
   runtime::Task<> waitForRequest();
   runtime::Task<> waitForMessage();
   runtime::Task<> waitForResponse();
   std::size_t maxReadAheadBytes() const;
   TimePoint messageDeadline() const;
   void disconnectSlowClient();
-  TimePoint lingerDeadline(TimePoint begun) const;
+  TimePoint lingerDeadline(TimePoint lingerStart) const;
   runtime::Task<> closeAfterFinalMessage();
   runtime::Task<> closeLeavingInputUnread();
   runtime::Task<> yieldToOthers();
--- a/src/client/session_registry.cpp
+++ b/src/client/session_registry.cpp
@@ -8,13 +8,13 @@
 
 void SessionRegistry::add(Session& session) {
   sessions_.push_back(&session);
-  session.place = std::prev(sessions_.end());
+  session.registryEntry = std::prev(sessions_.end());
 }
 
 void SessionRegistry::remove(Session& session) {
   if (session.closeReason == CloseReason::none) session.closeReason = CloseReason::clientClosed;
   ++closedCounts_[static_cast<std::size_t>(session.closeReason)];
-  sessions_.erase(session.place);
+  sessions_.erase(session.registryEntry);
 }
 
 std::size_t SessionRegistry::bufferBytes() const {
@@ -54,30 +54,30 @@
   session.hasUnseenInput = false;
   session.waitQueue = &queue;
   queue.push_back(&session);
-  session.waitPlace = std::prev(queue.end());
+  session.waitQueueEntry = std::prev(queue.end());
   session.waitingSince = scheduler_.now();
   bool isSet = co_await event.wait(until);
-  if (session.waitQueue) std::exchange(session.waitQueue, nullptr)->erase(session.waitPlace);
+  if (session.waitQueue) std::exchange(session.waitQueue, nullptr)->erase(session.waitQueueEntry);
   co_return isSet;
 }
 
-// Sessions that are closing make room first. Next are clients that have connected and sent nothing,
-// as hundreds of them would keep out those with requests; but one that has just come may be about
-// to send one.
+// Closing sessions are evicted first. Next are clients that haven't sent their first request within
+// firstRequestGrace, because hundreds of them would exclude clients that have requests. A client
+// that connected more recently may be about to send one, so idle sessions are evicted before it.
 bool SessionRegistry::evictOne() {
   if (closeLongestWaiting(closing_)) return true;
-  bool isSilent = !awaitingFirstRequest_.empty() &&
-                  scheduler_.now() - awaitingFirstRequest_.front()->waitingSince >=
-                      limits_.firstRequestGrace;
-  bool takesSilent = isSilent || betweenRequests_.empty();
-  return closeLongestWaiting(takesSilent ? awaitingFirstRequest_ : betweenRequests_);
+  bool isFirstRequestOverdue = !awaitingFirstRequest_.empty() &&
+                               scheduler_.now() - awaitingFirstRequest_.front()->waitingSince >=
+                                   limits_.firstRequestGrace;
+  bool evictsNewClient = isFirstRequestOverdue || betweenRequests_.empty();
+  return closeLongestWaiting(evictsNewClient ? awaitingFirstRequest_ : betweenRequests_);
 }
 
-// The client may have sent something that its session has not read yet. A close would reset the
-// connection, and a request that was read would have no response.
+// Reads the socket, because the client may have sent input that its session has not read yet:
+// closing then would reset the connection, and a request that was read would get no response.
 bool SessionRegistry::hasSentNothing(Session& session) const {
-  // What was read for an earlier eviction of this round is not there a second time (test
-  // roomForSeveral).
+  // Input that was read here for an earlier eviction in the same round is no longer in the socket
+  // (test roomForSeveral).
   if (session.hasUnseenInput) return false;
   std::size_t maxBytes = session.inputBytes() + kReadAheadBytes;
   if (session.read(maxBytes) != runtime::Socket::ReadStatus::data) return true;
@@ -97,15 +97,15 @@
   return true;
 }
 
-// A crowd that comes at once would push out all who are between two requests, and each other before
-// they could send one. Where the limit is reached a new client waits in the kernel until another
-// has been silent for long enough.
+// Many clients that connect at the same time would evict all sessions between two requests, and
+// then each other before they could send a request. So at the limit a new client waits in the
+// accept queue until another client has sent no request for firstRequestGrace.
 std::optional<TimePoint> SessionRegistry::nextEvictionAt() const {
   if (sessions_.size() < limits_.maxSessions || !closing_.empty() || awaitingFirstRequest_.empty())
     return std::nullopt;
-  TimePoint at = awaitingFirstRequest_.front()->waitingSince + limits_.firstRequestGrace;
-  if (at <= scheduler_.now()) return std::nullopt;
-  return at;
+  TimePoint evictableAt = awaitingFirstRequest_.front()->waitingSince + limits_.firstRequestGrace;
+  if (evictableAt <= scheduler_.now()) return std::nullopt;
+  return evictableAt;
 }
 
 }  // namespace reedchute::client
--- a/src/client/session_registry.h
+++ b/src/client/session_registry.h
@@ -1,5 +1,5 @@
-// All sessions with the clients of one protocol, and those among them that wait for their client,
-// of which the registry closes some to make room.
+// All sessions of one protocol. Keeps queues of the sessions that wait for their client, and closes
+// some of these to make room for new clients.
 #pragma once
 
 #include <array>
@@ -14,11 +14,11 @@
 
 namespace reedchute::client {
 
-// What a session that waits for its client waits for.
+// The client's action that a session waits for.
 enum class WaitFor {
-  nextRequest,   // between two requests
+  nextRequest,   // a request after the first one
   firstRequest,  // the first request, or the rest of a message
-  close,         // for the client to read what was written last
+  close,         // the client reads the remaining output, or closes the connection
 };
 
 class SessionRegistry {
@@ -27,29 +27,31 @@
       : scheduler_(scheduler), limits_(limits) {}
 
   void add(Session& session);
-  // Counts the session under its reason for closing.
+  // Removes the session and counts it under its reason for closing.
   void remove(Session& session);
 
   std::size_t count() const { return sessions_.size(); }
   std::size_t idleCount() const { return betweenRequests_.size(); }
   std::size_t bufferBytes() const;
   std::size_t unsentResponses() const;
-  // Sessions that have ended since the start.
+  // Sessions closed for `reason` since process start.
   std::uint64_t closedCount(CloseReason reason) const {
     return closedCounts_[static_cast<std::size_t>(reason)];
   }
-  // From now on sessions end when they are idle, at once or after their response.
+  // Ends each session as soon as it is idle: now, or after its pending responses.
   void drain();
   bool isDraining() const { return drainingSince_ != kNever; }
   TimePoint drainingSince() const { return drainingSince_; }
 
-  // Waits for `event` or `until`; the session may be closed meanwhile to make room.
+  // Waits for `event`, at most until `until`; false if the time came first. Meanwhile the session
+  // may be closed to make room.
   runtime::Task<bool> wait(Session& session, runtime::Event& event, WaitFor what, TimePoint until);
-  // Closes one of the sessions that wait; false where none can be closed.
+  // Closes one of the waiting sessions. Returns false if none can be closed.
   bool evictOne();
-  // Closes the session that has waited longest between two requests.
+  // Closes the session that has been idle longest between two requests.
   void evictIdle() { closeLongestWaiting(betweenRequests_); }
-  // Until when a new client has to wait for an eviction; nothing where it needn't.
+  // Returns until when new clients should stay in the accept queue rather than cause an eviction;
+  // nullopt if they may be accepted now.
   std::optional<TimePoint> nextEvictionAt() const;
 
  private:
@@ -61,7 +63,7 @@
   const ClientLimits& limits_;
   TimePoint drainingSince_ = kNever;
   std::list<Session*> sessions_;
-  // Each has the session that has waited longest at its front.
+  // Queues of waiting sessions. The front has waited longest.
   std::list<Session*> betweenRequests_;
   std::list<Session*> awaitingFirstRequest_;
   std::list<Session*> closing_;
--- a/src/client/session_writer.cpp
+++ b/src/client/session_writer.cpp
@@ -11,7 +11,7 @@
   bool isWritten = true;
   session_.isWriting = true;
   while (isWritten && !session_.queued.bytes.empty()) {
-    // More may be queued while this is written, which would move the bytes away.
+    // The bytes being written must stay in place, so output queued meanwhile gets another buffer.
     session_.sending = std::exchange(session_.queued, {});
     isWritten = co_await writeSending();
     if (isWritten) countResponses();
@@ -39,15 +39,16 @@
   }
 }
 
-// A client may read slowly, and has asked for its response within its own deadline: it has some
-// time for each part that it takes, and at least until the last of its deadlines.
+// A client may read slowly: it gets writeProgressTimeout after each part that it reads. It is also
+// given until the latest deadline of its responses, limited to messageTimeout from now.
 TimePoint SessionWriter::writeDeadline() const {
   TimePoint now = context_.scheduler.now();
   return std::max(now + context_.limits.writeProgressTimeout,
                   std::min(lastResponseDeadline(), now + context_.limits.messageTimeout));
 }
 
-// While the proxy drains, a client that reads slowly has what it has asked for, and no more.
+// While the proxy drains, a slow client has until the latest deadline of its responses, and at
+// least kDrainLinger from the beginning of the drain.
 TimePoint SessionWriter::drainDeadline() const {
   return std::max(lastResponseDeadline(), context_.registry.drainingSince() + kDrainLinger);
 }
@@ -58,8 +59,8 @@
   return last;
 }
 
-// A client that reads nothing holds a place: once it has made no progress for a while it may be
-// closed to make room.
+// A client that doesn't read occupies a connection, so after writeProgressTimeout without progress
+// its session may be closed to make room.
 runtime::Task<bool> SessionWriter::waitUntilWritable(TimePoint until) {
   runtime::Event& writable = session_.socket.writable;
   TimePoint evictableFrom = std::min(
@@ -68,7 +69,7 @@
   if (!isWritable && evictableFrom < until)
     isWritable = co_await context_.registry.wait(session_, writable, WaitFor::close, until);
   if (isWritable) co_return true;
-  // A client that didn't read in its time has gone, as far as its responses go.
+  // If all deadlines have passed, the unsent responses count as abandoned by the client.
   if (areResponsesOverdue()) session_.hasClientEnded = true;
   session_.close(CloseReason::writeFailed);
   co_return false;
--- a/src/client/session_writer.h
+++ b/src/client/session_writer.h
@@ -1,5 +1,5 @@
-// Writes a session's output to its client, at the client's pace, and counts the responses that the
-// kernel has taken whole.
+// Writes a session's output as fast as the client reads it, and counts the responses that have been
+// written completely to the kernel.
 #pragma once
 
 #include "client/session.h"
@@ -12,8 +12,8 @@
   SessionWriter(Session& session, const SessionContext& context)
       : session_(session), context_(context) {}
 
-  // Writes all that is queued, also what is queued meanwhile. False where the client didn't take it
-  // in time, or the connection has ended.
+  // Writes all queued output, including output queued meanwhile. False if the client didn't read it
+  // in time or the connection has ended.
   runtime::Task<bool> flush();
 
  private:
