--- a/src/runtime/backoff.h
+++ b/src/runtime/backoff.h
@@ -1,5 +1,5 @@
-// Delays between the retries of something that fails, doubled each time up to a bound. No I/O, no
-// clock of its own.
+// Exponential backoff: delays between retries, doubled after each failure up to a maximum. Does no
+// I/O and reads no clock.
 #pragma once
 
 #include <algorithm>
@@ -10,27 +10,28 @@
 
 class Backoff {
  public:
-  Backoff(Duration first, Duration longest) : first_(first), longest_(longest), next_(first) {}
+  Backoff(Duration initialDelay, Duration maxDelay)
+      : initialDelay_(initialDelay), maxDelay_(maxDelay), nextDelay_(initialDelay) {}
 
-  // The delay before the next try, after one that failed at `now`.
+  // Returns the delay before the next attempt, after an attempt that failed at `now`.
   Duration nextDelay(TimePoint now) {
     if (failingSince_ == kNever) failingSince_ = now;
-    Duration delay = next_;
-    next_ = std::min(next_ * 2, longest_);
+    Duration delay = nextDelay_;
+    nextDelay_ = std::min(nextDelay_ * 2, maxDelay_);
     return delay;
   }
-  // To be called when a try has succeeded.
+  // To be called after a successful attempt.
   void reset() {
-    next_ = first_;
+    nextDelay_ = initialDelay_;
     failingSince_ = kNever;
   }
-  // When the first try failed since the last success; kNever if none has.
+  // The first failure since the last success; kNever if there is none.
   TimePoint failingSince() const { return failingSince_; }
 
  private:
-  Duration first_;
-  Duration longest_;
-  Duration next_;
+  Duration initialDelay_;
+  Duration maxDelay_;
+  Duration nextDelay_;
   TimePoint failingSince_ = kNever;
 };
 
--- a/src/runtime/descriptor.h
+++ b/src/runtime/descriptor.h
@@ -1,4 +1,4 @@
-// A non-blocking file descriptor that the scheduler watches edge-triggered.
+// A non-blocking file descriptor that the scheduler watches with edge-triggered epoll.
 #pragma once
 
 #include "base/time.h"
@@ -7,11 +7,11 @@
 
 namespace reedchute::runtime {
 
-// Owns the descriptor. `readable` and `writable` are set at each edge, and when it is closed here.
+// Owns the file descriptor. `readable` and `writable` are set at each edge and by close().
 class Descriptor {
  public:
-  // If the kernel lacks memory to watch `fd`, it is tried again until it succeeds; for any other
-  // failure the descriptor is closed.
+  // Takes ownership of `fd`. If the kernel lacks memory to watch it (ENOMEM, ENOSPC), this is
+  // retried until it succeeds; after any other failure the descriptor is closed.
   Descriptor(Scheduler& scheduler, int fd);
   ~Descriptor() { close(); }
   Descriptor(const Descriptor&) = delete;
@@ -20,18 +20,18 @@
   int fd() const { return fd_; }
   bool isOpen() const { return fd_ >= 0; }
   void close();
-  // Whether the peer has ended its sending or broken the connection. True even while earlier bytes
-  // are unread.
-  bool hasPeerClosed() const { return peerClosed_; }
-  // Since when bytes may be unread; kNever when none are known.
+  // Whether the peer has shut down its sending side, or the connection has failed. True even while
+  // earlier bytes are unread.
+  bool hasPeerClosed() const { return hasPeerClosed_; }
+  // When epoll first reported the bytes that may be unread; kNever if there are none.
   TimePoint unreadSince() const { return unreadSince_; }
 
   Event readable;
   Event writable;
 
  protected:
-  // Sets both events after a short pause. For calls that failed for want of memory, as no edge
-  // tells when they may succeed.
+  // Sets both events after a short delay. For calls that failed for lack of memory, as epoll
+  // reports no edge when they may succeed.
   void retryLater() { scheduler_.retryLater(*this); }
   void markFullyRead() { unreadSince_ = kNever; }
 
@@ -40,7 +40,7 @@
   Scheduler& scheduler_;
   int fd_;
   bool isWatched_ = false;
-  bool peerClosed_ = false;
+  bool hasPeerClosed_ = false;
   TimePoint unreadSince_ = kNever;
 };
 
--- a/src/runtime/event.h
+++ b/src/runtime/event.h
@@ -1,5 +1,5 @@
-// What a coroutine waits for: a flag that another part sets, or a time. Belongs to one scheduler
-// and its thread.
+// An event on which a coroutine waits until it is set or a time is reached. May only be used by the
+// thread of its scheduler.
 #pragma once
 
 #include <coroutine>
@@ -9,8 +9,8 @@
 
 namespace reedchute::runtime {
 
-// An auto-reset event with at most one waiter. If it is set while nobody waits, the next wait
-// returns at once.
+// An auto-reset event with at most one waiter. If it is set while there is no waiter, the next wait
+// returns immediately.
 class Event {
  public:
   explicit Event(Scheduler& scheduler) : scheduler_(scheduler) {}
@@ -20,7 +20,7 @@
 
   void set();
 
-  // co_await event.wait(until): true when the event was set, false when the time came first.
+  // co_await event.wait(until) yields true if the event was set, false if `until` came first.
   struct Wait {
     Event& event;
     TimePoint until;
@@ -46,7 +46,7 @@
   Scheduler::Timers::iterator timer_;
 };
 
-// Waits for a time and nothing else.
+// Suspends the caller until `until`.
 Task<> sleepUntil(Scheduler& scheduler, TimePoint until);
 
 }  // namespace reedchute::runtime
--- a/src/runtime/scheduler.cpp
+++ b/src/runtime/scheduler.cpp
@@ -16,10 +16,10 @@
 namespace reedchute::runtime {
 namespace {
 
-constexpr int kEventsPerBatch = 256;
-constexpr int kBatchesPerRound = 64;
-constexpr Duration kLongestWait{1'000'000};
-constexpr Duration kRetryPause{2'000};  // before a call that lacked memory is made again
+constexpr int kMaxEventsPerBatch = 256;
+constexpr int kMaxBatchesPerRound = 64;
+constexpr Duration kMaxWait{1'000'000};
+constexpr Duration kRetryDelay{2'000};  // before a call that failed for lack of memory is retried
 
 constexpr std::uint32_t kPeerClosed = EPOLLRDHUP | EPOLLHUP | EPOLLERR;
 constexpr std::uint32_t kReadable = EPOLLIN | kPeerClosed;
@@ -27,7 +27,7 @@
 
 }  // namespace
 
-// The frame at the bottom of a spawned coroutine. It removes itself from the roots when it ends.
+// The outermost coroutine of a spawned task. It removes itself from `roots_` when it ends.
 struct Scheduler::Root {
   struct promise_type {
     Scheduler* scheduler;
@@ -44,7 +44,7 @@
   std::coroutine_handle<promise_type> handle;
 };
 
-// An exception that left a spawned coroutine would end the program, so it ends the task only.
+// Logs an exception that leaves the task. It ends only this task, not the process.
 Scheduler::Root Scheduler::runRoot(Task<> task) {
   try {
     co_await task;
@@ -54,7 +54,7 @@
 }
 
 Scheduler::Scheduler() : epoll_(epoll_create1(EPOLL_CLOEXEC)) {
-  if (epoll_ < 0) throwErrno("epoll can't be had");
+  if (epoll_ < 0) throwErrno("can't create an epoll instance");
   readClock();
 }
 
@@ -76,7 +76,7 @@
   now_ = std::max(now_, wallClock_.refresh());
   log::setTime(wallClock_.toWall(now_));
   if (!clockStepListener_) return;
-  Duration ahead = wallClock_.takeStep(leastClockStep_);
+  Duration ahead = wallClock_.takeStep(minClockStep_);
   if (ahead != Duration{}) clockStepListener_(ahead);
 }
 
@@ -86,27 +86,27 @@
   ready_.push_back(root.handle);
 }
 
-int Scheduler::waitForEvents(epoll_event* events, Duration most) {
+int Scheduler::waitForEvents(epoll_event* events, Duration maxWait) {
   int count = -1;
-  if (!lacksFineTimeout_) {
-    timespec timeout{most.us / 1'000'000, most.us % 1'000'000 * 1000};
-    count = epoll_pwait2(epoll_, events, kEventsPerBatch, &timeout, nullptr);
-    // Old system call filters refuse what they don't know, each time that it is called.
-    lacksFineTimeout_ = count < 0 && errno != EINTR;
+  if (!lacksEpollPwait2_) {
+    timespec timeout{maxWait.us / 1'000'000, maxWait.us % 1'000'000 * 1000};
+    count = epoll_pwait2(epoll_, events, kMaxEventsPerBatch, &timeout, nullptr);
+    // Old system call filters refuse system calls that they don't know, on every call.
+    lacksEpollPwait2_ = count < 0 && errno != EINTR;
   }
-  if (lacksFineTimeout_) {
-    int timeoutMs = static_cast<int>((most.us + 999) / 1000);
-    count = epoll_wait(epoll_, events, kEventsPerBatch, timeoutMs);
+  if (lacksEpollPwait2_) {
+    int timeoutMs = static_cast<int>((maxWait.us + 999) / 1000);
+    count = epoll_wait(epoll_, events, kMaxEventsPerBatch, timeoutMs);
   }
-  if (count < 0 && errno != EINTR) throwErrno("epoll can't be waited for");
+  if (count < 0 && errno != EINTR) throwErrno("can't wait for epoll events");
   return count;
 }
 
-void Scheduler::noteEvents(const epoll_event* events, int count) {
+void Scheduler::applyEvents(const epoll_event* events, int count) {
   for (int k = 0; k < count; ++k) {
     Descriptor& descriptor = *static_cast<Descriptor*>(events[k].data.ptr);
     std::uint32_t flags = events[k].events;
-    if (flags & kPeerClosed) descriptor.peerClosed_ = true;
+    if (flags & kPeerClosed) descriptor.hasPeerClosed_ = true;
     if (flags & EPOLLIN && descriptor.unreadSince_ == kNever) descriptor.unreadSince_ = now_;
     if (flags & kReadable) descriptor.readable.set();
     if (flags & kWritable) descriptor.writable.set();
@@ -117,27 +117,28 @@
   if (anotherRoundRequested_ || !ready_.empty()) return {};
   if (!timers_.empty()) until = std::min(until, timers_.begin()->first.first);
   for (const auto& [descriptor, due] : retries_) until = std::min(until, due);
-  return std::clamp(until - now_, Duration{}, kLongestWait);
+  return std::clamp(until - now_, Duration{}, kMaxWait);
 }
 
 void Scheduler::collectEvents(TimePoint until) {
-  epoll_event events[kEventsPerBatch];
-  Duration most = waitTime(until);
+  epoll_event events[kMaxEventsPerBatch];
+  Duration maxWait = waitTime(until);
   TimePoint waitBegan = monotonicNow();
-  int count = waitForEvents(events, most);
+  int count = waitForEvents(events, maxWait);
   readClock();
-  // All events are noted before the first coroutine runs: a coroutine may close a descriptor whose
-  // events are in a later batch and whose number is used again at once, and a decision must know of
-  // a client that has left in a later batch.
-  noteEvents(events, count);
-  // If the process was held up between the wait and the reading of the clock, these events are
-  // older than the round, and later ones are collected too.
+  // The events of all batches are applied before the first coroutine runs. A coroutine may close a
+  // descriptor whose events are in a later batch, and its number may be reused immediately. Also, a
+  // decision must take into account that a client has disconnected, even if that event is in a
+  // later batch.
+  applyEvents(events, count);
+  // If the process was delayed between the wait and reading the clock, these events are older than
+  // the round, so the events that have arrived since are collected too.
   bool mayBeStale = now_ - waitBegan >= kStaleRound;
-  for (int batch = 1; (count == kEventsPerBatch || mayBeStale) && batch < kBatchesPerRound;
+  for (int batch = 1; (count == kMaxEventsPerBatch || mayBeStale) && batch < kMaxBatchesPerRound;
        ++batch) {
     mayBeStale = false;
     count = waitForEvents(events, Duration{});
-    noteEvents(events, count);
+    applyEvents(events, count);
   }
   runDueRetries();
 }
@@ -151,7 +152,7 @@
 }
 
 void Scheduler::retryLater(Descriptor& descriptor) {
-  retries_.try_emplace(&descriptor, now_ + kRetryPause);
+  retries_.try_emplace(&descriptor, now_ + kRetryDelay);
 }
 
 void Scheduler::runDueRetries() {
@@ -186,7 +187,7 @@
   collectEvents(until);
   fireTimers();
   runReady();
-  anotherRoundRequested_ = false;  // every request so far gets this round's end
+  anotherRoundRequested_ = false;  // this round's end serves every request so far
   onRoundEnd();
   runReady();
 }
--- a/src/runtime/scheduler.h
+++ b/src/runtime/scheduler.h
@@ -1,6 +1,6 @@
-// One thread's event loop: coroutines over epoll, timers, and rounds. A round is everything that
-// one call of epoll brought; every coroutine that it wakes runs before the round's end is called.
-// All members may only be used by the thread that runs the loop.
+// The event loop of one thread: runs coroutines on epoll events and timers, in rounds. A round
+// handles the events that one wait on epoll returned: all coroutines that they wake run before the
+// callback for the round's end. All members may only be used by the thread that runs the loop.
 #pragma once
 
 #include <coroutine>
@@ -31,31 +31,31 @@
 
   // The monotonic time at which this round's events were read.
   TimePoint now() const { return now_; }
-  // The monotonic time at this call, for deadlines that must hold even if the round was held up.
+  // The current monotonic time, for deadlines that must hold even if the round was delayed.
   TimePoint steadyNow() const;
-  // Whether the round has lasted so long that events may have arrived which it does not know of.
+  // Whether the round has lasted so long that further events may have arrived in the meantime.
   bool isRoundStale() const { return steadyNow() - now_ >= kStaleRound; }
-  // Converts to and from wall-clock time, as the wall clock stood when this round began.
+  // Converts to and from wall-clock time, with the clock offset read when this round began.
   const WallClock& wallClock() const { return wallClock_; }
-  // Calls `listener` at the beginning of a round, before anything that it woke runs, when the wall
-  // clock was set by `least` or more: positive when it was set ahead, negative when it was set
-  // back.
-  void onClockStep(Duration least, std::function<void(Duration)> listener) {
-    leastClockStep_ = least;
+  // Calls `listener` at the beginning of a round, before any coroutine runs, if the wall clock was
+  // changed by `minStep` or more. Its argument is positive if the clock was set forward, negative
+  // if it was set back.
+  void onClockStep(Duration minStep, std::function<void(Duration)> listener) {
+    minClockStep_ = minStep;
     clockStepListener_ = std::move(listener);
   }
 
-  // Starts a coroutine that nobody awaits; it runs once the caller gives up the thread.
+  // Starts a detached coroutine. It first runs after the caller has returned to the event loop.
   void spawn(Task<> task);
 
-  // Runs rounds until stop(). `onRoundEnd` is called once a round, after everything that the round
-  // woke has run.
+  // Runs rounds until stop(). Calls `onRoundEnd` once per round, after all coroutines that the
+  // round woke have run.
   void run(const std::function<void()>& onRoundEnd);
   void stop() { isStopped_ = true; }
-  // Runs one round, which waits for events until `until` at most.
+  // Runs one round, which waits for events at most until `until`.
   void runOnce(TimePoint until, const std::function<void()>& onRoundEnd);
-  // Makes sure that a round ends soon: the present one, or, if its end was called already, a next
-  // one that begins at once.
+  // Ensures that `onRoundEnd` is called soon: in the current round, or, if it was already called,
+  // in another round that begins immediately.
   void requestAnotherRound() { anotherRoundRequested_ = true; }
 
  private:
@@ -70,8 +70,8 @@
   void readClock();
   void collectEvents(TimePoint until);
   Duration waitTime(TimePoint until) const;
-  int waitForEvents(epoll_event* events, Duration most);
-  void noteEvents(const epoll_event* events, int count);
+  int waitForEvents(epoll_event* events, Duration maxWait);
+  void applyEvents(const epoll_event* events, int count);
   bool watch(Descriptor& descriptor);
   void retryLater(Descriptor& descriptor);
   void runDueRetries();
@@ -82,16 +82,16 @@
   int epoll_ = -1;
   WallClock wallClock_;
   TimePoint now_;
-  Duration leastClockStep_;
+  Duration minClockStep_;
   std::function<void(Duration)> clockStepListener_;
   bool isStopped_ = false;
   bool anotherRoundRequested_ = false;
-  bool lacksFineTimeout_ = false;  // epoll_pwait2 is refused on this machine
+  bool lacksEpollPwait2_ = false;  // the kernel or a system call filter refuses epoll_pwait2
   std::deque<std::coroutine_handle<>> ready_;
   Timers timers_;
   std::uint64_t timerSequence_ = 0;
-  std::unordered_set<void*> roots_;           // frames of the spawned coroutines
-  std::map<Descriptor*, TimePoint> retries_;  // descriptors short of memory, and their next try
+  std::unordered_set<void*> roots_;           // coroutine frames of the spawned tasks
+  std::map<Descriptor*, TimePoint> retries_;  // by descriptor that lacked memory: time of the retry
 };
 
 }  // namespace reedchute::runtime
--- a/src/runtime/socket.cpp
+++ b/src/runtime/socket.cpp
@@ -17,7 +17,7 @@
 namespace {
 
 constexpr std::size_t kFirstReadSize = 16 * 1024;  // bytes
-constexpr std::size_t kNextReadSize = 128 * 1024;  // bytes, where much has come already
+constexpr std::size_t kNextReadSize = 128 * 1024;  // bytes, once kFirstReadSize bytes are buffered
 constexpr int kListenBacklog = 4096;               // connections
 
 void disableNagle(int fd) {
@@ -95,8 +95,8 @@
     case ENOMEM:
       return {AcceptStatus::exhausted, -1, errno};
     default:
-      // Linux passes on the errors of the connection that was next in the queue, such as EPROTO or
-      // ENETUNREACH.
+      // Linux returns pending errors of the next connection in the queue, such as EPROTO or
+      // ENETUNREACH (accept(2)).
       return {AcceptStatus::failed, -1, errno};
   }
 }
@@ -119,23 +119,23 @@
   return ReceiveQueue{static_cast<std::size_t>(unreadBytes), static_cast<std::size_t>(bufferBytes)};
 }
 
-Socket::ReadStatus Socket::read(std::string& into, std::size_t limit) {
-  const std::size_t sizeBefore = into.size();
+Socket::ReadStatus Socket::read(std::string& buffer, std::size_t limit) {
+  const std::size_t sizeBefore = buffer.size();
   auto dataOr = [&](ReadStatus otherwise) {
-    return into.size() > sizeBefore ? ReadStatus::data : otherwise;
+    return buffer.size() > sizeBefore ? ReadStatus::data : otherwise;
   };
   lastReadDrained_ = false;
-  while (isOpen() && into.size() < limit) {
-    std::size_t filled = into.size();
+  while (isOpen() && buffer.size() < limit) {
+    std::size_t filled = buffer.size();
     std::size_t step = std::min(filled < kFirstReadSize ? kFirstReadSize : kNextReadSize,
                                 limit - filled);
-    into.resize(filled + step);
-    ssize_t received = recv(fd(), into.data() + filled, step, 0);
+    buffer.resize(filled + step);
+    ssize_t received = recv(fd(), buffer.data() + filled, step, 0);
     int error = errno;
-    into.resize(filled + static_cast<std::size_t>(std::max<ssize_t>(received, 0)));
+    buffer.resize(filled + static_cast<std::size_t>(std::max<ssize_t>(received, 0)));
     if (received > 0) {
-      // An end that came together with the bytes has no edge of its own, so reading goes on up to
-      // it.
+      // If the end of the stream arrived together with the bytes it gets no edge of its own, so
+      // reading continues up to the end.
       if (static_cast<std::size_t>(received) < step && !hasPeerClosed()) return ReadStatus::data;
       continue;
     }
@@ -195,7 +195,7 @@
   if (fd < 0) return -1;
   disableNagle(fd);
   if (connect(fd, reinterpret_cast<const sockaddr*>(&to), sizeof to) == 0) return fd;
-  // An interrupted connect goes on like one in progress.
+  // After EINTR the connection is established asynchronously, as after EINPROGRESS.
   if (errno == EINPROGRESS || errno == EINTR) return fd;
   if (lacksResources)
     *lacksResources = errno == EADDRNOTAVAIL || errno == EAGAIN || lacksMemory(errno);
@@ -211,7 +211,7 @@
     socklen_t length = sizeof error;
     if (getsockopt(socket.fd(), SOL_SOCKET, SO_ERROR, &error, &length) < 0 || error != 0)
       co_return false;
-    // The first edge may come before the socket is connected.
+    // The first edge may be reported before the socket is connected.
     sockaddr_in peer{};
     length = sizeof peer;
     if (getpeername(socket.fd(), reinterpret_cast<sockaddr*>(&peer), &length) == 0) co_return true;
--- a/src/runtime/socket.h
+++ b/src/runtime/socket.h
@@ -1,4 +1,5 @@
-// TCP sockets for coroutines. No function blocks; coroutines wait by co_await.
+// Non-blocking TCP sockets for coroutines. No function blocks the thread; coroutines wait with
+// co_await.
 #pragma once
 
 #include <netinet/in.h>
@@ -13,8 +14,8 @@
 
 namespace reedchute::runtime {
 
-// Parses an IPv4 address with a port, such as "127.0.0.1:5432". Port 0, with which a listener gets
-// a port of the system's choice, is accepted only if `allowsPortZero`.
+// Parses an IPv4 address with a port, such as "127.0.0.1:5432"; nullopt if malformed. Port 0, with
+// which the system chooses a listener's port, is accepted only if `allowsPortZero`.
 std::optional<sockaddr_in> parseAddress(std::string_view text, bool allowsPortZero = false);
 
 bool sameAddress(const sockaddr_in& a, const sockaddr_in& b);
@@ -22,14 +23,14 @@
 // Returns a listening descriptor. Throws std::system_error.
 int openListener(const sockaddr_in& address);
 
-// The port that a socket is bound to, or -1.
+// The local port of a socket, or -1 on failure.
 int localPort(int fd);
 
 enum class AcceptStatus {
   accepted,
   queueEmpty,  // or the listener is closed
-  failed,      // for a reason of this moment or of this connection: the next call may succeed
-  exhausted,   // no descriptor or no memory is left
+  failed,      // a momentary error, or one of this connection: the next call may succeed
+  exhausted,   // out of file descriptors or memory
 };
 struct Accepted {
   AcceptStatus status = AcceptStatus::queueEmpty;
@@ -37,14 +38,14 @@
   int error = 0;  // errno, if the call failed
 };
 
-// Accepts the next waiting connection.
+// Accepts the next connection from the listener's queue. The caller owns the descriptor.
 Accepted acceptConnection(int listener);
 
-// The time since the kernel last received bytes on a connection, whether they were read or not;
-// nothing if the kernel doesn't tell.
+// The time since the kernel last received bytes on a connection, whether they were read or not
+// (TCP_INFO); nullopt if the kernel doesn't report it.
 std::optional<Duration> timeSinceLastReceive(int fd);
 
-// Nothing if the kernel doesn't tell.
+// The connection's receive queue; nullopt if the kernel doesn't report it.
 std::optional<ReceiveQueue> receiveQueue(int fd);
 
 class Socket : public Descriptor {
@@ -52,18 +53,19 @@
   using Descriptor::Descriptor;
 
   enum class ReadStatus { data, noData, closed };
-  // Appends the received bytes to `into`, until it holds `limit` bytes at most. `closed`: nothing
-  // more will come. If the kernel lacks memory, the result is noData and `readable` is set after a
-  // short pause.
-  ReadStatus read(std::string& into, std::size_t limit);
-  // Whether the last read emptied the kernel's buffer. A short read alone doesn't tell.
+  // Appends received bytes to `buffer` until it holds `limit` bytes. `closed`: the end of the
+  // stream or an error, no more bytes will arrive. If the kernel lacks memory, the result is noData
+  // (or data, if some bytes were read) and `readable` is set after a short delay.
+  ReadStatus read(std::string& buffer, std::size_t limit);
+  // Whether the last read found the receive queue empty. A short read alone doesn't imply that.
   bool lastReadDrained() const { return lastReadDrained_; }
-  // Whether the connection ended by a reset, so that the received bytes may lack their end.
+  // Whether the connection ended with an error such as a reset, so the received data may be
+  // incomplete.
   bool wasReset() const { return wasReset_; }
-  // Writes what the kernel takes now and returns the rest; nothing once the connection is broken.
-  // If the kernel lacks memory, `writable` is set after a short pause.
+  // Writes as many bytes as the kernel accepts now and returns the rest; nullopt if the connection
+  // has failed or is closed. If the kernel lacks memory, `writable` is set after a short delay.
   std::optional<std::string_view> write(std::string_view bytes);
-  // Ends the sending side only.
+  // Shuts down the sending side only.
   void shutdownWrite();
 
  private:
@@ -71,15 +73,16 @@
   bool lastReadDrained_ = false;
 };
 
-// Writes all of `bytes`; false if the connection broke or `until` came before the kernel had taken
-// the last byte.
+// Writes all of `bytes`. Returns false if the connection failed, or `until` came before the kernel
+// had accepted the last byte.
 Task<bool> writeAll(Socket& socket, std::string_view bytes, TimePoint until);
 
-// Starts to connect and returns the descriptor, or -1. `*lacksResources` tells whether it failed
-// for want of descriptors, ports or memory on this machine.
+// Starts connecting and returns the descriptor, which the caller owns, or -1. `*lacksResources` is
+// set to whether it failed for lack of descriptors, ports or memory on this machine.
 int startConnect(const sockaddr_in& to, bool* lacksResources = nullptr);
 
-// Waits until a started connection is established; false if it was refused or `until` came first.
+// Waits until a connection in progress is established. Returns false if it failed or `until` came
+// first.
 Task<bool> awaitConnected(Socket& socket, TimePoint until);
 
 }  // namespace reedchute::runtime
--- a/src/runtime/system_error.h
+++ b/src/runtime/system_error.h
@@ -1,4 +1,4 @@
-// Errors of system calls.
+// Helpers for errors of system calls.
 #pragma once
 
 #include <cerrno>
@@ -6,12 +6,12 @@
 
 namespace reedchute::runtime {
 
-// Throws std::system_error with the current errno; `what` says what could not be done.
+// Throws std::system_error with the current errno. `what` describes the operation that failed.
 [[noreturn]] inline void throwErrno(const char* what) {
   throw std::system_error(errno, std::generic_category(), what);
 }
 
-// Whether the call that failed with this error may succeed when it is made again.
+// Whether a call that failed with this error may succeed when it is retried.
 inline bool isTransientError(const std::error_code& code) {
   switch (code.value()) {
     case EADDRINUSE:
--- a/src/runtime/task.h
+++ b/src/runtime/task.h
@@ -1,4 +1,5 @@
-// A coroutine that starts when it is awaited and hands its result to the one that awaits it.
+// A lazy coroutine: starts when it is awaited, and returns its result, or rethrows its exception,
+// to the coroutine that awaits it.
 #pragma once
 
 #include <coroutine>
@@ -14,21 +15,21 @@
 namespace detail {
 
 struct PromiseBase {
-  std::coroutine_handle<> next;
+  std::coroutine_handle<> continuation;
   std::exception_ptr error;
 
-  struct Final {
+  struct FinalAwaiter {
     bool await_ready() noexcept { return false; }
     template <class P>
-    std::coroutine_handle<> await_suspend(std::coroutine_handle<P> h) noexcept {
-      std::coroutine_handle<> next = h.promise().next;
-      return next ? next : std::noop_coroutine();
+    std::coroutine_handle<> await_suspend(std::coroutine_handle<P> handle) noexcept {
+      std::coroutine_handle<> continuation = handle.promise().continuation;
+      return continuation ? continuation : std::noop_coroutine();
     }
     void await_resume() noexcept {}
   };
 
   std::suspend_always initial_suspend() noexcept { return {}; }
-  Final final_suspend() noexcept { return {}; }
+  FinalAwaiter final_suspend() noexcept { return {}; }
   void unhandled_exception() { error = std::current_exception(); }
 };
 
@@ -36,8 +37,8 @@
 struct Promise : PromiseBase {
   std::optional<T> value;
   Task<T> get_return_object();
-  void return_value(T v) { value.emplace(std::move(v)); }
-  T take() {
+  void return_value(T newValue) { value.emplace(std::move(newValue)); }
+  T takeResult() {
     if (error) std::rethrow_exception(error);
     return std::move(*value);
   }
@@ -47,21 +48,22 @@
 struct Promise<void> : PromiseBase {
   Task<void> get_return_object();
   void return_void() {}
-  void take() {
+  void takeResult() {
     if (error) std::rethrow_exception(error);
   }
 };
 
 }  // namespace detail
 
+// Owns the coroutine frame and destroys it.
 template <class T>
 class [[nodiscard]] Task {
  public:
   using promise_type = detail::Promise<T>;
   using Handle = std::coroutine_handle<promise_type>;
 
-  explicit Task(Handle h) : handle_(h) {}
-  Task(Task&& o) noexcept : handle_(std::exchange(o.handle_, {})) {}
+  explicit Task(Handle handle) : handle_(handle) {}
+  Task(Task&& other) noexcept : handle_(std::exchange(other.handle_, {})) {}
   Task(const Task&) = delete;
   Task& operator=(const Task&) = delete;
   Task& operator=(Task&&) = delete;
@@ -71,10 +73,10 @@
 
   bool await_ready() const noexcept { return false; }
   std::coroutine_handle<> await_suspend(std::coroutine_handle<> caller) noexcept {
-    handle_.promise().next = caller;
+    handle_.promise().continuation = caller;
     return handle_;
   }
-  T await_resume() { return handle_.promise().take(); }
+  T await_resume() { return handle_.promise().takeResult(); }
 
  private:
   Handle handle_;
--- a/src/runtime/wall_clock.cpp
+++ b/src/runtime/wall_clock.cpp
@@ -24,9 +24,9 @@
   reportedOffset_ = offset_;
 }
 
-// The process may be held up between two readings, which would look as if the wall clock had been
-// set. The wall clock is therefore read between two readings of the monotonic clock, which bound
-// the offset; within these bounds it counts as unchanged.
+// If the process is delayed between reading the two clocks, the wall clock seems to have been set.
+// The wall clock is therefore read between two readings of the monotonic clock. These bound the
+// offset, and an offset within the bounds counts as unchanged.
 TimePoint WallClock::refresh() {
   Duration before{readUs(CLOCK_MONOTONIC)};
   Duration wall{readUs(CLOCK_REALTIME)};
@@ -35,9 +35,9 @@
   return TimePoint{} + after;
 }
 
-Duration WallClock::takeStep(Duration least) {
+Duration WallClock::takeStep(Duration minStep) {
   Duration ahead = offset_ - reportedOffset_;
-  if (ahead < least && ahead > Duration{} - least) return {};
+  if (ahead < minStep && ahead > Duration{} - minStep) return {};
   reportedOffset_ = offset_;
   return ahead;
 }
--- a/src/runtime/wall_clock.h
+++ b/src/runtime/wall_clock.h
@@ -1,11 +1,12 @@
-// The offset of the wall clock from the monotonic clock, by which everything is timed. The one
-// place that converts times from one to the other.
+// Converts between wall-clock time and monotonic time. All timing uses the monotonic clock, and no
+// other code converts between the two.
 #pragma once
 
 #include "base/time.h"
 
 namespace reedchute::runtime {
 
+// The current monotonic time (CLOCK_MONOTONIC).
 TimePoint monotonicNow();
 
 class WallClock {
@@ -14,11 +15,13 @@
   // A clock with a fixed offset until refresh() is called.
   explicit WallClock(Duration offset) : offset_(offset), reportedOffset_(offset) {}
 
-  // Reads both clocks and returns the monotonic time. Conversions use this reading until the next.
+  // Reads both clocks and returns the monotonic time. Conversions use this reading until the next
+  // call.
   TimePoint refresh();
-  // By how much the wall clock was set since the last step that this function reported: positive
-  // when it was set ahead, negative when it was set back. Zero while that is less than `least`.
-  Duration takeStep(Duration least);
+  // Returns by how much the wall clock was changed since the last change that this function
+  // returned: positive if it was set forward, negative if it was set back. Zero if the change is
+  // smaller than `minStep`.
+  Duration takeStep(Duration minStep);
 
   TimePoint toSteady(WallTime time) const { return TimePoint{} + (time - WallTime{} - offset_); }
   WallTime toWall(TimePoint time) const { return WallTime{} + (time - TimePoint{} + offset_); }
