--- a/tests/client/arrival_clock_test.cpp
+++ b/tests/client/arrival_clock_test.cpp
@@ -1,7 +1,8 @@
-// Random connections of a model that knows when each byte was sent: a client with a send buffer, a
-// receive window that fills, a proxy that reads pieces of any size after pauses of any length. No
-// byte may count from later than it was sent (by more than a store may be told too much), nor from
-// before the time in which nothing was on its way.
+// Checks ArrivalClock against a model of random connections that knows when each byte was sent. The
+// model has a client with a send buffer, a receive window that may fill up, and a proxy that reads
+// pieces of any size after pauses of any length. The arrival time reported for a byte must not be
+// later than when it was sent (by more than kToleranceMs), nor earlier than the last time at which
+// no bytes were in transit.
 #include "client/arrival_clock.h"
 
 #include <algorithm>
@@ -23,15 +24,16 @@
 
 constexpr std::int64_t kStepMs = 1;
 constexpr std::int64_t kRunMs = 20'000;
-constexpr std::size_t kUnit = 1024;  // bytes; the model moves whole units
-constexpr std::size_t kWindow = 64;  // units
-constexpr std::size_t kReceiveBuffer = 2 * kWindow;
-constexpr std::size_t kSendBuffer = 4096;  // units
-constexpr std::size_t kSegment = kWindow;  // units that come in one step
+constexpr std::size_t kUnitBytes = 1024;  // the model moves whole units
+constexpr std::size_t kWindowUnits = 64;
+constexpr std::size_t kReceiveBufferUnits = 2 * kWindowUnits;
+constexpr std::size_t kSendBufferUnits = 4096;
+constexpr std::size_t kMaxUnitsPerStep = kWindowUnits;  // received in one step
 constexpr std::int64_t kMaxRefillMs = 200;
-constexpr std::int64_t kQuietMs = 260;  // longer than any refill
-constexpr std::int64_t kLongStallMs = 10;
-constexpr std::int64_t kSlackMs = 150;  // that a store may be told more than is left
+constexpr std::int64_t kMinQuietMs = 260;  // longer than any refill
+constexpr std::int64_t kMinStallMs = 10;
+// The time limit given to a store may exceed the time left by at most this much.
+constexpr std::int64_t kToleranceMs = 150;
 
 struct Findings {
   int tooLate = 0;
@@ -47,8 +49,8 @@
         acceptWaitMs_(below(3) == 0 ? below(900) : 0),
         refillMs_(below(4) == 0 ? below(kMaxRefillMs) : below(3)),
         isBusy_(below(2) == 0),
-        readsPieces_(below(2) == 0),
-        floods_(below(8) == 0),
+        readsInPieces_(below(2) == 0),
+        isFlooding_(below(8) == 0),
         clock_(acceptWaitMs_ > 0 ? at(0) : kNever, millis(acceptWaitMs_)) {}
 
   void run() {
@@ -63,45 +65,46 @@
  private:
   static Duration millis(std::int64_t count) { return {count * 1000}; }
   static TimePoint at(std::int64_t count) { return TimePoint{} + millis(count); }
-  std::int64_t below(std::int64_t n) {
-    return static_cast<std::int64_t>(random_() % static_cast<std::uint64_t>(n));
+  std::int64_t below(std::int64_t limit) {
+    return static_cast<std::int64_t>(random_() % static_cast<std::uint64_t>(limit));
   }
 
-  // The client sends bursts, or rests.
+  // The client sends bursts of data with pauses in between.
   void write() {
     if (nowMs_ < nextWriteMs_) return;
-    int most = floods_ ? 3'000 : below(8) == 0 ? 300 : 12;
-    for (std::int64_t k = below(most); k > 0 && sendBuffer_.size() < kSendBuffer; --k)
+    int maxUnits = isFlooding_ ? 3'000 : below(8) == 0 ? 300 : 12;
+    for (std::int64_t k = below(maxUnits); k > 0 && sendBuffer_.size() < kSendBufferUnits; --k)
       sendBuffer_.push_back(nowMs_);
     std::int64_t pause = below(10) == 0 ? below(1'200) : below(isBusy_ ? 20 : 200);
-    nextWriteMs_ = nowMs_ + (floods_ ? 0 : pause);
+    nextWriteMs_ = nowMs_ + (isFlooding_ ? 0 : pause);
   }
 
-  // What the receive window has room for arrives, once the client has heard of the room.
+  // Transfers what fits into the receive window, once the client has received the window update.
   void transfer() {
-    if (kernel_.size() >= kWindow && !isWindowFull_) {
+    if (receiveQueue_.size() >= kWindowUnits && !isWindowFull_) {
       isWindowFull_ = true;
       fullSinceMs_ = nowMs_;
     }
-    if (isWindowFull_ && kernel_.size() < kWindow / 2) {
+    if (isWindowFull_ && receiveQueue_.size() < kWindowUnits / 2) {
       isWindowFull_ = false;
-      bool wasLong = nowMs_ - fullSinceMs_ >= kLongStallMs;
-      mayTransferMs_ = nowMs_ + (wasLong ? refillMs_ : 0);
+      bool hasStalled = nowMs_ - fullSinceMs_ >= kMinStallMs;
+      mayTransferMs_ = nowMs_ + (hasStalled ? refillMs_ : 0);
     }
     if (isWindowFull_ || nowMs_ < mayTransferMs_) return;
-    for (std::size_t k = 0; k < kSegment && !sendBuffer_.empty() && kernel_.size() < kWindow; ++k) {
-      if (!unreadSinceMs_) noteFirstUnread();
-      kernel_.push_back(sendBuffer_.front());
+    for (std::size_t k = 0;
+         k < kMaxUnitsPerStep && !sendBuffer_.empty() && receiveQueue_.size() < kWindowUnits; ++k) {
+      if (!unreadSinceMs_) onFirstUnread();
+      receiveQueue_.push_back(sendBuffer_.front());
       sendBuffer_.pop_front();
       lastReceiveMs_ = nowMs_;
     }
   }
 
-  void noteFirstUnread() {
+  void onFirstUnread() {
     unreadSinceMs_ = std::max(nowMs_, acceptWaitMs_);
-    bool wasQuiet = nowMs_ - drainedMs_ >= kQuietMs;
-    if (wasQuiet) hasBeenFull_ = false;
-    if (wasQuiet || !hasBeenFull_) boundMs_ = drainedMs_;
+    bool wasQuiet = nowMs_ - lastDrainedMs_ >= kMinQuietMs;
+    if (wasQuiet) wasWindowFull_ = false;
+    if (wasQuiet || !wasWindowFull_) earliestPossibleMs_ = lastDrainedMs_;
   }
 
   void read() {
@@ -109,35 +112,42 @@
     if (unreadSinceMs_) context.unreadSince = at(*unreadSinceMs_);
     if (clock_.needsLastReceive()) context.sinceLastReceive = millis(nowMs_ - lastReceiveMs_);
     if (clock_.needsQueue(context))
-      context.queue = runtime::ReceiveQueue{kernel_.size() * kUnit, kReceiveBuffer * kUnit};
-    if (kernel_.size() * 4 >= kReceiveBuffer) hasBeenFull_ = true;
-    TimePoint told = clock_.beforeRead(context);
-    std::size_t wanted = readsPieces_ ? static_cast<std::size_t>(1 + below(100)) : kWindow * 4;
-    std::size_t count = std::min(wanted, kernel_.size());
-    for (std::size_t k = 0; k < count; ++k) check(told);
-    bool isDrained = count < wanted;
-    clock_.afterRead(at(nowMs_), count * kUnit, isDrained);
+      context.queue = runtime::ReceiveQueue{receiveQueue_.size() * kUnitBytes,
+                                            kReceiveBufferUnits * kUnitBytes};
+    if (receiveQueue_.size() * 4 >= kReceiveBufferUnits) wasWindowFull_ = true;
+    TimePoint earliestArrival = clock_.beforeRead(context);
+    std::size_t maxUnits = readsInPieces_ ? static_cast<std::size_t>(1 + below(100))
+                                          : kWindowUnits * 4;
+    std::size_t count = std::min(maxUnits, receiveQueue_.size());
+    for (std::size_t k = 0; k < count; ++k) check(earliestArrival);
+    bool isDrained = count < maxUnits;
+    clock_.afterRead(at(nowMs_), count * kUnitBytes, isDrained);
     if (isDrained) {
-      drainedMs_ = nowMs_;
+      lastDrainedMs_ = nowMs_;
       unreadSinceMs_.reset();
     }
-    nextReadMs_ = nowMs_ + (below(floods_ ? 60 : 6) == 0 ? below(900) : 0);
+    nextReadMs_ = nowMs_ + (below(isFlooding_ ? 60 : 6) == 0 ? below(900) : 0);
   }
 
-  void check(TimePoint told) {
-    // Bytes of several moments that waited to be accepted count from the last of them.
-    bool waitedForAccept = kernel_.front() <= acceptWaitMs_;
-    findings_.tooLate += told > at(kernel_.front() + kSlackMs) && !waitedForAccept;
-    findings_.tooEarly += told < at(boundMs_) || told < at(floodBoundMs());
-    kernel_.pop_front();
+  void check(TimePoint earliestArrival) {
+    // Bytes received at different times before the connection was accepted all get the time of the
+    // last one.
+    bool waitedForAccept = receiveQueue_.front() <= acceptWaitMs_;
+    findings_.tooLate += earliestArrival > at(receiveQueue_.front() + kToleranceMs) &&
+                         !waitedForAccept;
+    findings_.tooEarly += earliestArrival < at(earliestPossibleMs_) ||
+                          earliestArrival < at(floodBoundMs());
+    receiveQueue_.pop_front();
     readAtMs_.push_back(nowMs_);
     ++findings_.units;
   }
 
-  // Twice what both kernels hold has been read since then.
+  // Returns the time since which twice the amount that both kernels can buffer has been read.
   std::int64_t floodBoundMs() const {
-    constexpr std::size_t kHeld = 2 * (kSendBuffer + kReceiveBuffer) + kWindow * 8;
-    return readAtMs_.size() < kHeld ? 0 : readAtMs_[readAtMs_.size() - kHeld];
+    constexpr std::size_t kMaxBufferedUnits = 2 * (kSendBufferUnits + kReceiveBufferUnits) +
+                                              kWindowUnits * 8;
+    return readAtMs_.size() < kMaxBufferedUnits ? 0
+                                                : readAtMs_[readAtMs_.size() - kMaxBufferedUnits];
   }
 
   std::mt19937_64 random_;
@@ -145,11 +155,11 @@
   const std::int64_t acceptWaitMs_;
   const std::int64_t refillMs_;
   const bool isBusy_;
-  const bool readsPieces_;
-  const bool floods_;
+  const bool readsInPieces_;
+  const bool isFlooding_;
   ArrivalClock clock_;
-  std::deque<std::int64_t> sendBuffer_;  // when each byte was sent
-  std::deque<std::int64_t> kernel_;
+  std::deque<std::int64_t> sendBuffer_;  // when each unit was sent
+  std::deque<std::int64_t> receiveQueue_;
   std::vector<std::int64_t> readAtMs_;
   std::int64_t nowMs_ = 0;
   std::int64_t nextWriteMs_ = 0;
@@ -157,11 +167,11 @@
   std::int64_t fullSinceMs_ = 0;
   std::int64_t mayTransferMs_ = 0;
   std::int64_t lastReceiveMs_ = 0;
-  std::int64_t drainedMs_ = 0;
-  std::int64_t boundMs_ = 0;
+  std::int64_t lastDrainedMs_ = 0;
+  std::int64_t earliestPossibleMs_ = 0;
   std::optional<std::int64_t> unreadSinceMs_;
   bool isWindowFull_ = false;
-  bool hasBeenFull_ = false;
+  bool wasWindowFull_ = false;
 };
 
 void arrivalClock() {
--- a/tests/client/client_connections_test.cpp
+++ b/tests/client/client_connections_test.cpp
@@ -1,5 +1,5 @@
-// An exception in the middle of a connection's work: its statements end all the same, and nothing
-// of it is left. The peers are real, what is spoken on them is this test's.
+// A codec that throws while its session is running. The session's statements must still be
+// withdrawn and its connection closed. Uses real sockets with a protocol made for the test.
 #include "client/client_connections.h"
 
 #include <csignal>
@@ -16,21 +16,21 @@
 
 namespace {
 
-sockaddr_in here(int port) {
+sockaddr_in loopbackAddress(int port) {
   return *runtime::parseAddress("127.0.0.1:" + std::to_string(port), true);
 }
 
-// Passes until something is so, or for so long that it never will be.
-bool comes(runtime::Scheduler& s, const std::function<bool()>& so) {
-  for (TimePoint end = s.now() + ms(5000); !so() && s.now() < end;)
-    s.runOnce(s.now() + ms(2), [] {});
-  return so();
+// Runs the scheduler until `condition` holds, for at most 5 s. Returns whether it holds.
+bool runUntil(runtime::Scheduler& scheduler, const std::function<bool()>& condition) {
+  for (TimePoint deadline = scheduler.now() + ms(5000); !condition() && scheduler.now() < deadline;)
+    scheduler.runOnce(scheduler.now() + ms(2), [] {});
+  return condition();
 }
 
-struct FaultyTalk : client::ClientCodec {
+struct ThrowingCodec : client::ClientCodec {
   bool decodeMessage(std::string_view bytes, const client::ArrivalTimes&, std::size_t&) override {
     if (bytes.empty()) return false;
-    throw std::runtime_error("as it takes");
+    throw std::runtime_error("thrown by decodeMessage");
   }
   bool hasCompletedStartup() const override { return true; }
   std::size_t pendingResponses() const override { return 1; }
@@ -39,29 +39,31 @@
   void onClientClosed() override { std::printf("what it owes is withdrawn\n"); }
 };
 
-struct FaultyDoor : client::ClientProtocol {
+struct ThrowingProtocol : client::ClientProtocol {
   std::unique_ptr<client::ClientCodec> newCodec(client::ClientChannel&) override {
-    return std::make_unique<FaultyTalk>();
+    return std::make_unique<ThrowingCodec>();
   }
   std::size_t maxMessageBytes() const override { return 100; }
 };
 
 void clientFaults() {
-  runtime::Scheduler s;
-  FaultyDoor door;
-  request::RequestCounters account;
+  runtime::Scheduler scheduler;
+  ThrowingProtocol protocol;
+  request::RequestCounters counters;
   client::ClientConnections clients(
-      s, door, account, {8, ms(1000), ms(1000), ms(1000), ms(1000), ms(1000), 8, 1 << 20});
-  int port = clients.listen(here(0));
+      scheduler, protocol, counters,
+      {8, ms(1000), ms(1000), ms(1000), ms(1000), ms(1000), 8, 1 << 20});
+  int port = clients.listen(loopbackAddress(0));
   clients.startAccepting();
-  runtime::Socket socket(s, runtime::startConnect(here(port)));
-  comes(s, [&] { return clients.sessionCount() == 1; });
+  runtime::Socket socket(scheduler, runtime::startConnect(loopbackAddress(port)));
+  runUntil(scheduler, [&] { return clients.sessionCount() == 1; });
   socket.write("x");
-  bool over = comes(s, [&] { return clients.sessionCount() == 0; });
-  std::string in;
-  bool ended = comes(s, [&] { return socket.read(in, 10) == runtime::Socket::ReadStatus::closed; });
-  std::printf("its session is over: %s, its client sees the end: %s\n", over ? "yes" : "no",
-              ended ? "yes" : "no");
+  bool isSessionOver = runUntil(scheduler, [&] { return clients.sessionCount() == 0; });
+  std::string input;
+  bool hasClientSeenEnd = runUntil(
+      scheduler, [&] { return socket.read(input, 10) == runtime::Socket::ReadStatus::closed; });
+  std::printf("its session is over: %s, its client sees the end: %s\n",
+              isSessionOver ? "yes" : "no", hasClientSeenEnd ? "yes" : "no");
 }
 
 const Case kCases[] = {{"clientFaults", clientFaults}};
--- a/tests/runtime/runtime_test.cpp
+++ b/tests/runtime/runtime_test.cpp
@@ -1,4 +1,5 @@
-// The scheduler: timers, events, descriptors. Prints what happened, in order.
+// Tests of the scheduler: timers, events, tasks, rounds and sockets. Each test prints what happens,
+// in order.
 #include <sys/socket.h>
 #include <unistd.h>
 
@@ -17,173 +18,179 @@
 
 namespace {
 
-void passes(
-    Scheduler& s, int n, const std::function<void()>& ends = [] {}) {
-  for (int k = 0; k < n; ++k) s.runOnce(s.now() + Duration{20'000}, ends);
+void runRounds(
+    Scheduler& scheduler, int count, const std::function<void()>& onRoundEnd = [] {}) {
+  for (int k = 0; k < count; ++k) scheduler.runOnce(scheduler.now() + Duration{20'000}, onRoundEnd);
 }
 
-void pair(int (&fds)[2]) {
-  if (socketpair(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK, 0, fds) < 0)
+void openSocketPair(int (&descriptors)[2]) {
+  if (socketpair(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK, 0, descriptors) < 0)
     throw std::runtime_error("no socketpair");
 }
 
-Task<> after(Scheduler& s, const char* name, double ms) {
-  Event e(s);
-  bool set = co_await e.wait(s.now() + Duration{static_cast<std::int64_t>(ms * 1000)});
-  std::printf("%s: %s\n", name, set ? "set" : "its time came");
+Task<> sleepAndPrint(Scheduler& scheduler, const char* label, double ms) {
+  Event event(scheduler);
+  bool isSet =
+      co_await event.wait(scheduler.now() + Duration{static_cast<std::int64_t>(ms * 1000)});
+  std::printf("%s: %s\n", label, isSet ? "set" : "its time came");
 }
 
 void timers() {
-  Scheduler s;
-  s.spawn(after(s, "third, 30 ms", 30));
-  s.spawn(after(s, "second, 20 ms", 20));
-  s.spawn(after(s, "first, 10 ms", 10));
-  s.spawn(after(s, "fourth, 30 ms, begun later", 30));
-  s.spawn(after(s, "none, 0 ms", 0));
-  passes(s, 20);
+  Scheduler scheduler;
+  scheduler.spawn(sleepAndPrint(scheduler, "third, 30 ms", 30));
+  scheduler.spawn(sleepAndPrint(scheduler, "second, 20 ms", 20));
+  scheduler.spawn(sleepAndPrint(scheduler, "first, 10 ms", 10));
+  scheduler.spawn(sleepAndPrint(scheduler, "fourth, 30 ms, begun later", 30));
+  scheduler.spawn(sleepAndPrint(scheduler, "none, 0 ms", 0));
+  runRounds(scheduler, 20);
 }
 
-Task<> waits(Event& e, const char* name, TimePoint until) {
-  bool set = co_await e.wait(until);
-  std::printf("%s: %s\n", name, set ? "set" : "its time came");
+Task<> waitAndPrint(Event& event, const char* label, TimePoint until) {
+  bool isSet = co_await event.wait(until);
+  std::printf("%s: %s\n", label, isSet ? "set" : "its time came");
 }
 
 void events() {
-  Scheduler s;
-  Event kept(s), late(s);
-  kept.set();
-  s.spawn(waits(kept, "set before anyone waited", s.now() + Duration{1000}));
-  passes(s, 1);
-  s.spawn(waits(kept, "and not a second time", s.now() + Duration{1000}));
-  passes(s, 3);
-  s.spawn(waits(late, "set while it waits", s.now() + Duration{10'000'000}));
-  passes(s, 1);
-  late.set();
-  passes(s, 1);
+  Scheduler scheduler;
+  Event setEarly(scheduler), setLater(scheduler);
+  setEarly.set();
+  scheduler.spawn(
+      waitAndPrint(setEarly, "set before anyone waited", scheduler.now() + Duration{1000}));
+  runRounds(scheduler, 1);
+  scheduler.spawn(
+      waitAndPrint(setEarly, "and not a second time", scheduler.now() + Duration{1000}));
+  runRounds(scheduler, 3);
+  scheduler.spawn(
+      waitAndPrint(setLater, "set while it waits", scheduler.now() + Duration{10'000'000}));
+  runRounds(scheduler, 1);
+  setLater.set();
+  runRounds(scheduler, 1);
   std::printf("one that still waits is taken down with the scheduler\n");
-  s.spawn(waits(late, "never", kForever));
-  passes(s, 1);
+  scheduler.spawn(waitAndPrint(setLater, "never", kForever));
+  runRounds(scheduler, 1);
 }
 
-Task<> reads(std::shared_ptr<Socket> d, const char* name) {
-  bool woken = false;
+Task<> readAndPrint(std::shared_ptr<Socket> socket, const char* label) {
+  bool wasWoken = false;
   for (;;) {
-    std::string in;
-    Socket::ReadStatus got = d->read(in, 100);
-    if (got == Socket::ReadStatus::data) woken = false;
-    if (got == Socket::ReadStatus::data) std::printf("%s reads '%s'\n", name, in.c_str());
-    if (got == Socket::ReadStatus::closed) break;
-    if (got != Socket::ReadStatus::noData) continue;
-    if (woken) std::printf("%s woke for nothing\n", name);
-    co_await d->readable.wait();
-    woken = true;
+    std::string input;
+    Socket::ReadStatus status = socket->read(input, 100);
+    if (status == Socket::ReadStatus::data) wasWoken = false;
+    if (status == Socket::ReadStatus::data) std::printf("%s reads '%s'\n", label, input.c_str());
+    if (status == Socket::ReadStatus::closed) break;
+    if (status != Socket::ReadStatus::noData) continue;
+    if (wasWoken) std::printf("%s woke for nothing\n", label);
+    co_await socket->readable.wait();
+    wasWoken = true;
   }
-  std::printf("%s ended\n", name);
+  std::printf("%s ended\n", label);
 }
 
-// Danger: the events of one pass may name a descriptor that was closed earlier in it, and whose
-// number is in use again.
+// An event may refer to a descriptor that was closed earlier in the same round and whose number has
+// been reused. The new descriptor must not receive it.
 void reused() {
-  Scheduler s;
-  int one[2], two[2], three[2];
-  pair(one), pair(two);
-  auto a = std::make_shared<Socket>(s, one[0]);
-  auto b = std::make_shared<Socket>(s, two[0]);
-  std::shared_ptr<Socket> c;
+  Scheduler scheduler;
+  int firstFds[2], secondFds[2], thirdFds[2];
+  openSocketPair(firstFds), openSocketPair(secondFds);
+  auto firstSocket = std::make_shared<Socket>(scheduler, firstFds[0]);
+  auto secondSocket = std::make_shared<Socket>(scheduler, secondFds[0]);
+  std::shared_ptr<Socket> thirdSocket;
   auto closer = [&](std::shared_ptr<Socket> own, std::shared_ptr<Socket> other) -> Task<> {
     co_await own->readable.wait();
     std::printf("the first wakes and closes the second\n");
-    int number = other->fd();
+    int closedFd = other->fd();
     other->close();
-    pair(three);
-    std::printf("its number is used again: %s\n", three[0] == number ? "yes" : "no");
-    c = std::make_shared<Socket>(s, three[0]);
-    s.spawn(reads(c, "the third"));
+    openSocketPair(thirdFds);
+    std::printf("its number is used again: %s\n", thirdFds[0] == closedFd ? "yes" : "no");
+    thirdSocket = std::make_shared<Socket>(scheduler, thirdFds[0]);
+    scheduler.spawn(readAndPrint(thirdSocket, "the third"));
   };
-  s.spawn(reads(b, "the second"));
-  passes(s, 1);
-  s.spawn(closer(a, b));
-  a->readable.wait().await_ready(), b->readable.wait().await_ready();  // the edges of their birth
-  passes(s, 1);
-  send(one[1], "x", 1, 0);
-  send(two[1], "for the second", 14, 0);
-  passes(s, 3);
-  send(three[1], "hello", 5, 0);
-  passes(s, 3);
-  ::close(three[1]);
-  passes(s, 2);
-  ::close(one[1]), ::close(two[1]);
-}
-
-Task<> throwsLate(Scheduler& s) {
-  Event e(s);
-  co_await e.wait(s.now() + Duration{1000});
+  scheduler.spawn(readAndPrint(secondSocket, "the second"));
+  runRounds(scheduler, 1);
+  scheduler.spawn(closer(firstSocket, secondSocket));
+  // Clears the events that the initial edges have set.
+  firstSocket->readable.wait().await_ready(), secondSocket->readable.wait().await_ready();
+  runRounds(scheduler, 1);
+  send(firstFds[1], "x", 1, 0);
+  send(secondFds[1], "for the second", 14, 0);
+  runRounds(scheduler, 3);
+  send(thirdFds[1], "hello", 5, 0);
+  runRounds(scheduler, 3);
+  ::close(thirdFds[1]);
+  runRounds(scheduler, 2);
+  ::close(firstFds[1]), ::close(secondFds[1]);
+}
+
+Task<> throwLater(Scheduler& scheduler) {
+  Event event(scheduler);
+  co_await event.wait(scheduler.now() + Duration{1000});
   throw std::runtime_error("from inside a coroutine");
 }
 
-Task<int> gives(Scheduler& s, int n) {
-  Event e(s);
-  co_await e.wait(s.now() + Duration{1000});
-  if (n < 0) throw std::runtime_error("no number");
-  co_return n * 2;
+Task<int> doubleLater(Scheduler& scheduler, int number) {
+  Event event(scheduler);
+  co_await event.wait(scheduler.now() + Duration{1000});
+  if (number < 0) throw std::runtime_error("no number");
+  co_return number * 2;
 }
 
-Task<> asks(Scheduler& s) {
-  int six = co_await gives(s, 3);
-  std::printf("got %d\n", six);
+Task<> awaitTwice(Scheduler& scheduler) {
+  int doubled = co_await doubleLater(scheduler, 3);
+  std::printf("got %d\n", doubled);
   try {
-    co_await gives(s, -1);
-  } catch (const std::runtime_error& e) {
-    std::printf("caught: %s\n", e.what());
+    co_await doubleLater(scheduler, -1);
+  } catch (const std::runtime_error& error) {
+    std::printf("caught: %s\n", error.what());
   }
 }
 
 void tasks() {
-  Scheduler s;
-  s.spawn(throwsLate(s));
-  s.spawn(asks(s));
-  passes(s, 8);
+  Scheduler scheduler;
+  scheduler.spawn(throwLater(scheduler));
+  scheduler.spawn(awaitTwice(scheduler));
+  runRounds(scheduler, 8);
   std::printf("the scheduler goes on\n");
 }
 
 void rounds() {
-  Scheduler s;
-  int n = 0;
-  Event e(s);
-  s.spawn(waits(e, "woken by the round's end, in the same round", kForever));
-  s.runOnce(s.now(), [&] { e.set(); });
+  Scheduler scheduler;
+  int roundEnds = 0;
+  Event event(scheduler);
+  scheduler.spawn(waitAndPrint(event, "woken by the round's end, in the same round", kForever));
+  scheduler.runOnce(scheduler.now(), [&] { event.set(); });
   std::printf("round over\n");
-  s.requestAnotherRound();
-  s.runOnce(kForever, [&] { ++n; });
-  std::printf("asked for another: %d at once\n", n);
-  TimePoint before = s.now();
-  for (int k = 0; k < 1000; ++k) s.runOnce(s.now(), [] {});
-  std::printf("the clock went back: %s\n", s.now() < before ? "yes" : "no");
-}
-
-Task<> talks(Scheduler& s, std::shared_ptr<Socket> to) {
-  std::string much(4 * 1024 * 1024, 'x');
-  bool done = co_await writeAll(*to, much, s.now() + Duration{20'000});
-  std::printf("a reader that stands still: %s\n", done ? "all written" : "given up at its time");
-  to->close();
-  bool after = co_await writeAll(*to, "x", s.now() + Duration{20'000});
-  std::printf("after closing: %s\n", after ? "written" : "broken");
-  sockaddr_in nowhere = *parseAddress("127.0.0.1:1");
-  Socket refused(s, startConnect(nowhere));
-  bool up = co_await awaitConnected(refused, s.now() + Duration{1'000'000});
-  std::printf("a port where nobody listens: %s\n", up ? "connected" : "refused");
+  scheduler.requestAnotherRound();
+  scheduler.runOnce(kForever, [&] { ++roundEnds; });
+  std::printf("asked for another: %d at once\n", roundEnds);
+  TimePoint before = scheduler.now();
+  for (int k = 0; k < 1000; ++k) scheduler.runOnce(scheduler.now(), [] {});
+  std::printf("the clock went back: %s\n", scheduler.now() < before ? "yes" : "no");
+}
+
+Task<> writeAndConnect(Scheduler& scheduler, std::shared_ptr<Socket> socket) {
+  std::string data(4 * 1024 * 1024, 'x');
+  bool isWritten = co_await writeAll(*socket, data, scheduler.now() + Duration{20'000});
+  std::printf("a reader that stands still: %s\n",
+              isWritten ? "all written" : "given up at its time");
+  socket->close();
+  bool isWrittenAfterClose = co_await writeAll(*socket, "x", scheduler.now() + Duration{20'000});
+  std::printf("after closing: %s\n", isWrittenAfterClose ? "written" : "broken");
+  sockaddr_in unusedPort = *parseAddress("127.0.0.1:1");
+  Socket refused(scheduler, startConnect(unusedPort));
+  bool isConnected = co_await awaitConnected(refused, scheduler.now() + Duration{1'000'000});
+  std::printf("a port where nobody listens: %s\n", isConnected ? "connected" : "refused");
   for (const char* text :
        {"127.0.0.1:80", "127.0.0.1:0", "127.0.0.1", "127.0.0.1:99999", "host:80", ":80", ""})
     std::printf("'%s' %s\n", text, parseAddress(text) ? "good" : "bad");
 }
 
 void sockets() {
-  Scheduler s;
-  int fds[2];
-  pair(fds);
-  s.spawn(talks(s, std::make_shared<Socket>(s, fds[0])));
-  passes(s, 10);
-  ::close(fds[1]);
+  Scheduler scheduler;
+  int descriptors[2];
+  openSocketPair(descriptors);
+  scheduler.spawn(writeAndConnect(scheduler, std::make_shared<Socket>(scheduler, descriptors[0])));
+  runRounds(scheduler, 10);
+  ::close(descriptors[1]);
 }
 
 const Case kCases[] = {{"timers", timers}, {"events", events}, {"reused", reused},
