--- a/src/decision/clock_skew.h
+++ b/src/decision/clock_skew.h
@@ -1,8 +1,8 @@
 // How far this process's wall clock may be ahead of the clocks of the stores.
 //
-// The wall clock of a process may stand wrong from its start on. A store's position is a time of
-// the stores' clocks that has come already, so the smallest lag that a store seems to have is the
-// most that the own clock can be ahead.
+// A process's wall clock may be wrong from process start on. A store's position is a time of the
+// stores' clocks that has already passed, so the smallest lag observed for any store is an upper
+// bound on how far this process's clock can be ahead.
 #pragma once
 
 #include <algorithm>
@@ -14,18 +14,18 @@
 
 class ClockSkew {
  public:
-  // A position was told; `lag` is its age by the own clock. One in the future counts as told now:
-  // the store's clock may be ahead.
+  // A position was received; `lag` is its age by this process's clock. A position in the future
+  // counts as having no lag: the store's clock may be ahead.
   void onPosition(Duration lag) {
     Duration seen = std::max(lag, Duration{});
     mostAhead_ = mostAhead_ ? std::min(*mostAhead_, seen) : seen;
   }
-  // The own wall clock was set ahead by this, or back where it is below zero.
+  // This process's wall clock was stepped forward by `ahead` (backward if negative).
   void onClockStepped(Duration ahead) {
     if (mostAhead_) mostAhead_ = std::max(*mostAhead_ + ahead, Duration{});
   }
 
-  // The most that the own clock can be ahead; nothing before a position is known.
+  // The most that this process's clock can be ahead; nullopt before a position is known.
   std::optional<Duration> mostAhead() const { return mostAhead_; }
 
  private:
--- a/src/decision/endpoint_list.cpp
+++ b/src/decision/endpoint_list.cpp
@@ -8,14 +8,14 @@
 namespace reedchute {
 namespace {
 
-constexpr double kFirstBackoff = 0.1;    // of the longest time between polls
-constexpr double kMaxBackoff = 0.5;      // of the longest time between polls
-constexpr double kAssumedBackoff = 0.1;  // of the time after which endpoints are assumed known
+constexpr double kFirstBackoff = 0.1;    // fraction of maxPollInterval
+constexpr double kMaxBackoff = 0.5;      // fraction of maxPollInterval
+constexpr double kAssumedBackoff = 0.1;  // fraction of endpointsAssumedKnownAfter, at most
 
 }  // namespace
 
-// Polls may fail one after the other while a change counts as known at its time all the same, so
-// the backoff also keeps to a part of that time.
+// A change counts as known after endpointsAssumedKnownAfter even while polls keep failing, so the
+// backoff is also limited to a fraction of that time.
 EndpointList::EndpointList(const EngineSettings& settings, TimePoint now) : settings_(settings) {
   Duration assumedAfter = settings.endpointsAssumedKnownAfter;
   Duration longest = assumedAfter > Duration{} ? assumedAfter * kAssumedBackoff : kForever - kNever;
@@ -55,7 +55,8 @@
   zone_[store] = endpoint.zone;
   weight_[store] = endpoint.weight > 0 ? endpoint.weight : 1;
   isInSnapshot_[store] = 1;
-  // Where a store that vanished isn't drained, the list doesn't prove what is up: health decides.
+  // Without `removalMeansDrained` the endpoint list doesn't prove which stores are up, so `gone` is
+  // ignored here and outlier detection decides.
   if (endpoint.listed != EndpointStatus::gone || settings_.removalMeansDrained)
     status_[store] = endpoint.listed;
 }
@@ -89,7 +90,8 @@
   return true;
 }
 
-// Discovery is a small service; proxies that all poll again at once would keep it from answering.
+// The backoff is randomized: discovery is a small service that couldn't answer if all proxies
+// polled again at the same time.
 void EndpointList::onPollFailed(RandomSource& random, TimePoint now) {
   pollAt_ = now + pollBackoff_ * (0.5 + drawUnit(random));
   pollBackoff_ = std::min(pollBackoff_ * 2, maxPollBackoff_);
--- a/src/decision/endpoint_list.h
+++ b/src/decision/endpoint_list.h
@@ -1,7 +1,7 @@
-// Which stores the endpoint list holds, and when the list is polled.
+// The endpoint list: which stores exist, and when discovery is polled for them.
 //
-// Owns each store's group, zone, status and static weight, the members of groups, the share of
-// traffic of zones, and the backoff between polls.
+// Owns the group, zone, status and static weight of each store, the members of each group, the
+// traffic share of each zone, and the backoff between polls.
 #pragma once
 
 #include <vector>
@@ -30,20 +30,20 @@
   double weight(int store) const { return weight_[store]; }
   bool isUp(int store) const { return status_[store] == EndpointStatus::up; }
 
-  // A snapshot of the list: it begins, its endpoints are added, it ends. Endpoints that a whole
-  // snapshot lacks are gone.
+  // A snapshot is applied by beginSnapshot(), one addEndpoint() for each endpoint, endSnapshot().
+  // Endpoints missing from a whole snapshot are marked as gone if `removalMeansDrained` is set.
   void beginSnapshot(bool whole);
   void addEndpoint(const EndpointInfo& endpoint);
   void endSnapshot();
   void remove(int store);
 
-  // Sets the zone's share of its usual traffic, and returns the former one.
+  // Sets the fraction of its usual traffic that the zone gets, and returns the previous one.
   double setZoneShare(int zone, double share, bool mayProbe);
-  // The share of the zone that the store stands in.
+  // The traffic share of the store's zone, or 1 if its zone is unknown.
   double zoneShare(int store) const;
   bool mayProbe(int store) const;
 
-  // Polls: true where one is due now, which then counts as made.
+  // Returns whether a poll is due now. If so, no other is due until onPollFailed() schedules one.
   bool takePoll(TimePoint now);
   void onPolled() { pollBackoff_ = firstPollBackoff_; }
   void onPollFailed(RandomSource& random, TimePoint now);
@@ -55,7 +55,7 @@
   };
 
   const EngineSettings& settings_;
-  std::vector<std::vector<int>> members_;  // of each group
+  std::vector<std::vector<int>> members_;  // stores of each group
   std::vector<Zone> zones_;
   std::vector<int> group_;
   std::vector<int> zone_;
--- a/src/decision/engine.cpp
+++ b/src/decision/engine.cpp
@@ -325,7 +325,7 @@
       int groupSize = stores_.endpoints.groupSize(group);
       stores_.slowStart.refill(store, group, groupSize, meanWork, now);
     }
-    double faded = stores_.health.fade(store, now);
+    double faded = stores_.health.decay(store, now);
     stores_.limits.recover(store, faded, now);
   }
 }
--- a/src/decision/freshness.cpp
+++ b/src/decision/freshness.cpp
@@ -7,23 +7,23 @@
 namespace reedchute {
 namespace {
 
-// Of the bound: a drained replica returns below it. It stands above the age that a report has when
-// it comes in, or few replicas would return.
-constexpr double kReturnBelow = 0.92;
-constexpr double kLagCut = 0.25;  // of the bound: more lag than that cuts the limit
+// Fraction of the staleness bound below which a drained replica is readmitted. It must exceed the
+// age that a report has when it arrives, or few replicas would be readmitted.
+constexpr double kReadmitBelow = 0.92;
+constexpr double kLimitCutLag = 0.25;  // fraction of the bound: more lag cuts the limit
 constexpr std::size_t kMaxSessions = 100'000;
 
 }  // namespace
 
 Freshness::Freshness(const EngineSettings& settings, Duration smallestBound)
-    : settings_(settings), returnBelow_(smallestBound * kReturnBelow) {}
+    : settings_(settings), readmitBelow_(smallestBound * kReadmitBelow) {}
 
 void Freshness::reset(int store) {
   std::size_t workloads = settings_.workloads.size();
   assignAt(position_, store, kNever);
   assignAt(restartedAt_, store, kNever);
   assignAt(drained_, store, std::vector<char>(workloads, 1));
-  assignAt(returnedAt_, store, std::vector<TimePoint>(workloads, kNever));
+  assignAt(readmittedAt_, store, std::vector<TimePoint>(workloads, kNever));
 }
 
 void Freshness::onRestarted(int store, TimePoint now) {
@@ -32,12 +32,12 @@
   std::fill(drained_[store].begin(), drained_[store].end(), char{1});
 }
 
-// Reads compete with the thread that applies the log; where the replica lags, fewer of them let it
-// catch up.
+// Reads compete with the replica's thread that applies the log, so sending fewer of them lets a
+// lagging replica catch up.
 bool Freshness::onPosition(int store, const PositionReport& report, Duration reportAge,
                            TimePoint now) {
   TimePoint position = report.position;
-  if (report.askedAt < restartedAt_[store] || position < position_[store]) return false;
+  if (report.requestedAt < restartedAt_[store] || position < position_[store]) return false;
   position_[store] = position;
   Duration lag = now - position;
   bool fallsBehind = false;
@@ -45,12 +45,12 @@
     const Workload& workload = settings_.workloads[index];
     if (workload.level != Level::bounded) continue;
     Duration bound = workload.stalenessBound;
-    if (lag < bound && lag - reportAge >= bound * kLagCut) fallsBehind = true;
+    if (lag < bound && lag - reportAge >= bound * kLimitCutLag) fallsBehind = true;
     if (lag >= bound) {
       drained_[store][index] = 1;
-    } else if (drained_[store][index] && lag < bound * kReturnBelow) {
+    } else if (drained_[store][index] && lag < bound * kReadmitBelow) {
       drained_[store][index] = 0;
-      returnedAt_[store][index] = now;
+      readmittedAt_[store][index] = now;
     }
   }
   return fallsBehind;
@@ -62,7 +62,7 @@
   return true;
 }
 
-bool Freshness::suffices(int store, const StatementState& statement, TimePoint now) const {
+bool Freshness::isFreshEnough(int store, const StatementState& statement, TimePoint now) const {
   const Workload& workload = settings_.workloads[statement.workload];
   switch (workload.level) {
     case Level::any:
@@ -71,7 +71,7 @@
       return false;
     case Level::bounded: {
       if (isDrained(store, statement.workload)) return false;
-      // A store that checks reads itself may be of unknown age.
+      // A store that rejects stale reads itself needs no known position.
       if (settings_.storesRejectStaleReads) return true;
       Duration ageWhenSent = now + settings_.tick - position_[store];
       return ageWhenSent < workload.stalenessBound;
@@ -89,15 +89,15 @@
     if (!arrival.sinceWrite) return kNever;
     return now - *arrival.sinceWrite + settings_.tick;
   }
-  auto known = lastCommits_.find(arrival.session);
-  return known == lastCommits_.end() ? commitFloor_ : known->second;
+  auto entry = lastCommits_.find(arrival.session);
+  return entry == lastCommits_.end() ? commitFloor_ : entry->second;
 }
 
-// Sessions would pile up for as long as a proxy runs. Past the cap all count as having written last
-// at the time of the latest commit.
+// Without a cap the map would grow for as long as the proxy runs. At kMaxSessions it is cleared,
+// and every session counts as having last written at the latest commit in it.
 void Freshness::onCommit(std::uint64_t session, TimePoint position) {
   if (lastCommits_.size() >= kMaxSessions) {
-    for (const auto& known : lastCommits_) commitFloor_ = std::max(commitFloor_, known.second);
+    for (const auto& entry : lastCommits_) commitFloor_ = std::max(commitFloor_, entry.second);
     lastCommits_.clear();
   }
   TimePoint& last = lastCommits_.try_emplace(session, commitFloor_).first->second;
@@ -108,7 +108,7 @@
   Duration aged = std::max(ahead, Duration{});
   for (TimePoint& position : position_)
     if (position > kNever) position = position - aged;
-  for (auto& known : lastCommits_) known.second = known.second - ahead;
+  for (auto& entry : lastCommits_) entry.second = entry.second - ahead;
   if (commitFloor_ > kNever) commitFloor_ = commitFloor_ - ahead;
 }
 
--- a/src/decision/freshness.h
+++ b/src/decision/freshness.h
@@ -1,8 +1,9 @@
-// What is known of the age of each store's data, and which data each statement needs.
+// Decides whether a store's data is fresh enough for a statement.
 //
-// Owns the positions of stores, the flags that drain a replica for a workload while its lag is at
-// the workload's bound or above, and the last commits of sessions. A position is the time up to
-// which a store has all commits. A store without a known position counts as drained.
+// Owns the replication log positions of stores, the flags that drain a replica for a workload while
+// its lag is at or above the workload's staleness bound, and the last commit of each session. A
+// position is the time up to which a store has all commits. A store without a known position counts
+// as drained.
 #pragma once
 
 #include <cstdint>
@@ -14,10 +15,10 @@
 
 namespace reedchute {
 
-// A position as a store has told it, and when the store was asked.
+// A position that a store sent, and when it was requested from the store.
 struct PositionReport {
   TimePoint position;
-  TimePoint askedAt;
+  TimePoint requestedAt;
 };
 
 class Freshness {
@@ -25,47 +26,48 @@
   Freshness(const EngineSettings& settings, Duration smallestBound);
 
   void reset(int store);
-  // The store has started again, perhaps with older data: no position is known until it is told
-  // by the process that runs now.
+  // The store's process has restarted, perhaps with older data: its position is unknown until the
+  // new process reports one.
   void onRestarted(int store, TimePoint now);
 
-  // Learns a position; an older one than is known changes nothing, nor does one that was asked for
-  // before the store started again. `reportAge` is how old the position may be merely by the way it
-  // came. True where the replica falls behind so far that it should be sent less.
+  // Records a position. Ignores one that is older than the known position or was requested before
+  // the store restarted. `reportAge` is the age that the position may have merely because reports
+  // are renewed periodically. Returns true if the replica lags so far that its concurrency limit
+  // should be cut.
   bool onPosition(int store, const PositionReport& report, Duration reportAge, TimePoint now);
   TimePoint position(int store) const { return position_[store]; }
   bool hasPosition(int store) const { return position_[store] > kNever; }
   bool isDrained(int store, int workload) const { return drained_[store][workload]; }
-  // True where the replica is too far behind for every bounded workload.
+  // True if the replica lags too far for every bounded workload.
   bool isDrainedForAllBounds(int store) const;
-  // True where the position would let the replica return for the smallest bound.
+  // True if the lag is low enough to readmit a drained replica for the smallest bound.
   bool isWellWithinBounds(int store, TimePoint now) const {
-    return now - position_[store] < returnBelow_;
+    return now - position_[store] < readmitBelow_;
   }
-  // When the replica was last taken back for the workload.
-  TimePoint returnedAt(int store, int workload) const { return returnedAt_[store][workload]; }
-  // True where the replica is known to be fresh enough for the statement, if it is sent now.
-  bool suffices(int store, const StatementState& statement, TimePoint now) const;
+  // When the replica was last readmitted for the workload after it was drained.
+  TimePoint readmittedAt(int store, int workload) const { return readmittedAt_[store][workload]; }
+  // True if the replica is known to be fresh enough for the statement, if it is sent now.
+  bool isFreshEnough(int store, const StatementState& statement, TimePoint now) const;
 
   // The position that a store must have reached before it may answer this read.
   TimePoint requiredPosition(const Arrival& arrival, TimePoint now) const;
-  // Remembers a session's last commit, where reads don't carry it themselves.
+  // Records a session's last commit, for reads that don't carry a session token.
   void onCommit(std::uint64_t session, TimePoint position);
 
-  // The clock of positions was set ahead by `ahead`, or back where it is below zero. Positions
-  // count as the older of both readings. Last commits are compared with positions alone and move
-  // with the clock.
+  // The clock by which positions are expressed was stepped forward by `ahead` (backward if
+  // negative). Positions count as the older of both readings. Last commits are compared only with
+  // positions and move with the clock.
   void onClockStepped(Duration ahead);
 
  private:
   const EngineSettings& settings_;
-  const Duration returnBelow_;  // the lag at which a replica returns for the smallest bound
+  const Duration readmitBelow_;  // lag below which a replica is readmitted for the smallest bound
   std::vector<TimePoint> position_;
   std::vector<TimePoint> restartedAt_;
-  std::vector<std::vector<char>> drained_;          // a flag a workload
-  std::vector<std::vector<TimePoint>> returnedAt_;  // a time a workload
+  std::vector<std::vector<char>> drained_;            // a flag for each workload
+  std::vector<std::vector<TimePoint>> readmittedAt_;  // a time for each workload
   std::unordered_map<std::uint64_t, TimePoint> lastCommits_;
-  TimePoint commitFloor_ = kNever;  // counts as the last commit of sessions that are not remembered
+  TimePoint commitFloor_ = kNever;  // assumed last commit of sessions without an entry
 };
 
 }  // namespace reedchute
--- a/src/decision/outlier_detection.cpp
+++ b/src/decision/outlier_detection.cpp
@@ -9,14 +9,14 @@
 namespace reedchute {
 namespace {
 
-constexpr double kOutcomeWeight = 0.1;  // of one outcome in a running share
+constexpr double kOutcomeWeight = 0.1;  // weight of one outcome in a moving average
 constexpr double kTimeWeight = kOutcomeWeight * 0.5;
-constexpr double kShortageShare = 0.06;  // of refused connections: stores have no room for them
-constexpr double kFadeTime = 8;          // SLO times after which a bad share is mostly forgotten
-constexpr double kOverduePenalty = 0.3;  // of a success rate, for an overdue attempt
-constexpr double kMaxEjection = 8;       // connect time-outs
+constexpr double kShortageShare = 0.06;  // fraction of refused connections that shows a shortage
+constexpr double kDecayTime = 8;  // smallest SLO times: time constant of the decay of bad rates
+constexpr double kOverduePenalty = 0.3;  // fraction of the success rate lost by an overdue attempt
+constexpr double kMaxEjection = 8;       // connect timeouts
 
-bool showsSuccess(AttemptOutcome outcome) {
+bool isSuccessful(AttemptOutcome outcome) {
   return outcome == AttemptOutcome::ok || outcome == AttemptOutcome::notServedHere ||
          outcome == AttemptOutcome::invalid;
 }
@@ -43,7 +43,8 @@
   ensureIndex(zones_, zone);
 }
 
-// Quick errors free places fast and would draw more reads; a slow store responds right but late.
+// The success rate counts squared: fast errors free capacity quickly, so a failing store would
+// attract more reads. The response time counts because a slow store responds correctly but late.
 double OutlierDetection::weight(int store) const {
   constexpr double kFastest = 0.5;
   constexpr double kSlowest = 10;
@@ -62,10 +63,10 @@
 void OutlierDetection::onAttemptEnded(int store, const AttemptResult& result,
                                       const AttemptContext& context, TimePoint now) {
   AttemptOutcome outcome = result.outcome;
-  bool isSuccess = showsSuccess(outcome);
+  bool isSuccess = isSuccessful(outcome);
   bool isConnectFailure = outcome == AttemptOutcome::connectFailed;
-  // One response that is malformed or cut off is no sign that the process died; but of many proxies
-  // each sees no more of a death than that.
+  // A single malformed or truncated response doesn't show that the process failed. With many
+  // proxies, however, each sees no more than one such response of a failed process.
   bool isReset = outcome == AttemptOutcome::reset;
   bool isError = outcome == AttemptOutcome::error || outcome == AttemptOutcome::malformedResponse ||
                  (isReset && !manyProxies_);
@@ -80,7 +81,7 @@
   } else if (isError) {
     successRate_[store] -= kOutcomeWeight * successRate_[store];
   } else if (outcome == AttemptOutcome::overloaded) {
-    if (context.isIdle) eject(store, EjectionReason::silent, now);
+    if (context.isIdle) eject(store, EjectionReason::unresponsive, now);
   } else if (isConnectFailure || isReset) {
     onConnectionLost(store, isReset, context.sent, now);
   }
@@ -91,8 +92,8 @@
   relativeTime_[store] += kTimeWeight * (elapsed / typicalTime - relativeTime_[store]);
 }
 
-// What was sent before the last ejection tells nothing new, nor does one connection of a store that
-// responds on others.
+// An attempt sent before the last ejection or the last response is no new evidence, nor is one lost
+// connection of a store that responds on others.
 void OutlierDetection::onConnectionLost(int store, bool wasOpen, TimePoint sent, TimePoint now) {
   if (wasOpen)
     unreachable_[store] = 1;
@@ -102,11 +103,13 @@
     fleetShortageAt_ = now;
   TimePoint lastRefused = std::exchange(refusedAt_[store], now);
   bool isFirst = lastRefused <= lastResponse_[store] && now - lastResponse_[store] < smallestSlo_;
-  bool isNews = sent >= ejectedAt_[store] && sent >= lastResponse_[store];
-  if (isNews && (!isFirst || manyProxies_)) eject(store, EjectionReason::connectionFailed, now);
+  bool isNewEvidence = sent >= ejectedAt_[store] && sent >= lastResponse_[store];
+  if (isNewEvidence && (!isFirst || manyProxies_))
+    eject(store, EjectionReason::connectionFailed, now);
 }
 
-// A store that answers some statements and leaves others out is neither silent nor full of errors.
+// The success rate is lowered because a store that answers only some statements is neither
+// unresponsive nor returns errors.
 void OutlierDetection::onAttemptOverdue(int store, int zone, TimePoint sent, TimePoint now) {
   if (lastResponse_[store] < sent) onZoneResult(zone, false, now);
   successRate_[store] -= kOverduePenalty * successRate_[store];
@@ -126,8 +129,8 @@
   return isConfirmed;
 }
 
-// Where a store that runs has no room for connections, most stores of a squeezed fleet have none.
-// A store that was only cut off and kept its role isn't cold.
+// If a running store has no capacity for connections, most stores of an overloaded fleet have none
+// either. A store that was only disconnected and kept its role isn't cold.
 void OutlierDetection::onProbeAnswered(int store, int zone, bool keptRole, TimePoint now) {
   failedProbes_[store] = 0;
   onZoneResult(zone, true, now);
@@ -136,17 +139,17 @@
   if (keptRole) unreachable_[store] = 0;
 }
 
-// When a zone is lost, each proxy would otherwise find out store by store, at the cost of a
-// statement each.
+// Without failures counted by zone, each proxy would detect the loss of a zone store by store, at
+// the cost of one statement for each.
 void OutlierDetection::onZoneResult(int zone, bool responded, TimePoint now) {
   if (zone < 0) return;
-  Zone& known = zones_[zone];
+  Zone& state = zones_[zone];
   if (responded) {
-    known.failures = 0;
+    state.failures = 0;
     return;
   }
-  ++known.failures;
-  known.failedAt = now;
+  ++state.failures;
+  state.failedAt = now;
 }
 
 void OutlierDetection::eject(int store, EjectionReason reason, TimePoint now) {
@@ -158,8 +161,9 @@
   if (reason == EjectionReason::connectionFailed) connectionRefused_[store] = 1;
 }
 
-// A process that died and answers again is cold long before the list says that it started. A store
-// that refused a connection but answered every probe had no room for one and was never away.
+// A process that failed and responds again is cold long before the endpoint list contains its
+// start. A store that refused a connection but answered every probe had no capacity for one and was
+// never unreachable.
 bool OutlierDetection::hasRestarted(int store) const {
   return unreachable_[store] || (connectionRefused_[store] && !settings_.mayProbe);
 }
@@ -176,8 +180,8 @@
   shortageAt_[store] = kNever;
 }
 
-double OutlierDetection::fadedPartAfter(Duration passed) const {
-  return 1 - std::exp(-(passed / (smallestSlo_ * kFadeTime)));
+double OutlierDetection::computeDecayedPart(Duration passed) const {
+  return 1 - std::exp(-(passed / (smallestSlo_ * kDecayTime)));
 }
 
 }  // namespace reedchute
--- a/src/decision/primary_tracker.cpp
+++ b/src/decision/primary_tracker.cpp
@@ -8,33 +8,33 @@
 
 void PrimaryTracker::reset(int store) {
   assignAt(role_, store, Role::unknown);
-  assignAt(primaryAt_, store, kNever);
-  assignAt(replicaAt_, store, kNever);
-  assignAt(doubtedAt_, store, kNever);
+  assignAt(seenAsPrimaryAt_, store, kNever);
+  assignAt(seenAsReplicaAt_, store, kNever);
+  assignAt(confirmationRevokedAt_, store, kNever);
 }
 
 void PrimaryTracker::ensureGroup(int group) {
   ensureIndex(groups_, group);
 }
 
-bool PrimaryTracker::restsOnReport(int group) const {
+bool PrimaryTracker::isPrimaryOnlyReported(int group) const {
   return groups_[group].evidence == RoleEvidence::reported;
 }
 
-// A list with the roles as at the start would name a store again that has told otherwise and was
-// removed since.
+// An endpoint list whose roles are those of process start could name a store as primary again that
+// has responded as a replica and was removed since, which cleared its role here.
 void PrimaryTracker::onListedAsPrimary(int group, int store, bool isPrimaryUsable, TimePoint now) {
-  const Group& known = groups_[group];
+  const Group& state = groups_[group];
   if (role_[store] != Role::unknown) return;
-  if (known.primary == store) return;
-  if (known.primary < 0) {
-    bool mayBeOld = known.hasMoved && !settings_.endpointRolesAreCurrent;
+  if (state.primary == store) return;
+  if (state.primary < 0) {
+    bool mayBeOld = state.hasMoved && !settings_.endpointRolesAreCurrent;
     if (mayBeOld) return;
   } else {
     if (!settings_.endpointRolesAreCurrent) return;
-    if (known.evidence != RoleEvidence::listed && isPrimaryUsable) return;
+    if (state.evidence != RoleEvidence::listed && isPrimaryUsable) return;
   }
-  name(group, store, RoleEvidence::listed, now);
+  setPrimary(group, store, RoleEvidence::listed, now);
 }
 
 void PrimaryTracker::onObserved(int group, int store, const RoleObservation& observation,
@@ -48,36 +48,37 @@
 
 void PrimaryTracker::onSeenAsPrimary(int group, int store, const RoleObservation& observation,
                                      TimePoint now) {
-  Group& known = groups_[group];
+  Group& state = groups_[group];
   TimePoint at = observation.at;
-  bool byReport = observation.source == RoleSource::report;
-  if (at <= replicaAt_[store]) return;
-  if (!byReport && at <= doubtedAt_[store]) return;
-  // A report may come between a send and the response to it, and then seems newer.
-  if (!byReport && known.primary == store) known.evidence = RoleEvidence::confirmed;
-  if (at <= primaryAt_[store]) return;
-  primaryAt_[store] = at;
+  bool isReport = observation.source == RoleSource::report;
+  if (at <= seenAsReplicaAt_[store]) return;
+  if (!isReport && at <= confirmationRevokedAt_[store]) return;
+  // A report may arrive between a send and its response, and then seems newer than the response.
+  if (!isReport && state.primary == store) state.evidence = RoleEvidence::confirmed;
+  if (at <= seenAsPrimaryAt_[store]) return;
+  seenAsPrimaryAt_[store] = at;
   role_[store] = Role::primary;
-  if (known.primary == store) {
-    bool confirms = !byReport || known.evidence != RoleEvidence::reported;
-    if (confirms) known.evidence = RoleEvidence::confirmed;
+  if (state.primary == store) {
+    bool confirms = !isReport || state.evidence != RoleEvidence::reported;
+    if (confirms) state.evidence = RoleEvidence::confirmed;
     return;
   }
-  // Where two stores claim the role, the one that was seen in it last has it.
-  bool isLatest = known.primary < 0 || primaryAt_[known.primary] < at;
+  // If two stores claim the role, the one last seen in it is the primary.
+  bool isLatest = state.primary < 0 || seenAsPrimaryAt_[state.primary] < at;
   if (isLatest)
-    name(group, store, byReport ? RoleEvidence::reported : RoleEvidence::confirmed, now);
+    setPrimary(group, store, isReport ? RoleEvidence::reported : RoleEvidence::confirmed, now);
 }
 
-// A report that seems older than the last sight as primary may be new, of a store that stood still,
-// so it casts doubt on the role. Or it is old, and says nothing about a store promoted since.
+// A report that seems older than the last observation as primary may be recent, from a store whose
+// position didn't advance, so the role is no longer confirmed. Or it is old and says nothing about
+// a store promoted since, so the role isn't dropped either.
 void PrimaryTracker::onSeenAsReplica(int group, int store, TimePoint at, TimePoint now) {
-  doubt(group, store, now);
-  if (at < primaryAt_[store]) return;
+  revokeConfirmation(group, store, now);
+  if (at < seenAsPrimaryAt_[store]) return;
   role_[store] = Role::replica;
-  replicaAt_[store] = std::max(replicaAt_[store], at);
-  Group& known = groups_[group];
-  if (known.primary == store) dropPrimary(known);
+  seenAsReplicaAt_[store] = std::max(seenAsReplicaAt_[store], at);
+  Group& state = groups_[group];
+  if (state.primary == store) dropPrimary(state);
 }
 
 void PrimaryTracker::dropPrimary(Group& group) {
@@ -85,20 +86,20 @@
   group.hasMoved = true;
 }
 
-// Until the store has responded as primary to what is sent from now on, it counts as one that a
-// report alone names.
-void PrimaryTracker::doubt(int group, int store, TimePoint now) {
-  doubtedAt_[store] = now;
-  Group& known = groups_[group];
-  bool isConfirmed = known.primary == store && known.evidence == RoleEvidence::confirmed;
-  if (isConfirmed) known.evidence = RoleEvidence::reported;
+// Until the store responds as primary to an attempt sent from now on, a report counts as the only
+// evidence for its role.
+void PrimaryTracker::revokeConfirmation(int group, int store, TimePoint now) {
+  confirmationRevokedAt_[store] = now;
+  Group& state = groups_[group];
+  bool isConfirmed = state.primary == store && state.evidence == RoleEvidence::confirmed;
+  if (isConfirmed) state.evidence = RoleEvidence::reported;
 }
 
-// A primary that died comes back as a replica whose position stands where it was last seen as
-// primary, so its reports seem older than that. Any report tells its role from now on.
+// A failed primary may restart as a replica whose position is still the one at which it was last
+// seen as primary, so its reports seem older than that. From now on any report states its role.
 void PrimaryTracker::onRestarted(int group, int store, TimePoint now) {
-  primaryAt_[store] = kNever;
-  doubt(group, store, now);
+  seenAsPrimaryAt_[store] = kNever;
+  revokeConfirmation(group, store, now);
 }
 
 void PrimaryTracker::onRemoved(int store) {
@@ -106,12 +107,12 @@
     if (group.primary == store) group.primary = -1;
 }
 
-void PrimaryTracker::name(int group, int store, RoleEvidence evidence, TimePoint now) {
-  Group& known = groups_[group];
-  known.primary = store;
-  known.evidence = evidence;
-  known.since = now;
-  if (evidence != RoleEvidence::listed) known.hasMoved = true;
+void PrimaryTracker::setPrimary(int group, int store, RoleEvidence evidence, TimePoint now) {
+  Group& state = groups_[group];
+  state.primary = store;
+  state.evidence = evidence;
+  state.since = now;
+  if (evidence != RoleEvidence::listed) state.hasMoved = true;
 }
 
 void PrimaryTracker::onSearched(int group, int nextCandidate, TimePoint now) {
--- a/src/decision/probe_scheduler.cpp
+++ b/src/decision/probe_scheduler.cpp
@@ -185,7 +185,7 @@
     bool helps = !manyProxies_ || !demand.firstBounded ||
                  selection.hasCapacity(store, *demand.firstBounded, now);
     if (isProbing_[store] || (helps && isMeasured(store, isPrimary, now))) measured += 1;
-    if (manyProxies_ && selection.mayHostLongReads(store)) ++hostRank;
+    if (manyProxies_ && selection.mayServeLongReads(store)) ++hostRank;
     if (isProbing_[store] || !stores_.endpoints.isUp(store)) continue;
     if (!stores_.endpoints.mayProbe(store)) continue;
     if (stores_.health.hasRefusedConnection(store)) {
--- a/src/decision/replica_selection.cpp
+++ b/src/decision/replica_selection.cpp
@@ -51,8 +51,8 @@
   double weight = stores_.endpoints.weight(store) * lagWeight(store, workload, now) *
                   stores_.slowStart.warmth(store, now);
   if (workload.level == Level::bounded) {
-    TimePoint returnedAt = stores_.freshness.returnedAt(store, statement.workload);
-    double ramp = (now - returnedAt) / (stores_.statistics.smallestSlo() * kReturnRamp);
+    TimePoint readmittedAt = stores_.freshness.readmittedAt(store, statement.workload);
+    double ramp = (now - readmittedAt) / (stores_.statistics.smallestSlo() * kReturnRamp);
     weight *= std::clamp(ramp, kLeastWeight, 1.0);
   }
   bool isSuspect = stores_.isInSuspectZone(store, now);
@@ -101,7 +101,7 @@
 bool ReplicaSelection::primaryHasRoom(int group, const StatementState& statement,
                                       TimePoint now) const {
   if (!stores_.hasUsablePrimary(group, now)) return false;
-  if (stores_.primaries.restsOnReport(group)) return false;
+  if (stores_.primaries.isPrimaryOnlyReported(group)) return false;
   if (settings_.storesRejectStaleReads) return false;
   int primary = stores_.primaries.primary(group);
   return stores_.limits.limit(primary) >= stores_.limits.initialLimit() &&
@@ -109,10 +109,10 @@
          hasCapacity(primary, statement, now);
 }
 
-bool ReplicaSelection::mayHostLongReads(int store) const {
+bool ReplicaSelection::mayServeLongReads(int store) const {
   int group = stores_.endpoints.group(store);
   return store != stores_.primaries.primary(group) && stores_.endpoints.isUp(store) &&
-         stores_.health.mayHostLongReads(store);
+         stores_.health.mayServeLongReads(store);
 }
 
 // A replica may hold up its log for a long read; spread over all, long reads would leave none
@@ -149,14 +149,14 @@
   for (int store : stores_.endpoints.members(statement.group)) {
     if (store == stores_.primaries.primary(statement.group)) continue;
     if (!stores_.endpoints.isUp(store)) continue;
-    if (mayHostLongReads(store)) ++replicas.hosts;
+    if (mayServeLongReads(store)) ++replicas.hosts;
     if (!stores_.isUsable(store, now) || stores_.endpoints.zoneShare(store) <= 0) continue;
     int rank = replicas.hosts;
     if (packing.isLongRead && (rank > packing.hostsInUse || rank < 1)) continue;
     bool isKnownStale = isBounded && stores_.freshness.hasPosition(store) &&
                         stores_.freshness.isDrained(store, statement.workload);
     if (probes_.isProbing(store) && !isKnownStale) replicas.awaitsProbe = true;
-    if (!stores_.freshness.suffices(store, statement, now)) continue;
+    if (!stores_.freshness.isFreshEnough(store, statement, now)) continue;
     replicas.hasFreshOne = true;
     if (!hasCapacity(store, statement, now)) continue;
     if (!packing.avoidsOthers || rank > packing.mostHosts)
@@ -220,7 +220,7 @@
   // A report may be untrue. Until the store itself has responded as primary it gets writes, which a
   // replica turns away untouched, but no read that must be current (test: untrueReport).
   bool needsProof = readsCurrentData(level) && !settings_.storesRejectStaleReads;
-  if (needsProof && primary >= 0 && stores_.primaries.restsOnReport(group)) return kNoStore;
+  if (needsProof && primary >= 0 && stores_.primaries.isPrimaryOnlyReported(group)) return kNoStore;
   if (stores_.hasUsablePrimary(group, now))
     return hasCapacity(primary, statement, now) ? primary : kNoStore;
   return level == Level::write ? searchPrimary(statement, now) : kNoStore;
--- a/src/decision/replica_selection.h
+++ b/src/decision/replica_selection.h
@@ -36,7 +36,7 @@
   // True where the primary has room for a bounded read that awaits no probe.
   bool primaryHasRoom(int group, const StatementState& statement, TimePoint now) const;
   // True where a store takes its turn as host of long reads.
-  bool mayHostLongReads(int store) const;
+  bool mayServeLongReads(int store) const;
 
  private:
   // How long reads are packed on few members of the group, for one statement.
--- a/src/decision/retry_policy.cpp
+++ b/src/decision/retry_policy.cpp
@@ -96,7 +96,7 @@
   for (int store = 0; store < stores_.endpoints.size(); ++store) {
     bool isSilent = missingResponses_[store] > kSilentResponses;
     if (isSilent && !stores_.health.isEjected(store, now))
-      stores_.health.eject(store, EjectionReason::silent, now);
+      stores_.health.eject(store, EjectionReason::unresponsive, now);
   }
 }
 
--- a/src/decision/types.h
+++ b/src/decision/types.h
@@ -1,5 +1,5 @@
-// The types that the decision modules and their callers share: settings, facts, and the interface
-// that decisions are written to. They hold no logic.
+// The types that the decision modules share with their callers: settings, observed facts, and the
+// interface through which decisions are carried out. They contain no logic.
 #pragma once
 
 #include <cstdint>
@@ -10,18 +10,18 @@
 
 namespace reedchute {
 
-// How current the data of a workload's statements has to be.
+// How current the data that a workload's statements read must be.
 enum class Level { any, bounded, session, fresh, write };
-// What a second run of a statement does.
+// The effect of executing a statement more than once.
 enum class Effect { idempotent, deduplicated, nonIdempotent };
-// How far stores share what they know of idempotency keys.
+// The set of stores that share their idempotency keys.
 enum class Scope { everywhere, zone, group };
 enum class EndpointStatus { up, draining, gone };
 enum class Role { unknown, primary, replica };
-// What the name of a primary rests on: the endpoint list, a report, or its own response.
+// The evidence for a store being the primary: the endpoint list, a report, or its own response.
 enum class RoleEvidence { listed, reported, confirmed };
-// `malformedResponse`: the store has responded with what can't be read, and may have run the
-// statement. `invalid`: the statement itself is wrong, whichever store gets it.
+// `malformedResponse`: the store's response can't be parsed, and the store may have executed the
+// statement. `invalid`: the statement itself is invalid, whichever store receives it.
 enum class AttemptOutcome {
   ok,
   notServedHere,
@@ -40,18 +40,18 @@
   Level level = Level::any;
   Effect effect = Effect::nonIdempotent;
   Scope scope = Scope::group;
-  Duration stalenessBound;       // how old a bounded read's data may be
-  Duration slo;                  // the time in which a statement should be answered
-  Duration deduplicationWindow;  // for how long a store drops a retry
+  Duration stalenessBound;       // the oldest data that a bounded read may return
+  Duration slo;                  // the time within which a statement should be answered
+  Duration deduplicationWindow;  // how long a store recognizes and drops a retry
   double importance = 1;
-  double lateShare = 0;  // of the importance, once the SLO time has passed
+  double lateShare = 0;  // fraction of the importance left once the SLO time has passed
 };
 
 struct Tenant {
-  double quota = 0;  // statements a second over all proxies
+  double quota = 0;  // statements per second, over all proxies
 };
 
-// What an engine is told when it starts.
+// The settings of a decision engine; they don't change while it runs.
 struct EngineSettings {
   std::uint64_t seed = 0;
   int proxyCount = 1;
@@ -59,31 +59,33 @@
   Duration tick;
   std::vector<Workload> workloads;
   std::vector<Tenant> tenants;
-  double overQuotaImportance = 1;  // factor on the importance of a statement beyond its quota
-  bool allowsHedging = false;      // a statement may be outstanding at two stores
+  double overQuotaImportance = 1;  // factor on the importance of a statement over quota
+  bool allowsHedging = false;      // a statement may be in flight at two stores
   bool mayCancel = false;
   bool mayProbe = false;
-  double probeCost = 0;                  // as a share of a statement's worth
-  bool pollsEndpoints = false;           // the endpoint list comes only when polled
-  bool removalMeansDrained = true;       // a store that vanished from the list counts as drained
-  bool endpointRolesAreCurrent = false;  // the list's roles are kept up to date
-  bool storesRejectStaleReads = false;   // a store that is too far behind turns a read away
-  bool readsCarrySessionToken = true;    // session reads say when their session last wrote
+  double probeCost = 0;                  // as a fraction of the value of a statement
+  bool pollsEndpoints = false;           // the endpoint list is sent only when polled
+  bool removalMeansDrained = true;       // a store missing from the endpoint list counts as drained
+  bool endpointRolesAreCurrent = false;  // the endpoint list's roles are kept up to date
+  bool storesRejectStaleReads = false;   // a store that lags too far rejects a read
+  bool readsCarrySessionToken = true;  // session reads carry the time of their session's last write
   bool repliesWithRetryAfter = false;
   Duration maxRetryAfter;
   Duration connectTimeout;
   Duration maxPollInterval;
-  // What discovery knows counts as known here after this time, whatever polls failed; zero: never.
+  // A change in discovery counts as known to this proxy after this time, even if polls failed;
+  // zero: never.
   Duration endpointsAssumedKnownAfter;
-  // A response counts as known this long after it was written; zero: once it is read.
+  // A response counts as known this long after it was written, even if unread; zero: once read.
   Duration responseAssumedKnownAfter;
-  Duration drainGrace;  // for which sends may go on after a store was told to drain
+  Duration drainGrace;  // how long statements may still be sent to a store that is to drain
   Duration warmUpTime;  // of a store that has just started
-  // Starts are listed by the clocks of other machines, from which this one's may differ.
+  // The endpoint list gives start times by the clocks of other machines, from which this machine's
+  // clock may differ, so they need confirmation.
   bool listedStartsNeedProof = false;
-  Duration coldOverloadWindow;
-  double coldInitialShare = 1;
-  double coldOverloadMultiple = 1;  // of its usual load at which a cold store falls over
+  Duration coldOverloadWindow;      // the period over which the load of a cold store is judged
+  double coldInitialShare = 1;      // fraction of its usual traffic for a store just started
+  double coldOverloadMultiple = 1;  // multiple of its usual load that overloads a cold store
 };
 
 struct EndpointInfo {
@@ -96,7 +98,7 @@
   std::optional<TimePoint> started;
 };
 
-// What a store reports of itself: the position of its data, and whether it is the primary.
+// A store's report of itself: its replication log position, and whether it is the primary.
 struct ReplicaReport {
   std::optional<TimePoint> position;
   std::optional<bool> primary;
@@ -108,7 +110,7 @@
   int tenant = -1;
   std::uint64_t session = 0;
   std::optional<Duration> sinceWrite;
-  bool repeated = false;  // the client says that this is a retry
+  bool repeated = false;  // the client marked this as a retry
   TimePoint giveUpAt;
 };
 
@@ -118,19 +120,19 @@
   Role role = Role::unknown;
   std::optional<TimePoint> position;
   Duration elapsed;
-  bool closed = false;  // the statement has its final response
+  bool closed = false;  // the statement has received its final response
   ReplicaReport report;
 };
 
-// Where decisions go.
+// Carries out the engine's decisions.
 class DecisionSink {
  public:
   virtual ~DecisionSink() = default;
-  // An attempt that has not left by `sendBy` ends as `neverSent`.
+  // An attempt that has not been sent by `sendBy` ends as `neverSent`.
   virtual void send(int statement, int store, TimePoint stopAt, TimePoint sendBy) = 0;
   virtual void cancel(int statement, int attempt) = 0;
   virtual void reject(int statement, Duration retryAfter) = 0;
-  // Ends a statement that may have had an effect.
+  // Ends a statement that may already have taken effect.
   virtual void abort(int statement) = 0;
   virtual void probe(int store) = 0;
   // Closes the idle connections to the store.
@@ -139,7 +141,7 @@
   virtual void wake(Duration after) = 0;
 };
 
-// The moment of a round, and where its decisions go.
+// The time of a round of the engine, and the sink for its decisions.
 struct Round {
   TimePoint now;
   DecisionSink& sink;
@@ -152,7 +154,7 @@
   bool isCancelled = false;
   bool isOverdue = false;
   bool mayHaveRun = true;
-  bool isPaced = true;  // sent while the store's limit held sends back
+  bool isPaced = true;  // sent while the store's limit held back further sends
 };
 
 struct StatementState {
@@ -165,9 +167,9 @@
   bool isOverQuota = false;
   TimePoint arrived;
   TimePoint giveUpAt;
-  TimePoint requiredPosition = kNever;  // that a session or fresh read must see
-  TimePoint notBefore = kNever;
-  int misses = 0;  // attempts at stores that don't serve it
+  TimePoint requiredPosition = kNever;  // least position of a store that may answer the read
+  TimePoint notBefore = kNever;         // earliest time of the next attempt
+  int misses = 0;                       // attempts that ended as `notServedHere`
   std::vector<Attempt> attempts;
 
   bool isOutstanding() const {
