--- a/src/decision/concurrency_limit.cpp
+++ b/src/decision/concurrency_limit.cpp
@@ -10,20 +10,20 @@
 namespace {
 
 constexpr double kInitialLimit = 4;       // attempts
-constexpr double kInitialLimitOfAll = 8;  // attempts that all proxies start with at a store
-constexpr double kSendsAhead = 8;         // usual gaps by which writes may run ahead of a pace
-constexpr double kGrowth = 0.3;           // of itself, by which a limit below one grows
-constexpr double kCut = 0.7;              // factor
-constexpr double kJamCut = kCut * kCut * kCut;  // factor on a limit below one
-constexpr double kSlowResponse = 0.3;           // of the SLO time: a slower response cuts the limit
-constexpr double kJamMultiple = 2;              // times as slow as a response that cuts the limit
-constexpr double kGrowsFrom = 0.5;              // of the limit in use, from which on it grows
+constexpr double kInitialTotalLimit = 8;  // attempts, over all proxies
+constexpr double kMaxSendsAhead = 8;      // send intervals by which writes may precede the pacing
+constexpr double kGrowth = 0.3;           // fraction of itself by which a limit grows at most
+constexpr double kCut = 0.7;              // factor on the limit
+constexpr double kOverloadCut = kCut * kCut * kCut;  // factor on a limit below one if overloaded
+constexpr double kSlowResponse = 0.3;    // of the SLO time: a slower response cuts the limit
+constexpr double kOverloadMultiple = 2;  // multiple of kSlowResponse that shows overload
+constexpr double kMinUseToGrow = 0.5;    // fraction of the limit that must be in use for it to grow
 
 }  // namespace
 
 ConcurrencyLimit::ConcurrencyLimit(const EngineSettings& settings)
     : settings_(settings),
-      initialLimit_(std::min(kInitialLimit, kInitialLimitOfAll / settings.proxyCount)),
+      initialLimit_(std::min(kInitialLimit, kInitialTotalLimit / settings.proxyCount)),
       recoveryTarget_(std::min(1.0, initialLimit_)) {}
 
 void ConcurrencyLimit::reset(int store) {
@@ -33,15 +33,15 @@
   assignAt(cutAt_, store, kNever);
 }
 
-// A limit below one spaces sends out in time by the work they bring: some go ahead of their time,
-// writes the most; reads at the primary hold back.
+// A limit below one spaces sends out in time by the work they cause. Some statements may be sent
+// before their time, writes the furthest; reads at the primary are sent after it.
 bool ConcurrencyLimit::hasCapacity(int store, const CapacityRequest& request, TimePoint now) const {
   double limit = limit_[store];
   double ahead = request.limitShare < 1 ? -1 : 1;
-  // Writes run less far ahead of a limit that was cut.
+  // Writes may be sent less far ahead if the limit was cut.
   if (request.mustBeCurrent)
-    ahead = std::max(1.0, kSendsAhead * std::min(1.0, limit / initialLimit_));
-  double least = limit < 1 && request.mustBeCurrent ? kSendsAhead : 1;
+    ahead = std::max(1.0, kMaxSendsAhead * std::min(1.0, limit / initialLimit_));
+  double least = limit < 1 && request.mustBeCurrent ? kMaxSendsAhead : 1;
   if (outstanding_[store] >= std::max(least, std::floor(limit * request.limitShare))) return false;
   return limit >= 1 || now + request.typicalTime * (ahead / limit) >= nextSendAt_[store];
 }
@@ -51,7 +51,7 @@
   return outstanding_[store] < limit_[store] * share;
 }
 
-bool ConcurrencyLimit::paces(int store, TimePoint now) const {
+bool ConcurrencyLimit::isPaced(int store, TimePoint now) const {
   return limit_[store] >= 1 || nextSendAt_[store] > now;
 }
 
@@ -67,27 +67,27 @@
 void ConcurrencyLimit::onSuccess(int store, const Attempt& attempt, Duration elapsed, Duration slo,
                                  TimePoint now) {
   if (elapsed > slo * kSlowResponse) {
-    bool jammed = elapsed > slo * kSlowResponse * kJamMultiple;
-    cut(store, attempt.sent, jammed ? CutReason::jammed : CutReason::slow, now);
+    bool isOverloaded = elapsed > slo * kSlowResponse * kOverloadMultiple;
+    cut(store, attempt.sent, isOverloaded ? CutReason::overloaded : CutReason::slow, now);
     return;
   }
   double limit = limit_[store];
-  bool isUsed = outstanding_[store] + 1 >= limit * kGrowsFrom;
+  bool isUsed = outstanding_[store] + 1 >= limit * kMinUseToGrow;
   if (attempt.isPaced && isUsed) setLimit(store, limit + std::min(limit * kGrowth, 1 / limit), now);
 }
 
-// A proxy with light traffic hears of a full or long queue once in seconds, so that an ordinary cut
-// would leave the queue standing.
+// A proxy with light traffic receives a sign of a full or long queue only once in several seconds,
+// so an ordinary cut would not let the queue drain.
 void ConcurrencyLimit::cut(int store, TimePoint sent, CutReason reason, TimePoint now) {
   if (sent < cutAt_[store]) return;
   cutAt_[store] = now;
-  double part = reason == CutReason::jammed && limit_[store] < 1 ? kJamCut : kCut;
+  double part = reason == CutReason::overloaded && limit_[store] < 1 ? kOverloadCut : kCut;
   setLimit(store, std::max(1.0 / settings_.proxyCount, limit_[store] * part), now);
 }
 
-// What was sent ahead of the pace is work; how long it takes follows the pace. Otherwise sends
-// ahead of a pace that was cut would hold back others long after the pace has recovered
-// (test: paceReturns).
+// Statements sent ahead of the pacing are a debt of work; the time to work it off scales with the
+// limit. Without this scaling, sends ahead of a limit that was cut would hold back other sends long
+// after the limit has recovered (test: paceReturns).
 void ConcurrencyLimit::setLimit(int store, double limit, TimePoint now) {
   double before = std::exchange(limit_[store], limit);
   if (nextSendAt_[store] > now)
--- a/src/decision/decaying_rate.h
+++ b/src/decision/decaying_rate.h
@@ -1,4 +1,4 @@
-// A rate per second whose past fades exponentially.
+// A rate per second with exponential decay.
 #pragma once
 
 #include <cmath>
@@ -9,12 +9,12 @@
 
 class DecayingRate {
  public:
-  // `memory` is how far back the rate looks.
+  // `memory` is the time constant of the decay.
   void add(double amount, Duration memory, TimePoint now) {
     rate_ = at(memory, now) + amount / memory.seconds();
     updatedAt_ = now;
   }
-  // The rate per second as it has faded by now.
+  // The rate per second, decayed up to `now`.
   double at(Duration memory, TimePoint now) const {
     return rate_ * std::exp(-((now - updatedAt_) / memory));
   }
--- a/src/decision/engine.cpp
+++ b/src/decision/engine.cpp
@@ -87,7 +87,7 @@
   }
   stores_.endpoints.addEndpoint(endpoint);
   bool hasStarted = endpoint.started &&
-                    stores_.slowStart.beginListed(store, *endpoint.started, random_, now);
+                    stores_.slowStart.onListedStart(store, *endpoint.started, random_, now);
   if (hasStarted) {
     stores_.health.onRestarted(store);
     stores_.health.readmit(store);
@@ -133,7 +133,7 @@
 // ---- what is learned of stores ----
 
 void DecisionEngine::onStoreStarted(int store, TimePoint now) {
-  stores_.slowStart.beginObserved(store, random_, now);
+  stores_.slowStart.onObservedStart(store, random_, now);
   stores_.health.onRestarted(store);
 }
 
@@ -226,7 +226,7 @@
   StatementState& statement = statements_[id];
   Attempt& attempt = statement.attempts[result.attempt];
   if (std::exchange(attempt.isOutstanding, false)) {
-    stores_.limits.onReturned(attempt.store);
+    stores_.limits.onAttemptEnded(attempt.store);
     returned_.push_back(attempt.store);
   }
   attempt.mayHaveRun = !provesNothingRan(result.outcome);
@@ -268,7 +268,7 @@
       .isIdle = stores_.limits.outstanding(store) == 0};
   stores_.health.onAttemptEnded(store, result, context, now);
   if (result.outcome == AttemptOutcome::overloaded)
-    stores_.limits.cut(store, attempt.sent, CutReason::jammed, now);
+    stores_.limits.cut(store, attempt.sent, CutReason::overloaded, now);
   if (result.outcome != AttemptOutcome::ok) return;
   stores_.limits.onSuccess(store, attempt, result.elapsed, workload.slo, now);
   stores_.statistics.onSuccess(statement.workload, result.elapsed);
--- a/src/decision/indexed_array.h
+++ b/src/decision/indexed_array.h
@@ -1,4 +1,4 @@
-// Parallel arrays under the index of a store, a group or a zone.
+// Helpers for parallel arrays indexed by store, group or zone.
 #pragma once
 
 #include <cstddef>
@@ -7,7 +7,7 @@
 
 namespace reedchute {
 
-// Sets the value at `index`; the array grows where it ends before that.
+// Sets the value at `index`, growing the array if needed.
 template <class Value>
 void assignAt(std::vector<Value>& array, int index, Value value) {
   auto position = static_cast<std::size_t>(index);
@@ -15,7 +15,7 @@
   array[position] = std::move(value);
 }
 
-// Makes sure that `index` exists.
+// Grows the array with default values until `index` exists.
 template <class Value>
 void ensureIndex(std::vector<Value>& array, int index) {
   if (static_cast<int>(array.size()) <= index) array.resize(index + 1);
--- a/src/decision/probe_scheduler.cpp
+++ b/src/decision/probe_scheduler.cpp
@@ -133,7 +133,7 @@
 double ProbeScheduler::wantedReplicas(int group, const Demand& demand,
                                       const ReplicaSelection& selection, TimePoint now) const {
   if (settings_.storesRejectStaleReads || !demand.firstBounded) return 0;
-  if (manyProxies_ && selection.primaryHasRoom(group, *demand.firstBounded, now)) return 0;
+  if (manyProxies_ && selection.primaryHasCapacity(group, *demand.firstBounded, now)) return 0;
   double arriving = boundedReads_[group].atLastUpdate() * smallestBound_.seconds();
   double wanted = 1 + kLead * (arriving + demand.boundedReads * kWaitingShare);
   return manyProxies_ ? std::floor(wanted) : wanted;
@@ -174,7 +174,7 @@
   TimePoint now = round.now;
   int hosts = 0;
   if (manyProxies_ && stores_.statistics.hasLongReads())
-    hosts = stores_.statistics.longReadHosts(stores_.endpoints.groupSize(group));
+    hosts = stores_.statistics.longReadStores(stores_.endpoints.groupSize(group));
   int hostRank = 0;
   double measured = 0;
   candidates_.clear();
--- a/src/decision/replica_selection.cpp
+++ b/src/decision/replica_selection.cpp
@@ -8,21 +8,21 @@
 namespace reedchute {
 namespace {
 
-constexpr double kFullWeightLag = 0.25;  // of the bound: more lag lowers the weight
-constexpr double kLeastWeight = 0.10;    // factor of a replica at its bound, or tried before
-constexpr double kReturnRamp = 10;  // smallest SLO times until a returned replica has its weight
-constexpr double kSuspectZoneWeight = 0.02;  // factor
+constexpr double kFullWeightLag = 0.25;  // of the staleness bound: more lag lowers the weight
+constexpr double kLeastWeight = 0.10;    // factor at the bound, when readmitted, or tried before
+constexpr double kReadmissionRamp = 10;  // smallest SLO times until a replica has full weight
+constexpr double kSuspectZoneWeight = 0.02;  // factor for a replica in a suspect zone
 constexpr double kSmallestWeight = 1e-9;
-constexpr double kNextHostAfter = 0.1;  // of the SLO time that a long read waits for one more host
-constexpr double kLongReadMembers = 0.34;   // of a group that long reads may take
-constexpr double kHostShare = 0.5;          // of a host's limit that short reads may fill
-constexpr double kLongReadShare = 2;        // of a replica's limit that long reads may fill
-constexpr double kPrimaryReadShare = 0.75;  // of the primary's limit that reads may fill
-constexpr double kProbeWait = 0.1;          // of the SLO time that a read awaits a probe
-constexpr double kSearchGap = 0.1;          // of the SLO time, between two tries at members in turn
-constexpr double kSearchAgain = 0.5;        // of the SLO time, before a replica is tried again
+constexpr double kNextStoreAfter = 0.1;     // of the SLO time: wait before using one more store
+constexpr double kLongReadMembers = 0.34;   // of a group's members: used by long reads
+constexpr double kShortReadShare = 0.5;     // of a long-read store's limit: used by short reads
+constexpr double kLongReadShare = 2;        // of a replica's limit: used by long reads
+constexpr double kPrimaryReadShare = 0.75;  // of the primary's limit: used by reads
+constexpr double kProbeWait = 0.1;          // of the SLO time: longest wait of a read for a probe
+constexpr double kSearchInterval = 0.1;     // of the SLO time, between two steps of a search
+constexpr double kReplicaRetryDelay = 0.5;  // of the SLO time, until a replica is tried again
 
-bool readsCurrentData(Level level) {
+bool needsFreshData(Level level) {
   return level != Level::write && level != Level::any;
 }
 
@@ -36,7 +36,7 @@
       random_(random),
       manyProxies_(stores.limits.isSharedByManyProxies()) {}
 
-// Falls in a line from where lag counts to the bound.
+// Falls linearly from 1 at kFullWeightLag to kLeastWeight at the staleness bound.
 double ReplicaSelection::lagWeight(int store, const Workload& workload, TimePoint now) const {
   Duration bound = workload.stalenessBound;
   Duration lag = now - stores_.freshness.position(store);
@@ -52,7 +52,7 @@
                   stores_.slowStart.warmth(store, now);
   if (workload.level == Level::bounded) {
     TimePoint readmittedAt = stores_.freshness.readmittedAt(store, statement.workload);
-    double ramp = (now - readmittedAt) / (stores_.statistics.smallestSlo() * kReturnRamp);
+    double ramp = (now - readmittedAt) / (stores_.statistics.smallestSlo() * kReadmissionRamp);
     weight *= std::clamp(ramp, kLeastWeight, 1.0);
   }
   bool isSuspect = stores_.isInSuspectZone(store, now);
@@ -67,17 +67,17 @@
                                        const StatementState& statement, TimePoint now) {
   int best = kNoStore;
   double bestLoad = 0;
-  double equalWeight = 0;  // of all that are as good as the best
+  double tiedWeight = 0;  // sum of the weights of all candidates tied for the best
   for (int store : candidates) {
     double storeWeight = weight(store, statement, now);
     double load = stores_.limits.outstanding(store) / storeWeight;
     if (best < 0 || load < bestLoad) {
       best = store;
       bestLoad = load;
-      equalWeight = storeWeight;
+      tiedWeight = storeWeight;
     } else if (load == bestLoad) {
-      equalWeight += storeWeight;
-      if (drawUnit(random_) * equalWeight < storeWeight) best = store;
+      tiedWeight += storeWeight;
+      if (drawUnit(random_) * tiedWeight < storeWeight) best = store;
     }
   }
   return best;
@@ -96,10 +96,11 @@
   return stores_.limits.hasCapacity(store, request, now) && stores_.slowStart.hasBudget(store, now);
 }
 
-// Not while the primary is cold or after a cut, as writes come first there. A report alone is no
-// proof of the role, and stores that check reads themselves need none.
-bool ReplicaSelection::primaryHasRoom(int group, const StatementState& statement,
-                                      TimePoint now) const {
+// False while the primary is cold or its limit was cut, because writes have priority there. A
+// report alone doesn't prove the role, and stores that reject stale reads don't need the primary
+// for bounded reads.
+bool ReplicaSelection::primaryHasCapacity(int group, const StatementState& statement,
+                                          TimePoint now) const {
   if (!stores_.hasUsablePrimary(group, now)) return false;
   if (stores_.primaries.isPrimaryOnlyReported(group)) return false;
   if (settings_.storesRejectStaleReads) return false;
@@ -115,54 +116,55 @@
          stores_.health.mayServeLongReads(store);
 }
 
-// A replica may hold up its log for a long read; spread over all, long reads would leave none
-// fresh. They fill members in list order and wait before they take one more; short reads that any
-// replica may answer go there first (test: longReads). Many proxies that all filled one host first
-// would overrun it, so they take hosts by the work of long reads (test: hostsShared).
+// A replica may stop applying its log during a long read; spread over all replicas, long reads
+// would leave none fresh. So they fill members in the order of the endpoint list and wait before
+// they use one more, and short reads that any replica may answer are sent to these members first
+// (test: longReads). If many proxies all filled the same store first, they would overload it; there
+// the number of stores follows from the work of long reads (test: hostsShared).
 ReplicaSelection::Packing ReplicaSelection::packingOf(const StatementState& statement,
                                                       TimePoint now) const {
   const Workload& workload = settings_.workloads[statement.workload];
   int members = stores_.endpoints.groupSize(statement.group);
   Packing packing;
   packing.isLongRead = stores_.statistics.isLongRead(statement.workload);
-  packing.avoidsOthers = workload.level == Level::any && !packing.isLongRead &&
-                         stores_.statistics.hasLongReads();
+  packing.prefersLongReadStores = workload.level == Level::any && !packing.isLongRead &&
+                                  stores_.statistics.hasLongReads();
   if (manyProxies_) {
-    packing.mostHosts = stores_.statistics.longReadHosts(members);
-    packing.hostsInUse = packing.mostHosts;
+    packing.maxStores = stores_.statistics.longReadStores(members);
+    packing.storesInUse = packing.maxStores;
     return packing;
   }
-  packing.mostHosts = std::max(1, static_cast<int>(members * kLongReadMembers));
-  double waits = (now - statement.arrived) / (workload.slo * kNextHostAfter);
-  packing.hostsInUse = std::min(packing.mostHosts, 1 + static_cast<int>(waits));
+  packing.maxStores = std::max(1, static_cast<int>(members * kLongReadMembers));
+  double extraStores = (now - statement.arrived) / (workload.slo * kNextStoreAfter);
+  packing.storesInUse = std::min(packing.maxStores, 1 + static_cast<int>(extraStores));
   return packing;
 }
 
-// Fills `fitting_` and `hosting_`.
+// Sets `eligible_` and `eligibleLongReadStores_`.
 ReplicaSelection::Replicas ReplicaSelection::collectReplicas(const StatementState& statement,
                                                              const Packing& packing,
                                                              TimePoint now) {
   bool isBounded = settings_.workloads[statement.workload].level == Level::bounded;
   Replicas replicas;
-  fitting_.clear();
-  hosting_.clear();
+  eligible_.clear();
+  eligibleLongReadStores_.clear();
   for (int store : stores_.endpoints.members(statement.group)) {
     if (store == stores_.primaries.primary(statement.group)) continue;
     if (!stores_.endpoints.isUp(store)) continue;
-    if (mayServeLongReads(store)) ++replicas.hosts;
+    if (mayServeLongReads(store)) ++replicas.longReadStores;
     if (!stores_.isUsable(store, now) || stores_.endpoints.zoneShare(store) <= 0) continue;
-    int rank = replicas.hosts;
-    if (packing.isLongRead && (rank > packing.hostsInUse || rank < 1)) continue;
+    int rank = replicas.longReadStores;
+    if (packing.isLongRead && (rank > packing.storesInUse || rank < 1)) continue;
     bool isKnownStale = isBounded && stores_.freshness.hasPosition(store) &&
                         stores_.freshness.isDrained(store, statement.workload);
     if (probes_.isProbing(store) && !isKnownStale) replicas.awaitsProbe = true;
     if (!stores_.freshness.isFreshEnough(store, statement, now)) continue;
-    replicas.hasFreshOne = true;
+    replicas.hasFreshReplica = true;
     if (!hasCapacity(store, statement, now)) continue;
-    if (!packing.avoidsOthers || rank > packing.mostHosts)
-      fitting_.push_back(store);
-    else if (stores_.limits.hasSpareCapacity(store, kHostShare, now))
-      hosting_.push_back(store);
+    if (!packing.prefersLongReadStores || rank > packing.maxStores)
+      eligible_.push_back(store);
+    else if (stores_.limits.hasSpareCapacity(store, kShortReadShare, now))
+      eligibleLongReadStores_.push_back(store);
   }
   return replicas;
 }
@@ -172,26 +174,29 @@
   if (workload.level == Level::write) return routeToCurrent(statement, now);
   Packing packing = packingOf(statement, now);
   Replicas replicas = collectReplicas(statement, packing, now);
-  // A proxy with light traffic would hear too late that short reads fill a host; there they take
-  // hosts like any other replica.
+  // A proxy with light traffic would learn too late that short reads have filled a store of long
+  // reads, so with many proxies these stores have no priority over other replicas.
   if (manyProxies_) {
-    fitting_.insert(fitting_.end(), hosting_.begin(), hosting_.end());
-    hosting_.clear();
+    eligible_.insert(eligible_.end(), eligibleLongReadStores_.begin(),
+                     eligibleLongReadStores_.end());
+    eligibleLongReadStores_.clear();
   }
-  if (!hosting_.empty()) return leastOutstanding(hosting_, statement, now);
-  if (!fitting_.empty()) return leastOutstanding(fitting_, statement, now);
+  if (!eligibleLongReadStores_.empty())
+    return leastOutstanding(eligibleLongReadStores_, statement, now);
+  if (!eligible_.empty()) return leastOutstanding(eligible_, statement, now);
   // With many proxies nearly every bounded read needs a probe, and half of the probes find the
-  // replica too old. Where the primary has room, the read goes there (test: primaryFirst).
+  // replica too stale. If the primary has capacity, it gets the read (test: primaryFirst).
   bool isBounded = workload.level == Level::bounded;
-  if (manyProxies_ && isBounded && primaryHasRoom(statement.group, statement, now))
+  if (manyProxies_ && isBounded && primaryHasCapacity(statement.group, statement, now))
     return stores_.primaries.primary(statement.group);
   bool mayAwaitProbe = now - statement.arrived < workload.slo * kProbeWait;
-  if (!replicas.hasFreshOne && replicas.awaitsProbe && mayAwaitProbe) return kNoStore;
-  if (packing.isLongRead && replicas.hosts > 0) return kNoStore;
+  if (!replicas.hasFreshReplica && replicas.awaitsProbe && mayAwaitProbe) return kNoStore;
+  if (packing.isLongRead && replicas.longReadStores > 0) return kNoStore;
   return routeToCurrent(statement, now);
 }
 
-// Probes may fail where statements don't, so a drained replica that is due for a probe gets a read.
+// Probes may fail at a store that serves statements, so a drained replica that is due for a probe
+// may get a bounded read instead.
 int ReplicaSelection::mostAdvancedReplica(const StatementState& statement, TimePoint now) {
   bool isBounded = settings_.workloads[statement.workload].level == Level::bounded;
   const Freshness& freshness = stores_.freshness;
@@ -210,24 +215,24 @@
 int ReplicaSelection::routeToCurrent(const StatementState& statement, TimePoint now) {
   Level level = settings_.workloads[statement.workload].level;
   int group = statement.group;
-  int mostMisses = level == Level::bounded ? 2 : 1;
-  if (settings_.storesRejectStaleReads && readsCurrentData(level) &&
-      statement.misses < mostMisses) {
+  int maxMisses = level == Level::bounded ? 2 : 1;
+  if (settings_.storesRejectStaleReads && needsFreshData(level) && statement.misses < maxMisses) {
     int replica = mostAdvancedReplica(statement, now);
     if (replica >= 0) return replica;
   }
   int primary = stores_.primaries.primary(group);
-  // A report may be untrue. Until the store itself has responded as primary it gets writes, which a
-  // replica turns away untouched, but no read that must be current (test: untrueReport).
-  bool needsProof = readsCurrentData(level) && !settings_.storesRejectStaleReads;
+  // A report may be untrue. Until the store itself has responded as primary it receives writes,
+  // which a replica rejects without executing them, but no read that needs current data (test:
+  // untrueReport).
+  bool needsProof = needsFreshData(level) && !settings_.storesRejectStaleReads;
   if (needsProof && primary >= 0 && stores_.primaries.isPrimaryOnlyReported(group)) return kNoStore;
   if (stores_.hasUsablePrimary(group, now))
     return hasCapacity(primary, statement, now) ? primary : kNoStore;
   return level == Level::write ? searchPrimary(statement, now) : kNoStore;
 }
 
-// While no primary is known or it doesn't respond, writes try members in turn, one at a time for
-// each group.
+// While no primary is known or it doesn't respond, writes are sent to the group's members in turn,
+// with at least kSearchInterval between two of them.
 int ReplicaSelection::searchPrimary(const StatementState& statement, TimePoint now) {
   int group = statement.group;
   PrimaryTracker& primaries = stores_.primaries;
@@ -235,10 +240,10 @@
   int memberCount = static_cast<int>(members.size());
   if (statement.misses >= std::min(memberCount, (settings_.maxAttempts + 1) / 2)) return kNoStore;
   Duration slo = settings_.workloads[statement.workload].slo;
-  if (now - primaries.lastSearch(group) < slo * kSearchGap) return kNoStore;
-  Duration pause = slo * kSearchAgain;
-  // A jammed primary looks silent to a proxy with light traffic, whose writes would spend their
-  // attempts on replicas (test: jammedPrimary).
+  if (now - primaries.lastSearch(group) < slo * kSearchInterval) return kNoStore;
+  Duration pause = slo * kReplicaRetryDelay;
+  // To a proxy with light traffic an overloaded primary looks unresponsive, and its writes would
+  // use up their attempts on replicas (test: jammedPrimary).
   int primary = primaries.primary(group);
   if (primary >= 0 && !stores_.health.hasRefusedConnection(primary))
     pause = std::max(pause, stores_.health.ejection(primary));
@@ -246,7 +251,7 @@
   for (int turn = first; turn < first + memberCount; ++turn) {
     int store = members[turn % memberCount];
     if (!stores_.isUsable(store, now) || !hasCapacity(store, statement, now)) continue;
-    // A member that has just responded as a replica is no primary yet.
+    // A member that has just responded as a replica is unlikely to be the primary yet.
     if (now - primaries.lastSeenAsReplica(store) < pause) continue;
     primaries.onSearched(group, (turn + 1) % memberCount, now);
     return store;
--- a/src/decision/replica_selection.h
+++ b/src/decision/replica_selection.h
@@ -1,10 +1,10 @@
-// Which store a statement goes to.
+// Selects the store for a statement.
 //
-// Reads go to the replica with the fewest outstanding attempts for its weight, among those that are
-// fresh enough and have room; what no replica may take goes to the primary. Writes go to the
-// primary, or try members in turn while none is known. Owns no state: it reads the modules of
-// stores, draws where replicas are equal, and notes in the tracker and the probe scheduler which
-// turn it has taken.
+// A read is sent to the replica with the fewest outstanding attempts for its weight, among those
+// that are fresh enough and have capacity; if there is none, to the primary. A write is sent to the
+// primary, or to the group's members in turn while no primary is known. Keeps no state of its own:
+// it reads the store modules, chooses at random among equal replicas, and records its search for a
+// primary in the primary tracker and deferred probes in the probe scheduler.
 #pragma once
 
 #include <vector>
@@ -25,31 +25,32 @@
   ReplicaSelection(const EngineSettings& settings, StoreModules& stores, ProbeScheduler& probes,
                    RandomSource& random);
 
-  // The store for a statement, or kNoStore to hold it.
+  // Returns the store for a statement, or kNoStore if it has to wait.
   int route(const StatementState& statement, TimePoint now);
-  // The store with the fewest outstanding attempts for its weight, or kNoStore if there is none.
+  // Returns the candidate with the fewest outstanding attempts for its weight, or kNoStore if there
+  // are no candidates.
   int leastOutstanding(const std::vector<int>& candidates, const StatementState& statement,
                        TimePoint now);
 
-  // True where the store's limits have a place for the statement.
+  // True if the store's concurrency limit and slow-start budget allow the statement.
   bool hasCapacity(int store, const StatementState& statement, TimePoint now) const;
-  // True where the primary has room for a bounded read that awaits no probe.
-  bool primaryHasRoom(int group, const StatementState& statement, TimePoint now) const;
-  // True where a store takes its turn as host of long reads.
+  // True if the primary has capacity for a bounded read, which then needn't wait for a probe.
+  bool primaryHasCapacity(int group, const StatementState& statement, TimePoint now) const;
+  // True if the store is one of those among which long reads are packed.
   bool mayServeLongReads(int store) const;
 
  private:
-  // How long reads are packed on few members of the group, for one statement.
+  // How long reads are packed onto few members of the group, as it concerns one statement.
   struct Packing {
     bool isLongRead = false;
-    bool avoidsOthers = false;  // a short read that hosts of long reads may answer
-    int hostsInUse = 0;         // members that long reads fill now
-    int mostHosts = 0;
+    bool prefersLongReadStores = false;  // a short read that stores of long reads may answer
+    int storesInUse = 0;                 // members that long reads may use at present
+    int maxStores = 0;                   // members that long reads may ever use
   };
   struct Replicas {
-    int hosts = 0;  // in list order
-    bool hasFreshOne = false;
-    bool awaitsProbe = false;  // a probe under way may show one to be fresh
+    int longReadStores = 0;        // replicas that may serve long reads
+    bool hasFreshReplica = false;  // a usable replica is fresh enough, with or without capacity
+    bool awaitsProbe = false;      // a probe in flight may show a replica to be fresh
   };
 
   Packing packingOf(const StatementState& statement, TimePoint now) const;
@@ -65,8 +66,8 @@
   ProbeScheduler& probes_;
   RandomSource& random_;
   const bool manyProxies_;
-  std::vector<int> fitting_;  // of the statement being routed
-  std::vector<int> hosting_;  // that are hosts of long reads, for a short read
+  std::vector<int> eligible_;                // replicas for the statement being routed
+  std::vector<int> eligibleLongReadStores_;  // those that serve long reads, for a short read
 };
 
 }  // namespace reedchute
--- a/src/decision/slow_start.cpp
+++ b/src/decision/slow_start.cpp
@@ -7,8 +7,8 @@
 namespace reedchute {
 namespace {
 
-constexpr double kOverloadHeadroom = 0.8;  // of the multiple at which a cold store falls over
-constexpr double kBurstShare = 0.25;       // of the window in which overload is judged
+constexpr double kOverloadHeadroom = 0.8;  // fraction of coldOverloadMultiple that is used
+constexpr double kBurstShare = 0.25;       // fraction of coldOverloadWindow
 
 }  // namespace
 
@@ -25,25 +25,25 @@
   ensureIndex(groupWork_, group);
 }
 
-bool SlowStart::beginListed(int store, TimePoint listedAt, RandomSource& random, TimePoint now) {
+bool SlowStart::onListedStart(int store, TimePoint listedAt, RandomSource& random, TimePoint now) {
   Start& start = starts_[store];
   if (listedAt <= start.listedAt) return false;
   start.listedAt = listedAt;
-  start.heardAt = now;
+  start.receivedAt = now;
   if (startedAt(store) <= start.observedAt) return false;
-  emptyBudget(store, random, now);
+  resetBudget(store, random, now);
   return true;
 }
 
-void SlowStart::beginObserved(int store, RandomSource& random, TimePoint now) {
+void SlowStart::onObservedStart(int store, RandomSource& random, TimePoint now) {
   starts_[store].observedAt = now;
-  emptyBudget(store, random, now);
+  resetBudget(store, random, now);
 }
 
-// Hundreds of proxies, each with a budget below one statement, would send their first statement at
-// the same time. Each starts in debt by a random part of one statement, so that together they send
-// what they have earned.
-void SlowStart::emptyBudget(int store, RandomSource& random, TimePoint now) {
+// Hundreds of proxies, each with a budget below one statement, would otherwise send their first
+// statement at the same time. Each starts with a negative budget, a random fraction of one
+// statement, so that together they send no more than they have earned.
+void SlowStart::resetBudget(int store, RandomSource& random, TimePoint now) {
   filledAt_[store] = now;
   budget_[store] = -drawUnit(random);
 }
@@ -54,12 +54,12 @@
   TimePoint listed = start.listedAt;
   if (settings_.listedStartsNeedProof) {
     std::optional<Duration> ahead = skew_.mostAhead();
-    listed = ahead ? start.listedAt + *ahead : start.heardAt;
+    listed = ahead ? start.listedAt + *ahead : start.receivedAt;
   }
-  return std::max(std::min(listed, start.heardAt), start.observedAt);
+  return std::max(std::min(listed, start.receivedAt), start.observedAt);
 }
 
-// Listed starts are kept by the clock as it is now.
+// Listed starts are stored by the wall clock as it is now, so they move with it.
 void SlowStart::onClockStepped(Duration ahead) {
   for (Start& start : starts_)
     if (start.listedAt > kNever) start.listedAt = start.listedAt - ahead;
@@ -82,8 +82,9 @@
   if (!isWarm(store, now)) budget_[store] -= statements;
 }
 
-// Proxies don't see one another. Each keeps to its own part, which it takes from the usual work of
-// a member of the group; the last statement alone says little where traffic is light.
+// Proxies don't know each other's traffic. Each limits itself to its own share, computed from the
+// mean work offered to a member of the group over rateMemory_; with light traffic the last
+// statement alone would say little.
 void SlowStart::refill(int store, int group, int groupSize, double meanWork, TimePoint now) {
   double warm = warmth(store, now);
   double members = std::max<double>(1, static_cast<double>(groupSize));
--- a/src/decision/slow_start.h
+++ b/src/decision/slow_start.h
@@ -1,11 +1,11 @@
-// Slow start: a store that has just started gets a growing share of its usual traffic.
+// Slow start: a store that has just started gets an increasing share of its usual traffic.
 //
-// Owns the age of each store, the budget of statements that a cold store may be sent, and the work
-// that each group is offered. The budget is counted in statements of mean work.
+// Owns the start time of each store, the budget of statements that may be sent to a cold store, and
+// the rate of work that arrives for each group. The budget is counted in statements of mean work.
 //
-// The endpoint list tells starts by the wall clock of other machines. Where this process's own
-// clock may differ (`listedStartsNeedProof`), a listed start counts from when it was first heard,
-// or from as far back as the positions of stores prove.
+// The endpoint list contains start times by the wall clocks of other machines. If this process's
+// clock may differ (`listedStartsNeedProof`), a listed start counts from when it was first
+// received, or from as far back as the positions of stores prove.
 #pragma once
 
 #include <vector>
@@ -20,23 +20,23 @@
 
 class SlowStart {
  public:
-  // `skew` is borrowed and has to outlive this.
+  // `skew` is not owned and must outlive this object.
   SlowStart(const EngineSettings& settings, const ClockSkew& skew, Duration rateMemory);
 
   void reset(int store, TimePoint now);
   void ensureGroup(int group);
 
-  // The endpoint list tells a start, `listedAt` by this process's wall clock. Returns false where
-  // it is known, or a later one was observed.
-  bool beginListed(int store, TimePoint listedAt, RandomSource& random, TimePoint now);
+  // The endpoint list contains a start of the store, at `listedAt` by this process's wall clock.
+  // Returns false if it is already known, or if a later start was observed.
+  bool onListedStart(int store, TimePoint listedAt, RandomSource& random, TimePoint now);
   // The store was found to have started just now.
-  void beginObserved(int store, RandomSource& random, TimePoint now);
-  // The latest start of the store; kNever where none is known.
+  void onObservedStart(int store, RandomSource& random, TimePoint now);
+  // The latest start of the store, or kNever if none is known.
   TimePoint startedAt(int store) const;
-  // The wall clock was set ahead by this, or back where it is below zero.
+  // The wall clock was stepped forward by `ahead` (backward if negative).
   void onClockStepped(Duration ahead);
 
-  // From the initial share of a cold store up to 1.
+  // The share of its usual traffic that the store may get, from coldInitialShare up to 1.
   double warmth(int store, TimePoint now) const {
     return hasWarmedUp(store, now) ? 1 : coldShare(store, now);
   }
@@ -46,15 +46,15 @@
   bool hasBudget(int store, TimePoint now) const;
 
   void onStatementArrived(int group, Duration work, TimePoint now);
-  // `statements` is the work of what was sent, in statements of mean work.
+  // `statements` is the work of the attempt sent, in statements of mean work.
   void onSent(int store, double statements, TimePoint now);
-  // Fills the budget of a store that isn't warm by the time since it was last filled.
+  // Adds to the budget of a cold store what it has earned since it was last refilled.
   void refill(int store, int group, int groupSize, double meanWork, TimePoint now);
 
  private:
   struct Start {
-    TimePoint listedAt = kNever;  // by this process's wall clock
-    TimePoint heardAt = kNever;   // when the list told it first
+    TimePoint listedAt = kNever;    // by this process's wall clock
+    TimePoint receivedAt = kNever;  // when it was first in the endpoint list
     TimePoint observedAt = kNever;
   };
 
@@ -63,7 +63,7 @@
   }
 
   double coldShare(int store, TimePoint now) const;
-  void emptyBudget(int store, RandomSource& random, TimePoint now);
+  void resetBudget(int store, RandomSource& random, TimePoint now);
 
   const EngineSettings& settings_;
   const ClockSkew& skew_;
@@ -71,7 +71,7 @@
   std::vector<Start> starts_;
   std::vector<double> budget_;
   std::vector<TimePoint> filledAt_;
-  std::vector<DecayingRate> groupWork_;  // store seconds a second
+  std::vector<DecayingRate> groupWork_;  // seconds of store time per second
 };
 
 }  // namespace reedchute
--- a/src/decision/statement_actions.cpp
+++ b/src/decision/statement_actions.cpp
@@ -28,7 +28,7 @@
   statement.attempts.push_back({.store = store,
                                 .sent = now,
                                 .isOutstanding = true,
-                                .isPaced = stores_.limits.paces(store, now)});
+                                .isPaced = stores_.limits.isPaced(store, now)});
   const WorkloadStatistics& statistics = stores_.statistics;
   stores_.limits.onSent(store, statistics.typicalTime(statement.workload), now);
   double work = statistics.leastTime(statement.workload).seconds() / statistics.meanWork();
--- a/src/decision/workload_statistics.cpp
+++ b/src/decision/workload_statistics.cpp
@@ -9,7 +9,7 @@
 constexpr double kTypicalWeight = 0.1 * 0.2;  // of one response in the typical time
 constexpr double kWorkWeight = 0.1;           // of one statement in the mean work
 constexpr double kLeastTimeDrift = 0.01;  // by which the least time rises again at each response
-constexpr double kHostMargin = 1.5;       // hosts for each whole member's work of long reads
+constexpr double kLongReadStoreMargin = 1.5;       // hosts for each whole member's work of long reads
 
 }  // namespace
 
@@ -41,8 +41,8 @@
   return false;
 }
 
-int WorkloadStatistics::longReadHosts(int groupSize) const {
-  double hosts = groupSize * kHostMargin * longReadWork_ / allWork_;
+int WorkloadStatistics::longReadStores(int groupSize) const {
+  double hosts = groupSize * kLongReadStoreMargin * longReadWork_ / allWork_;
   return std::clamp(static_cast<int>(hosts + 0.5), 1, std::max(1, groupSize - 2));
 }
 
--- a/src/decision/workload_statistics.h
+++ b/src/decision/workload_statistics.h
@@ -29,7 +29,7 @@
   bool isLongRead(int workload) const;
   bool hasLongReads() const;
   // How many members of a group the long reads take where many proxies share the stores.
-  int longReadHosts(int groupSize) const;
+  int longReadStores(int groupSize) const;
 
   void onStatementArrived(int workload);
   void onSuccess(int workload, Duration elapsed);
