--- a/src/decision/admission.cpp
+++ b/src/decision/admission.cpp
@@ -12,11 +12,14 @@
 namespace reedchute {
 namespace {
 
-constexpr double kStartTimes = 2;       // typical times that must be left before the SLO time,
-constexpr double kMostStartTime = 0.7;  // up to this share of it, but at least one
-constexpr double kLateWait = 0.45;      // of its client's time that a late statement may wait
-constexpr double kWorthWaiting = 0.5;   // late share from which a late statement waits for room
-constexpr double kLongestGap = 4;       // rate memories between two arrivals that count
+// A statement is late unless kRequiredTypicalTimes typical times are left before its SLO time is
+// over; these are capped at kMaxRequiredTime of the SLO time, but are at least one typical time.
+constexpr double kRequiredTypicalTimes = 2;
+constexpr double kMaxRequiredTime = 0.7;
+constexpr double kMaxLateWait = 0.45;  // of its client's time: longest wait of a late statement
+constexpr double kMinLateShareToWait =
+    0.5;                              // least late share of a statement that waits for capacity
+constexpr double kMaxArrivalGap = 4;  // rate memories between two arrivals, at most
 
 }  // namespace
 
@@ -35,22 +38,22 @@
 
 double Admission::updateRates(int tenant, double passed) {
   double memory = stores_.rateMemory.seconds();
-  double fade = std::exp(-passed / memory);
+  double decay = std::exp(-passed / memory);
   double sum = 0;
   for (std::size_t index = 0; index < tenants_.size(); ++index) {
     bool isCounted = static_cast<int>(index) == tenant;
-    tenants_[index].rate = tenants_[index].rate * fade + (isCounted ? 1 / memory : 0);
+    tenants_[index].rate = tenants_[index].rate * decay + (isCounted ? 1 / memory : 0);
     sum += tenants_[index].rate;
   }
   return sum;
 }
 
-// Beyond its share a tenant's work is worth little. Shares are taken as this proxy's part of all
-// traffic.
+// A tenant's statements beyond its quota have little importance. This proxy's part of the quota is
+// estimated from its part of all traffic.
 void Admission::countTenant(StatementState& statement, TimePoint now) {
   if (statement.tenant < 0 || allQuotas_ <= 0) return;
   Duration memory = stores_.rateMemory;
-  double passed = (now - std::max(tenantsCountedAt_, now - memory * kLongestGap)).seconds();
+  double passed = (now - std::max(tenantsCountedAt_, now - memory * kMaxArrivalGap)).seconds();
   tenantsCountedAt_ = now;
   double allRates = updateRates(statement.tenant, passed);
   double part = std::max(1.0 / settings_.proxyCount, allRates / allQuotas_);
@@ -75,15 +78,15 @@
     for (int id : waiting) statements_[id].arrived = now;
 }
 
-Duration Admission::startTime(int workload) const {
+Duration Admission::requiredTime(int workload) const {
   Duration typical = stores_.statistics.typicalTime(workload);
-  Duration most = settings_.workloads[workload].slo * kMostStartTime;
-  return std::max(typical, std::min(typical * kStartTimes, most));
+  Duration most = settings_.workloads[workload].slo * kMaxRequiredTime;
+  return std::max(typical, std::min(typical * kRequiredTypicalTimes, most));
 }
 
 bool Admission::isLate(const StatementState& statement, TimePoint now) const {
   Duration slo = settings_.workloads[statement.workload].slo;
-  return now + startTime(statement.workload) > statement.arrived + slo;
+  return now + requiredTime(statement.workload) > statement.arrived + slo;
 }
 
 double Admission::importance(const StatementState& statement, TimePoint now) const {
@@ -102,21 +105,21 @@
   });
 }
 
-// Where one bounded read finds no store, the others of its workload find none either.
+// If one bounded read finds no store, the others of its workload find none either in this round.
 void Admission::dispatch(int group, ReplicaSelection& selection, const RetryPolicy& retries,
                          StatementActions& actions, const Round& round) {
   sortWaiting(group, round.now);
-  isBlocked_.assign(settings_.workloads.size(), 0);
+  hasNoStore_.assign(settings_.workloads.size(), 0);
   stillWaiting_.clear();
   for (int id : waiting_[group]) {
     StatementState& statement = statements_[id];
     int store = kNoStore;
     bool maySend = !isHeld_ && statement.notBefore <= round.now;
-    if (maySend && !isBlocked_[statement.workload]) {
+    if (maySend && !hasNoStore_[statement.workload]) {
       store = selection.route(statement, round.now);
       if (store >= 0 && !retries.mayRetryAt(store, statement, round.now)) store = kNoStore;
       bool isBounded = settings_.workloads[statement.workload].level == Level::bounded;
-      if (store < 0 && isBounded) isBlocked_[statement.workload] = 1;
+      if (store < 0 && isBounded) hasNoStore_[statement.workload] = 1;
     }
     if (store >= 0)
       actions.send(statement, store, round);
@@ -126,17 +129,18 @@
   waiting_[group].swap(stillWaiting_);
 }
 
-// Past its SLO time a statement waits for a primary, or if it is still worth much, and leaves its
-// client time to retry.
-bool Admission::isWorthKeeping(const StatementState& statement, TimePoint now) const {
+// A late statement keeps waiting if it waits for a primary or is still important, but only for a
+// part of its client's time, so that the client has time to retry.
+bool Admission::mayKeepWaiting(const StatementState& statement, TimePoint now) const {
   if (!isLate(statement, now)) return true;
   const Workload& workload = settings_.workloads[statement.workload];
   bool awaitsPrimary = workload.level != Level::any &&
                        !stores_.hasUsablePrimary(statement.group, now);
-  bool isWorthMuch = workload.lateShare >= kWorthWaiting ||
+  bool isImportant = workload.lateShare >= kMinLateShareToWait ||
                      (awaitsPrimary && workload.lateShare > 0);
-  bool hasWaited = now - statement.arrived > (statement.giveUpAt - statement.arrived) * kLateWait;
-  return isWorthMuch && !hasWaited;
+  bool hasWaited = now - statement.arrived >
+                   (statement.giveUpAt - statement.arrived) * kMaxLateWait;
+  return isImportant && !hasWaited;
 }
 
 void Admission::shed(int group, const RetryPolicy& retries, StatementActions& actions,
@@ -144,10 +148,10 @@
   TimePoint now = round.now;
   for (int id : waiting_[group]) {
     StatementState& statement = statements_[id];
-    bool isHopeless = now + startTime(statement.workload) > statement.giveUpAt ||
-                      !retries.mayRetry(statement, now);
-    bool isWanted = isHeld_ || isWorthKeeping(statement, now);
-    if (isHopeless || !isWanted) actions.giveUp(statement, round);
+    bool cannotBeAnswered = now + requiredTime(statement.workload) > statement.giveUpAt ||
+                            !retries.mayRetry(statement, now);
+    bool isWanted = isHeld_ || mayKeepWaiting(statement, now);
+    if (cannotBeAnswered || !isWanted) actions.giveUp(statement, round);
   }
   std::erase_if(waiting_[group], [&](int id) { return !statements_[id].isOpen; });
 }
--- a/src/decision/admission.h
+++ b/src/decision/admission.h
@@ -1,7 +1,7 @@
-// The statements that wait for a store, in the order of their importance.
+// Queues the statements that wait for a store, and dispatches them by importance.
 //
-// Owns the queue of each group and the quotas of tenants. Statements that can't do any good any
-// more are shed, so that their clients may go on.
+// Owns the queue of each group and the quota usage of tenants. Sheds statements that cannot be
+// answered in time, so that their clients needn't wait for them.
 #pragma once
 
 #include <vector>
@@ -25,45 +25,48 @@
 
   // Counts a new statement against its tenant's quota.
   void countTenant(StatementState& statement, TimePoint now);
-  // Until release(), dispatch() sends nothing and shed() gives up only what is out of time.
+  // Until release(), dispatch() sends nothing, and shed() gives up only statements that cannot be
+  // answered before their deadline or may not be sent again.
   void hold() { isHeld_ = true; }
-  // What waits counts as arrived now.
+  // Ends hold(); all waiting statements count as arrived now.
   void release(TimePoint now);
   void enqueue(const StatementState& statement);
-  // The statements of the group that wait, by their ids.
+  // The ids of the group's waiting statements.
   const std::vector<int>& waiting(int group) const { return waiting_[group]; }
 
-  // Sends what a store has room for, the most important first.
+  // Sends the statements for which a store has capacity, the most important first.
   void dispatch(int group, ReplicaSelection& selection, const RetryPolicy& retries,
                 StatementActions& actions, const Round& round);
-  // Gives up statements that are hopeless, or late and worth little.
+  // Gives up statements that cannot be answered before their deadline, and late ones of little
+  // importance.
   void shed(int group, const RetryPolicy& retries, StatementActions& actions, const Round& round);
 
  private:
   struct TenantUsage {
-    double rate = 0;    // statements a second at this proxy
-    double tokens = 0;  // statements left within its quota
+    double rate = 0;    // statements per second at this proxy
+    double tokens = 0;  // statements that its quota still allows
   };
 
-  // The time that must be left for a start to be of use.
-  Duration startTime(int workload) const;
+  // The time that must be left before the deadline for sending a statement to be useful.
+  Duration requiredTime(int workload) const;
   bool isLate(const StatementState& statement, TimePoint now) const;
   double importance(const StatementState& statement, TimePoint now) const;
-  bool isWorthKeeping(const StatementState& statement, TimePoint now) const;
+  bool mayKeepWaiting(const StatementState& statement, TimePoint now) const;
   void sortWaiting(int group, TimePoint now);
-  // Counts the statement in the rates, and returns the sum of all tenants' rates.
+  // Decays all tenants' rates by `passed` seconds and counts one statement of `tenant`. Returns the
+  // sum of the rates.
   double updateRates(int tenant, double passed);
 
   const EngineSettings& settings_;
   const StoreModules& stores_;
   bool isHeld_ = false;
   std::vector<StatementState>& statements_;
-  std::vector<std::vector<int>> waiting_;  // of each group, without outstanding attempts
+  std::vector<std::vector<int>> waiting_;  // ids by group; statements without outstanding attempts
   std::vector<TenantUsage> tenants_;
-  double allQuotas_ = 0;  // statements a second
+  double allQuotas_ = 0;  // statements per second, over all tenants
   TimePoint tenantsCountedAt_ = kNever;
-  std::vector<int> stillWaiting_;  // after the dispatch under way
-  std::vector<char> isBlocked_;    // in this round, of each workload: no store takes its reads
+  std::vector<int> stillWaiting_;  // scratch of dispatch()
+  std::vector<char> hasNoStore_;   // by workload: no store can take its reads in this round
 };
 
 }  // namespace reedchute
--- a/src/decision/probe_scheduler.cpp
+++ b/src/decision/probe_scheduler.cpp
@@ -12,20 +12,20 @@
 namespace reedchute {
 namespace {
 
-constexpr double kShortestPace = 0.3;       // of the smallest bound, between two probes of a store
-constexpr double kLongestPace = 10;         // smallest bounds between two probes of a wanted store
-constexpr double kInitialReportAge = 0.25;  // of the smallest bound
-constexpr double kReportAgeDrift = 0.01;    // by which the youngest report's age rises again
-constexpr double kLagPace = 0.25;           // of a replica's lag: it can't be fresh much sooner
-constexpr double kLagging = 1.5;        // times the oldest that a healthy replica's report can be
-constexpr double kLikelyPeriod = 0.6;   // of the known period: closer reports tell no period
-constexpr double kPeriodWeight = 0.1;   // of one sample in the period
-constexpr double kProbeSpend = 0.06;    // of a read's worth: probes earned by each bounded read
-constexpr double kMaxEarned = 4;        // probes that one read earns
-constexpr double kMaxBudget = 16;       // probes
-constexpr double kLead = 0.75;          // measured replicas wanted for each bounded read in flight
-constexpr double kWaitingShare = 0.25;  // of a bounded read that waits, counted as in flight
-constexpr double kSmallestCost = 1e-9;  // of a probe
+constexpr double kMinProbeInterval = 0.3;    // smallest bounds between two probes of a store
+constexpr double kMaxProbeInterval = 10;     // smallest bounds between two probes of a store
+constexpr double kInitialReportAge = 0.25;   // smallest bounds
+constexpr double kMinReportAgeDrift = 0.01;  // rise of the least report age at each report
+constexpr double kLagInterval = 0.25;        // of a replica's lag; it can't be fresh much sooner
+constexpr double kLagging = 1.5;  // multiple of the greatest report age of a healthy replica
+constexpr double kMinPeriodSample = 0.6;   // of the known period: closer reports are not a sample
+constexpr double kPeriodWeight = 0.1;      // weight of one sample of the period
+constexpr double kProbeSpending = 0.06;    // of a read's value: spent on probes for a bounded read
+constexpr double kMaxEarned = 4;           // probes that one read earns
+constexpr double kMaxBudget = 16;          // probes
+constexpr double kMeasuredPerRead = 0.75;  // measured replicas wanted per bounded read in flight
+constexpr double kWaitingWeight = 0.25;    // of a waiting bounded read, counted as in flight
+constexpr double kSmallestCost = 1e-9;     // least cost of a probe
 
 }  // namespace
 
@@ -35,9 +35,9 @@
       manyProxies_(stores.limits.isSharedByManyProxies()),
       smallestBound_(stores.statistics.smallestBound()),
       earnedPerRead_(
-          std::min(kMaxEarned, kProbeSpend / std::max(settings.probeCost, kSmallestCost))),
+          std::min(kMaxEarned, kProbeSpending / std::max(settings.probeCost, kSmallestCost))),
       refreshPeriod_(smallestBound_),
-      youngestReport_(smallestBound_ * kInitialReportAge) {}
+      minReportAge_(smallestBound_ * kInitialReportAge) {}
 
 void ProbeScheduler::reset(int store) {
   assignAt(isProbing_, store, char{0});
@@ -58,17 +58,16 @@
 
 void ProbeScheduler::onProbeNotSent(int store, TimePoint now) {
   isProbing_[store] = 0;
-  dueAt_[store] = now + smallestBound_ * kShortestPace;
+  dueAt_[store] = now + smallestBound_ * kMinProbeInterval;
 }
 
-// One probe whose connection broke tells nothing; a replica unseen for long would get no bounded
-// reads.
+// A single probe whose connection was lost proves nothing, so the next one is sent early: a replica
+// without a known position for long would get no bounded reads.
 void ProbeScheduler::onProbeFailed(int store, bool isUnreachable, TimePoint now) {
-  dueAt_[store] = now + smallestBound_ * (isUnreachable ? kLongestPace : kShortestPace);
+  dueAt_[store] = now + smallestBound_ * (isUnreachable ? kMaxProbeInterval : kMinProbeInterval);
 }
 
-// Learns the steady pace at which reports are renewed, and the age that a report has at the
-// earliest.
+// Measures the period in which reports are renewed, and the least age of a report when it arrives.
 void ProbeScheduler::onReport(int store, TimePoint position, TimePoint now) {
   Duration age = now - position;
   if (age < smallestBound_) budget_ = std::min(kMaxBudget, budget_ + 1);
@@ -83,20 +82,20 @@
     TimePoint& renewal = renewalAt_[store];
     renewal = std::max(lastAnswered, now - refreshPeriod_) + refreshPeriod_;
     if (age < smallestBound_) {
-      youngestReport_ = std::min(youngestReport_ * (1 + kReportAgeDrift), age);
+      minReportAge_ = std::min(minReportAge_ * (1 + kMinReportAgeDrift), age);
       renewal = std::max(renewal,
-                         position + refreshPeriod_ + youngestReport_ * (1 + kShortestPace));
-      // Reports of a store that catches up or falls behind stand closer or further apart than they
-      // are made.
+                         position + refreshPeriod_ + minReportAge_ * (1 + kMinProbeInterval));
+      // The positions of a store that catches up or falls behind differ by more or less than the
+      // period of its reports.
       Duration gap = before > kNever ? position - before : refreshPeriod_;
       gap = gap * (1 / std::max(1.0, std::round(gap / refreshPeriod_)));
-      if (gap > refreshPeriod_ * kLikelyPeriod)
+      if (gap > refreshPeriod_ * kMinPeriodSample)
         refreshPeriod_ = refreshPeriod_ + (gap - refreshPeriod_) * kPeriodWeight;
     }
   }
-  // Probes at the reports' own pace may meet each one at its oldest and never see the replica
-  // fresh.
-  dueAt_[store] = std::max(now + smallestBound_ * kShortestPace, renewalAt_[store]);
+  // Probes with the period of the reports alone could each receive a report at its oldest, so that
+  // the replica never seems fresh.
+  dueAt_[store] = std::max(now + smallestBound_ * kMinProbeInterval, renewalAt_[store]);
 }
 
 void ProbeScheduler::onClockStepped(Duration older) {
@@ -105,12 +104,12 @@
 }
 
 void ProbeScheduler::deferByLag(int store, Duration lag, Duration least, TimePoint now) {
-  Duration pause = std::max(least, lag * kLagPace);
-  dueAt_[store] = now + std::min(pause, smallestBound_ * kLongestPace);
+  Duration pause = std::max(least, lag * kLagInterval);
+  dueAt_[store] = now + std::min(pause, smallestBound_ * kMaxProbeInterval);
 }
 
 void ProbeScheduler::deferLong(int store, TimePoint now) {
-  dueAt_[store] = now + smallestBound_ * kLongestPace;
+  dueAt_[store] = now + smallestBound_ * kMaxProbeInterval;
 }
 
 ProbeScheduler::Demand ProbeScheduler::demandOf(int group, const std::vector<int>& waiting,
@@ -135,16 +134,16 @@
   if (settings_.storesRejectStaleReads || !demand.firstBounded) return 0;
   if (manyProxies_ && selection.primaryHasCapacity(group, *demand.firstBounded, now)) return 0;
   double arriving = boundedReads_[group].atLastUpdate() * smallestBound_.seconds();
-  double wanted = 1 + kLead * (arriving + demand.boundedReads * kWaitingShare);
+  double wanted = 1 + kMeasuredPerRead * (arriving + demand.boundedReads * kWaitingWeight);
   return manyProxies_ ? std::floor(wanted) : wanted;
 }
 
-// A replica that was probed in vain just now counts too: where all stand at one commit, one probe
-// is enough. With many proxies, one vain probe tells little of the next replica.
+// A replica that was just probed without success counts too: if all replicas are at the same
+// commit, one probe is enough. With many proxies one such probe says little about the next replica.
 bool ProbeScheduler::isMeasured(int store, bool isPrimary, TimePoint now) const {
   if (isPrimary) return false;
   if (stores_.freshness.isWellWithinBounds(store, now)) return true;
-  return !manyProxies_ && now - answeredAt_[store] < smallestBound_ * kShortestPace;
+  return !manyProxies_ && now - answeredAt_[store] < smallestBound_ * kMinProbeInterval;
 }
 
 bool ProbeScheduler::isFirstProbe(int store) const {
@@ -158,34 +157,34 @@
          stores_.isUsable(store, now);
 }
 
-// How far behind a replica is taken to be, which says whose probe is the likeliest to help. A proxy
-// with light traffic knows little of most; one that was never seen may be fresh, but not where it
-// hosts long reads.
-Duration ProbeScheduler::supposedLag(int store, bool isHost) const {
+// The lag that a replica is assumed to have; the replica with the least is the one whose probe is
+// most likely to help. A proxy with light traffic knows little about most replicas. One without a
+// known position may be fresh, but not if it serves long reads.
+Duration ProbeScheduler::assumedLag(int store, bool servesLongReads) const {
   if (!stores_.freshness.isDrainedForAllBounds(store)) return {};
   if (!manyProxies_) return smallestBound_;
   if (!stores_.freshness.hasPosition(store))
-    return smallestBound_ * (isHost ? kLongestPace : kLagging);
+    return smallestBound_ * (servesLongReads ? kMaxProbeInterval : kLagging);
   return answeredAt_[store] - stores_.freshness.position(store);
 }
 
 double ProbeScheduler::collectCandidates(int group, const Demand& demand,
                                          const ReplicaSelection& selection, const Round& round) {
   TimePoint now = round.now;
-  int hosts = 0;
+  int longReadStores = 0;
   if (manyProxies_ && stores_.statistics.hasLongReads())
-    hosts = stores_.statistics.longReadStores(stores_.endpoints.groupSize(group));
-  int hostRank = 0;
+    longReadStores = stores_.statistics.longReadStores(stores_.endpoints.groupSize(group));
+  int longReadRank = 0;
   double measured = 0;
   candidates_.clear();
   for (int store : stores_.endpoints.members(group)) {
     bool isPrimary = store == stores_.primaries.primary(group);
-    // With many proxies most replicas have no room for one more read from here; fresh or not, they
-    // are no help.
+    // With many proxies most replicas have no capacity for one more read from this proxy; fresh or
+    // not, they don't help.
     bool helps = !manyProxies_ || !demand.firstBounded ||
                  selection.hasCapacity(store, *demand.firstBounded, now);
     if (isProbing_[store] || (helps && isMeasured(store, isPrimary, now))) measured += 1;
-    if (manyProxies_ && selection.mayServeLongReads(store)) ++hostRank;
+    if (manyProxies_ && selection.mayServeLongReads(store)) ++longReadRank;
     if (isProbing_[store] || !stores_.endpoints.isUp(store)) continue;
     if (!stores_.endpoints.mayProbe(store)) continue;
     if (stores_.health.hasRefusedConnection(store)) {
@@ -195,14 +194,14 @@
     if (!isDue(store, now) || stores_.isInSuspectZone(store, now)) continue;
     if (!helps && !demand.searchesPrimary) continue;
     if (!isWorthProbing(store, isPrimary, demand, now)) continue;
-    candidates_.push_back({supposedLag(store, hostRank <= hosts), store});
+    candidates_.push_back({assumedLag(store, longReadRank <= longReadStores), store});
   }
   return measured;
 }
 
 // With many proxies of light traffic each, probing all replicas costs more than the reads do. There
-// the one that lagged least when last seen is probed first, hosts of long reads last, one at a
-// time.
+// replicas are probed one at a time, the one with the least last known lag first and those that
+// serve long reads last.
 void ProbeScheduler::schedule(int group, const std::vector<int>& waiting,
                               const std::vector<StatementState>& statements,
                               const ReplicaSelection& selection, RandomSource& random,
@@ -218,12 +217,13 @@
     if (budget_ < 1) return false;
     return measured < wanted || (demand.searchesPrimary && measured < 1);
   };
-  // Of hundreds of replicas nearly all are due at all times, and most rounds probe none.
+  // With hundreds of replicas nearly all are due at any time, but most rounds probe none of them,
+  // so the sort is skipped.
   if (!hasFirstProbe && !mayProbeMore()) return;
   std::stable_sort(candidates_.begin(), candidates_.end(),
                    [&](const Candidate& one, const Candidate& other) {
-                     return std::tie(one.supposedLag, dueAt_[one.store]) <
-                            std::tie(other.supposedLag, dueAt_[other.store]);
+                     return std::tie(one.assumedLag, dueAt_[one.store]) <
+                            std::tie(other.assumedLag, dueAt_[other.store]);
                    });
   for (const Candidate& candidate : candidates_) {
     bool isFree = isFirstProbe(candidate.store);
--- a/src/decision/retry_policy.cpp
+++ b/src/decision/retry_policy.cpp
@@ -9,14 +9,14 @@
 namespace reedchute {
 namespace {
 
-constexpr double kSilentResponses = 8;    // missing responses that make a store silent
-constexpr double kMostPerAttempt = 3;     // missing responses that one attempt counts for
-constexpr double kSilentShare = 0.3;      // of the smallest SLO time without any response
-constexpr double kOverdueMultiple = 3;    // typical times
-constexpr double kOverdueShare = 0.5;     // of the SLO time
-constexpr double kHedgesEarned = 0.05;    // by each statement
-constexpr double kMaxHedgingBudget = 16;  // attempts
-constexpr double kLastTicks = 2;          // before its client leaves, in which a statement is ended
+constexpr double kUnresponsiveMissing = 8;    // missing responses that make a store unresponsive
+constexpr double kMaxMissingPerAttempt = 3;   // missing responses counted for one attempt
+constexpr double kUnresponsiveShare = 0.3;    // of the smallest SLO time without any response
+constexpr double kOverdueMultiple = 3;        // typical times
+constexpr double kOverdueShare = 0.5;         // fraction of the SLO time
+constexpr double kHedgesPerStatement = 0.05;  // hedged requests per statement
+constexpr double kMaxHedgingBudget = 16;      // hedged requests
+constexpr double kGiveUpTicks = 2;  // before its deadline, in which a statement is given up
 
 }  // namespace
 
@@ -25,7 +25,7 @@
     : settings_(settings), stores_(stores), selection_(selection), actions_(actions) {}
 
 void RetryPolicy::onStatementArrived() {
-  hedgingBudget_ = std::min(kMaxHedgingBudget, hedgingBudget_ + kHedgesEarned);
+  hedgingBudget_ = std::min(kMaxHedgingBudget, hedgingBudget_ + kHedgesPerStatement);
 }
 
 bool RetryPolicy::mayRetry(const StatementState& statement, TimePoint now) const {
@@ -46,8 +46,8 @@
                      });
 }
 
-// A second run of a non-idempotent statement is a second effect, and so is a retry after the store
-// has forgotten the idempotency key.
+// Executing a non-idempotent statement again has a second effect, and so has a retry after the
+// store has dropped the idempotency key.
 bool RetryPolicy::mayRunAfter(const Attempt& earlier, const Workload& workload,
                               TimePoint now) const {
   if (workload.effect == Effect::idempotent || !earlier.mayHaveRun) return true;
@@ -67,7 +67,7 @@
   }
 }
 
-// A store that takes statements and responds to none shows only by the responses that are missing.
+// A store that accepts statements but doesn't respond can only be detected by missing responses.
 void RetryPolicy::countMissingResponses(const std::vector<int>& open,
                                         const std::vector<StatementState>& statements,
                                         TimePoint now) {
@@ -83,19 +83,19 @@
 
 double RetryPolicy::missingResponses(const Attempt& attempt, Duration typicalTime,
                                      TimePoint now) const {
-  // Where responses take little of the SLO time, one lost connection looks like silence.
+  // If responses take little of the SLO time, one lost connection looks like an unresponsive store.
   TimePoint lastResponse = stores_.health.lastResponse(attempt.store);
-  if (now - lastResponse < stores_.statistics.smallestSlo() * kSilentShare) return 0;
+  if (now - lastResponse < stores_.statistics.smallestSlo() * kUnresponsiveShare) return 0;
   double missing = (now - std::max(lastResponse, attempt.sent)) / typicalTime;
   if (stores_.limits.isSharedByManyProxies()) return missing;
   if (attempt.sent < stores_.health.ejectedAt(attempt.store)) return 0;
-  return std::min(missing, kMostPerAttempt);
+  return std::min(missing, kMaxMissingPerAttempt);
 }
 
-void RetryPolicy::ejectSilentStores(TimePoint now) {
+void RetryPolicy::ejectUnresponsiveStores(TimePoint now) {
   for (int store = 0; store < stores_.endpoints.size(); ++store) {
-    bool isSilent = missingResponses_[store] > kSilentResponses;
-    if (isSilent && !stores_.health.isEjected(store, now))
+    bool isUnresponsive = missingResponses_[store] > kUnresponsiveMissing;
+    if (isUnresponsive && !stores_.health.isEjected(store, now))
       stores_.health.eject(store, EjectionReason::unresponsive, now);
   }
 }
@@ -103,14 +103,15 @@
 void RetryPolicy::supervise(const std::vector<int>& open, std::vector<StatementState>& statements,
                             const Round& round) {
   countMissingResponses(open, statements, round.now);
-  ejectSilentStores(round.now);
+  ejectUnresponsiveStores(round.now);
   for (int id : open) superviseStatement(statements[id], round);
 }
 
-// The client leaves at its time, and a response after that breaks the rule.
+// The client stops waiting at `giveUpAt`, and no response may be sent after that, so the statement
+// is given up a few ticks before.
 void RetryPolicy::superviseStatement(StatementState& statement, const Round& round) {
   if (!statement.isOpen) return;
-  if (round.now + settings_.tick * kLastTicks >= statement.giveUpAt) {
+  if (round.now + settings_.tick * kGiveUpTicks >= statement.giveUpAt) {
     actions_.giveUp(statement, round);
     return;
   }
@@ -122,22 +123,24 @@
 RetryPolicy::Supervision RetryPolicy::superviseAttempt(StatementState& statement, int index,
                                                        const Round& round) {
   Attempt& attempt = statement.attempts[index];
-  if (!attempt.isOutstanding || attempt.isCancelled) return Supervision::goesOn;
+  if (!attempt.isOutstanding || attempt.isCancelled) return Supervision::notHedged;
   Duration typicalTime = stores_.statistics.typicalTime(statement.workload);
   bool overdue = isOverdue(statement, attempt, round.now);
   if (overdue && !attempt.isOverdue) onOverdue(attempt, round.now);
-  bool isReplaceable = overdue && isSilent(attempt, typicalTime, round.now) &&
+  bool isReplaceable = overdue && isUnresponsive(attempt, typicalTime, round.now) &&
                        !settings_.allowsHedging;
   if (settings_.mayCancel && (isReplaceable || hasPrimaryMoved(statement, attempt))) {
     actions_.cancel(statement, index, round);
-    return Supervision::goesOn;
+    return Supervision::notHedged;
   }
   bool isLast = index + 1 == static_cast<int>(statement.attempts.size());
-  return overdue && isLast ? hedge(statement, round) : Supervision::goesOn;
+  return overdue && isLast ? hedge(statement, round) : Supervision::notHedged;
 }
 
-bool RetryPolicy::isSilent(const Attempt& attempt, Duration typicalTime, TimePoint now) const {
-  return missingResponses_[attempt.store] > kSilentResponses && now - attempt.sent > typicalTime;
+bool RetryPolicy::isUnresponsive(const Attempt& attempt, Duration typicalTime,
+                                 TimePoint now) const {
+  return missingResponses_[attempt.store] > kUnresponsiveMissing &&
+         now - attempt.sent > typicalTime;
 }
 
 bool RetryPolicy::isOverdue(const StatementState& statement, const Attempt& attempt,
@@ -145,8 +148,8 @@
   const Workload& workload = settings_.workloads[statement.workload];
   if (workload.effect != Effect::idempotent) return false;
   Duration typicalTime = stores_.statistics.typicalTime(statement.workload);
-  Duration patience = std::max(typicalTime * kOverdueMultiple, workload.slo * kOverdueShare);
-  return now - attempt.sent > patience || isSilent(attempt, typicalTime, now);
+  Duration overdueAfter = std::max(typicalTime * kOverdueMultiple, workload.slo * kOverdueShare);
+  return now - attempt.sent > overdueAfter || isUnresponsive(attempt, typicalTime, now);
 }
 
 bool RetryPolicy::hasPrimaryMoved(const StatementState& statement, const Attempt& attempt) const {
@@ -164,9 +167,9 @@
 }
 
 RetryPolicy::Supervision RetryPolicy::hedge(StatementState& statement, const Round& round) {
-  if (!settings_.allowsHedging || hedgingBudget_ < 1) return Supervision::goesOn;
+  if (!settings_.allowsHedging || hedgingBudget_ < 1) return Supervision::notHedged;
   int store = selection_.route(statement, round.now);
-  if (store < 0 || !mayRetryAt(store, statement, round.now)) return Supervision::goesOn;
+  if (store < 0 || !mayRetryAt(store, statement, round.now)) return Supervision::notHedged;
   hedgingBudget_ -= 1;
   actions_.send(statement, store, round);
   return Supervision::hedged;
--- a/src/decision/retry_policy.h
+++ b/src/decision/retry_policy.h
@@ -1,8 +1,8 @@
-// Further attempts of a statement: when a retry is safe, when an attempt is overdue, and when a
-// second one is sent beside it.
+// Decides on further attempts of a statement: when a retry is safe, when an attempt is overdue, and
+// when a hedged request is sent in addition to it.
 //
-// Owns the hedging budget, which each statement earns a part of. Finds stores that take statements
-// and respond to none, and has them ejected.
+// Owns the hedging budget, to which each statement adds. Detects stores that accept statements but
+// don't respond, and ejects them.
 #pragma once
 
 #include <vector>
@@ -23,27 +23,29 @@
 
   void onStatementArrived();
 
-  // True where the statement may be sent once more to some store, after all that was sent before.
+  // True if another attempt is allowed after all attempts already sent. mayRetryAt() also checks
+  // that the store shares the idempotency key with the stores of those attempts.
   bool mayRetry(const StatementState& statement, TimePoint now) const;
   bool mayRetryAt(int store, const StatementState& statement, TimePoint now) const;
 
-  // Looks after all attempts that are outstanding, and gives up statements whose time is over.
+  // Checks all outstanding attempts: ejects unresponsive stores, cancels or hedges overdue
+  // attempts, and gives up statements whose deadline has come.
   void supervise(const std::vector<int>& open, std::vector<StatementState>& statements,
                  const Round& round);
 
  private:
-  enum class Supervision { goesOn, hedged };
+  enum class Supervision { notHedged, hedged };
 
   bool mayRunAfter(const Attempt& earlier, const Workload& workload, TimePoint now) const;
   bool isInScope(int store, const Attempt& earlier, Scope scope) const;
-  // Counts, for each store, the responses that it should have given by usual times.
+  // Estimates, for each store, how many responses are missing, by the typical times.
   void countMissingResponses(const std::vector<int>& open,
                              const std::vector<StatementState>& statements, TimePoint now);
   double missingResponses(const Attempt& attempt, Duration typicalTime, TimePoint now) const;
-  void ejectSilentStores(TimePoint now);
+  void ejectUnresponsiveStores(TimePoint now);
   void superviseStatement(StatementState& statement, const Round& round);
   Supervision superviseAttempt(StatementState& statement, int index, const Round& round);
-  bool isSilent(const Attempt& attempt, Duration typicalTime, TimePoint now) const;
+  bool isUnresponsive(const Attempt& attempt, Duration typicalTime, TimePoint now) const;
   bool isOverdue(const StatementState& statement, const Attempt& attempt, TimePoint now) const;
   bool hasPrimaryMoved(const StatementState& statement, const Attempt& attempt) const;
   void onOverdue(Attempt& attempt, TimePoint now);
@@ -54,7 +56,7 @@
   ReplicaSelection& selection_;
   StatementActions& actions_;
   double hedgingBudget_ = 0;              // attempts
-  std::vector<double> missingResponses_;  // of each store, in this round
+  std::vector<double> missingResponses_;  // by store, in this round
 };
 
 }  // namespace reedchute
--- a/src/decision/workload_statistics.cpp
+++ b/src/decision/workload_statistics.cpp
@@ -5,11 +5,11 @@
 namespace reedchute {
 namespace {
 
-constexpr double kInitialTime = 0.25;         // of the SLO time, until responses tell
-constexpr double kTypicalWeight = 0.1 * 0.2;  // of one response in the typical time
-constexpr double kWorkWeight = 0.1;           // of one statement in the mean work
-constexpr double kLeastTimeDrift = 0.01;  // by which the least time rises again at each response
-constexpr double kLongReadStoreMargin = 1.5;       // hosts for each whole member's work of long reads
+constexpr double kInitialTime = 0.25;  // fraction of the SLO time, until responses are received
+constexpr double kTypicalWeight = 0.1 * 0.2;  // weight of one response in the typical time
+constexpr double kWorkWeight = 0.1;           // weight of one statement in the mean work
+constexpr double kLeastTimeDrift = 0.01;  // fraction by which the least time rises at each response
+constexpr double kLongReadStoreMargin = 1.5;  // stores for each member's worth of long-read work
 
 }  // namespace
 
@@ -42,8 +42,8 @@
 }
 
 int WorkloadStatistics::longReadStores(int groupSize) const {
-  double hosts = groupSize * kLongReadStoreMargin * longReadWork_ / allWork_;
-  return std::clamp(static_cast<int>(hosts + 0.5), 1, std::max(1, groupSize - 2));
+  double storeCount = groupSize * kLongReadStoreMargin * longReadWork_ / allWork_;
+  return std::clamp(static_cast<int>(storeCount + 0.5), 1, std::max(1, groupSize - 2));
 }
 
 void WorkloadStatistics::onStatementArrived(int workload) {
--- a/src/decision/workload_statistics.h
+++ b/src/decision/workload_statistics.h
@@ -1,7 +1,8 @@
-// How long the statements of each workload take, and how much of the work long reads bring.
+// Measures how long the statements of each workload take, and the share of long reads in all work.
 //
-// Owns the running times of workloads. Long reads are reads of any age that run so long that a
-// replica which holds up its log for them falls behind the smallest staleness bound.
+// Owns the typical and least times of workloads. Long reads are reads without a freshness
+// requirement (Level::any) that take so long that a replica which stops applying its log for one
+// lags beyond the smallest staleness bound.
 #pragma once
 
 #include <vector>
@@ -15,20 +16,20 @@
  public:
   explicit WorkloadStatistics(const EngineSettings& settings);
 
-  // The smallest staleness bound of bounded reads, or the first SLO time where none are shorter.
+  // The smallest staleness bound of bounded reads, but at most the SLO time of the first workload.
   Duration smallestBound() const { return smallestBound_; }
   Duration smallestSlo() const { return smallestSlo_; }
-  // The time that statements are taken to need before any has been answered.
+  // The assumed time of a statement before any has been answered.
   Duration initialTime() const;
 
   Duration typicalTime(int workload) const { return typicalTime_[workload]; }
-  // About the least time that statements of the workload take.
+  // Approximately the least time that statements of the workload take.
   Duration leastTime(int workload) const { return leastTime_[workload]; }
-  // Of a statement, in store seconds.
+  // The mean work of a statement, in seconds of store time.
   double meanWork() const { return meanWork_; }
   bool isLongRead(int workload) const;
   bool hasLongReads() const;
-  // How many members of a group the long reads take where many proxies share the stores.
+  // The number of a group's members that long reads may use if many proxies share the stores.
   int longReadStores(int groupSize) const;
 
   void onStatementArrived(int workload);
@@ -41,8 +42,8 @@
   std::vector<Duration> typicalTime_;
   std::vector<Duration> leastTime_;
   double meanWork_ = 0;
-  double longReadWork_ = 0.2;  // store seconds, starting with a guess
-  double allWork_ = 1;
+  double longReadWork_ = 0.2;  // seconds of store time; starts as an assumed share of allWork_
+  double allWork_ = 1;         // seconds of store time
 };
 
 }  // namespace reedchute
