--- a/src/decision/admission.cpp
+++ b/src/decision/admission.cpp
@@ -17,9 +17,8 @@
 constexpr double kRequiredTypicalTimes = 2;
 constexpr double kMaxRequiredTime = 0.7;
 constexpr double kMaxLateWait = 0.45;  // of its client's time: longest wait of a late statement
-constexpr double kMinLateShareToWait =
-    0.5;                              // least late share of a statement that waits for capacity
-constexpr double kMaxArrivalGap = 4;  // rate memories between two arrivals, at most
+constexpr double kMinLateShareToWait = 0.5;  // least lateShare at which it waits for capacity
+constexpr double kMaxArrivalGap = 4;         // rate memories between two arrivals, at most
 
 }  // namespace
 
--- a/src/decision/endpoint_list.cpp
+++ b/src/decision/endpoint_list.cpp
@@ -84,7 +84,7 @@
   return zone_[store] < 0 || zones_[zone_[store]].mayProbe;
 }
 
-bool EndpointList::takePoll(TimePoint now) {
+bool EndpointList::beginPollIfDue(TimePoint now) {
   if (!settings_.pollsEndpoints || pollAt_ == kNever || pollAt_ > now) return false;
   pollAt_ = kNever;
   return true;
--- a/src/decision/endpoint_list.h
+++ b/src/decision/endpoint_list.h
@@ -44,7 +44,7 @@
   bool mayProbe(int store) const;
 
   // Returns whether a poll is due now. If so, no other is due until onPollFailed() schedules one.
-  bool takePoll(TimePoint now);
+  bool beginPollIfDue(TimePoint now);
   void onPolled() { pollBackoff_ = firstPollBackoff_; }
   void onPollFailed(RandomSource& random, TimePoint now);
 
--- a/src/decision/engine.cpp
+++ b/src/decision/engine.cpp
@@ -351,7 +351,7 @@
 void DecisionEngine::decide(TimePoint now, DecisionSink& sink) {
   Round round{now, sink};
   int groups = stores_.endpoints.groupCount();
-  if (stores_.endpoints.takePoll(now)) sink.pollEndpoints();
+  if (stores_.endpoints.beginPollIfDue(now)) sink.pollEndpoints();
   refreshStores(now);
   releaseIdleConnections(round);
   retries_.supervise(open_, statements_, round);
--- a/src/decision/probe_scheduler.cpp
+++ b/src/decision/probe_scheduler.cpp
@@ -15,7 +15,7 @@
 constexpr double kMinProbeInterval = 0.3;    // smallest bounds between two probes of a store
 constexpr double kMaxProbeInterval = 10;     // smallest bounds between two probes of a store
 constexpr double kInitialReportAge = 0.25;   // smallest bounds
-constexpr double kMinReportAgeDrift = 0.01;  // rise of the least report age at each report
+constexpr double kMinReportAgeDrift = 0.01;  // relative rise of the least report age at each report
 constexpr double kLagInterval = 0.25;        // of a replica's lag; it can't be fresh much sooner
 constexpr double kLagging = 1.5;  // multiple of the greatest report age of a healthy replica
 constexpr double kMinPeriodSample = 0.6;   // of the known period: closer reports are not a sample
--- a/src/decision/retry_policy.cpp
+++ b/src/decision/retry_policy.cpp
@@ -16,7 +16,7 @@
 constexpr double kOverdueShare = 0.5;         // fraction of the SLO time
 constexpr double kHedgesPerStatement = 0.05;  // hedged requests per statement
 constexpr double kMaxHedgingBudget = 16;      // hedged requests
-constexpr double kGiveUpTicks = 2;  // before its deadline, in which a statement is given up
+constexpr double kGiveUpTicks = 2;            // before its deadline, when a statement is given up
 
 }  // namespace
 
--- a/src/decision/types.h
+++ b/src/decision/types.h
@@ -40,7 +40,7 @@
   Level level = Level::any;
   Effect effect = Effect::nonIdempotent;
   Scope scope = Scope::group;
-  Duration stalenessBound;       // the oldest data that a bounded read may return
+  Duration stalenessBound;       // age up to which a bounded read may return data
   Duration slo;                  // the time within which a statement should be answered
   Duration deduplicationWindow;  // how long a store recognizes and drops a retry
   double importance = 1;
@@ -51,7 +51,7 @@
   double quota = 0;  // statements per second, over all proxies
 };
 
-// The settings of a decision engine; they don't change while it runs.
+// The settings of a decision engine, passed when it is created.
 struct EngineSettings {
   std::uint64_t seed = 0;
   int proxyCount = 1;
@@ -95,7 +95,7 @@
   EndpointStatus listed = EndpointStatus::up;
   bool primary = false;
   double weight = 1;
-  std::optional<TimePoint> started;
+  std::optional<TimePoint> started;  // start of the store's process, if listed
 };
 
 // A store's report of itself: its replication log position, and whether it is the primary.
@@ -109,7 +109,8 @@
   int group = -1;
   int tenant = -1;
   std::uint64_t session = 0;
-  std::optional<Duration> sinceWrite;
+  std::optional<Duration>
+      sinceWrite;         // time since the session's last write, if the read carries it
   bool repeated = false;  // the client marked this as a retry
   TimePoint giveUpAt;
 };
--- a/tests/decision/mutants/plant.sh
+++ b/tests/decision/mutants/plant.sh
@@ -1,7 +1,7 @@
 #!/bin/sh
-# plant.sh MUTANT SOURCE OUT: writes SOURCE with the faults of MUTANT planted. MUTANT's first line, "# source: FILE",
-# names the file of src/decision that SOURCE has to be. A line "- " holds what is replaced by the next line, "+ "; it
-# has to stand in SOURCE exactly once.
+# plant.sh MUTANT SOURCE OUT: writes SOURCE with the faults of MUTANT planted to OUT. The first line of MUTANT,
+# "# source: FILE", names the file in src/decision that SOURCE must be. The text of a line "- " is replaced by that of
+# the next line, "+ ", and must occur in SOURCE exactly once.
 named=$(sed -n '1s/^# source: //p' "$1")
 if [ "$named" != "$(basename "$2")" ]; then
   echo "$1: names \"$named\" as its source" >&2
@@ -15,7 +15,7 @@
       at = index(text, from[k])
       rest = substr(text, at + length(from[k]))
       if (!at || index(rest, from[k])) {
-        print FILENAME ": stands there not once: " from[k] > "/dev/stderr"
+        print FILENAME ": must occur exactly once in the source: " from[k] > "/dev/stderr"
         exit 1
       }
       text = substr(text, 1, at - 1) to[k] rest
