--- a/src/decision/types.h
+++ b/src/decision/types.h
@@ -40,7 +40,7 @@
   Level level = Level::any;
   Effect effect = Effect::nonIdempotent;
   Scope scope = Scope::group;
-  Duration stalenessBound;       // age up to which a bounded read may return data
+  Duration stalenessBound;       // maximum age of the data that a bounded read returns
   Duration slo;                  // the time within which a statement should be answered
   Duration deduplicationWindow;  // how long a store recognizes and drops a retry
   double importance = 1;
@@ -109,9 +109,8 @@
   int group = -1;
   int tenant = -1;
   std::uint64_t session = 0;
-  std::optional<Duration>
-      sinceWrite;         // time since the session's last write, if the read carries it
-  bool repeated = false;  // the client marked this as a retry
+  std::optional<Duration> sinceWrite;  // time since the session's last write, if carried
+  bool repeated = false;               // the client marked this as a retry
   TimePoint giveUpAt;
 };
 
