--- a/src/decision/probe_scheduler.h
+++ b/src/decision/probe_scheduler.h
@@ -41,7 +41,7 @@
   // The clock of positions was stepped forward: positions count as older by `older`.
   void onClockStepped(Duration older);
   // Defers the probe of a store that lags, or whose position doesn't advance, by a fraction of its
-  // lag, but by at least `least`.
+  // lag, but by at least `least` and at most the longest time between two probes.
   void deferByLag(int store, Duration lag, Duration least, TimePoint now);
   // Defers the probe of a store by the longest time between two probes.
   void deferLong(int store, TimePoint now);
