--- a/src/decision/engine.cpp
+++ b/src/decision/engine.cpp
@@ -91,7 +91,7 @@
   }
   stores_.endpoints.addEndpoint(endpoint);
   bool hasStarted = endpoint.started &&
-                    stores_.slowStart.beginListed(store, *endpoint.started, random_, now);
+                    stores_.slowStart.onListedStart(store, *endpoint.started, random_, now);
   if (hasStarted) {
     stores_.health.onRestarted(store);
     stores_.health.readmit(store);
@@ -138,7 +138,7 @@
 // ---- observations of stores ----
 
 void DecisionEngine::onStoreStarted(int store, TimePoint now) {
-  stores_.slowStart.beginObserved(store, random_, now);
+  stores_.slowStart.onObservedStart(store, random_, now);
   stores_.health.onRestarted(store);
 }
 
@@ -232,7 +232,7 @@
   StatementState& statement = statements_[id];
   Attempt& attempt = statement.attempts[result.attempt];
   if (std::exchange(attempt.isOutstanding, false)) {
-    stores_.limits.onReturned(attempt.store);
+    stores_.limits.onAttemptEnded(attempt.store);
     endedAttemptStores_.push_back(attempt.store);
   }
   attempt.mayHaveRun = !provesNothingRan(result.outcome);
@@ -274,7 +274,7 @@
       .isIdle = stores_.limits.outstanding(store) == 0};
   stores_.health.onAttemptEnded(store, result, context, now);
   if (result.outcome == AttemptOutcome::overloaded)
-    stores_.limits.cut(store, attempt.sent, CutReason::jammed, now);
+    stores_.limits.cut(store, attempt.sent, CutReason::overloaded, now);
   if (result.outcome != AttemptOutcome::ok) return;
   stores_.limits.onSuccess(store, attempt, result.elapsed, workload.slo, now);
   stores_.statistics.onSuccess(statement.workload, result.elapsed);
@@ -331,7 +331,7 @@
       int groupSize = stores_.endpoints.groupSize(group);
       stores_.slowStart.refill(store, group, groupSize, meanWork, now);
     }
-    double faded = stores_.health.fade(store, now);
+    double faded = stores_.health.decay(store, now);
     stores_.limits.recover(store, faded, now);
   }
 }
@@ -357,7 +357,7 @@
 void DecisionEngine::decide(TimePoint now, DecisionSink& sink) {
   Round round{now, sink};
   int groups = stores_.endpoints.groupCount();
-  if (stores_.endpoints.takePoll(now)) sink.pollEndpoints();
+  if (stores_.endpoints.beginPollIfDue(now)) sink.pollEndpoints();
   refreshStores(now);
   releaseIdleConnections(round);
   retries_.supervise(openStatements_, statements_, round);
