--- a/src/pipeline/admission.h
+++ b/src/pipeline/admission.h
@@ -1,4 +1,4 @@
-// Enters decoded statements into the statement table and announces them to the engine.
+// Adds decoded statements to the statement table and passes them to the decision engine.
 #pragma once
 
 #include "decision/engine.h"
@@ -13,10 +13,11 @@
   Admission(DecisionEngine& engine, StatementTable& statements, RoundTrigger& rounds)
       : engine_(engine), statements_(statements), rounds_(rounds) {}
 
-  // Returns the statement's index. Its final response goes to `sink`.
+  // Returns the statement's index in the table. Its final response is delivered to `sink`, which
+  // assigned `requestId`.
   int admit(request::ReceivedStatement received, request::ResponseSink& sink, int requestId,
             TimePoint now);
-  // The client has left: from here on nothing is sent or responded for the statement.
+  // The client disconnected: no further attempt is sent and no response is delivered.
   void withdraw(int index, TimePoint now);
 
  private:
--- a/src/pipeline/attempt_reporter.cpp
+++ b/src/pipeline/attempt_reporter.cpp
@@ -10,13 +10,13 @@
   return request.statement < 0;
 }
 
-// A store whose response can't be read is reachable all the same.
+// A store that sent a malformed response is nevertheless reachable.
 bool hasResponded(AttemptOutcome outcome) {
   return outcome == AttemptOutcome::ok || outcome == AttemptOutcome::malformedResponse ||
          outcome == AttemptOutcome::invalid;
 }
 
-// An error that blames the statement goes to its client as the store worded it.
+// An error in the statement itself is passed to the client unchanged.
 bool isFinal(AttemptOutcome outcome) {
   return outcome == AttemptOutcome::ok || outcome == AttemptOutcome::invalid;
 }
@@ -28,8 +28,8 @@
 }
 
 bool AttemptReporter::maySend(const request::UpstreamRequest& request, TimePoint now) {
-  if (isProbe(request)) return gate_.mayProbe(request, now);
-  return gate_.mayAttempt(request, statements_.at(request.statement), now);
+  if (isProbe(request)) return gate_.maySendProbe(request, now);
+  return gate_.maySendAttempt(request, statements_.at(request.statement), now);
 }
 
 void AttemptReporter::onRequestEnded(request::UpstreamRequest& request) {
@@ -51,7 +51,7 @@
   Statement& statement = statements_.at(request.statement);
   statement.requests[static_cast<std::size_t>(request.attempt)] = nullptr;
   --statement.outstandingAttempts;
-  noteOutcome(request, statement);
+  recordOutcome(request, statement);
   check_.check(request, statement);
   bool completes = statement.isOpen && isFinal(request.outcome);
   AttemptResult result{
@@ -69,8 +69,8 @@
   statements_.close(request.statement);
 }
 
-void AttemptReporter::noteOutcome(const request::UpstreamRequest& request,
-                                  Statement& statement) const {
+void AttemptReporter::recordOutcome(const request::UpstreamRequest& request,
+                                    Statement& statement) const {
   invariants::EarlierAttempt& attempt =
       statement.attempts[static_cast<std::size_t>(request.attempt)];
   attempt.sentAt = request.firstByteSentAt;
--- a/src/pipeline/attempt_reporter.h
+++ b/src/pipeline/attempt_reporter.h
@@ -1,5 +1,5 @@
-// Tells the engine how attempts and probes ended, and completes the statement whose attempt
-// brought the final response.
+// Reports to the engine how attempts and probes ended, and completes a statement when one of its
+// attempts received the final response.
 #pragma once
 
 #include <cstdint>
@@ -34,7 +34,8 @@
   bool maySend(const request::UpstreamRequest& request, TimePoint now) override;
   void onRequestEnded(request::UpstreamRequest& request) override;
 
-  // Attempts that were refused right before their write, since the start.
+  // Number of attempts refused immediately before their first byte was written, since process
+  // start.
   std::uint64_t refusedCount(invariants::Refusal refusal) const {
     return gate_.refusedCount(refusal);
   }
@@ -42,7 +43,7 @@
  private:
   void onProbeEnded(const request::UpstreamRequest& probe);
   void onAttemptEnded(request::UpstreamRequest& request);
-  void noteOutcome(const request::UpstreamRequest& request, Statement& statement) const;
+  void recordOutcome(const request::UpstreamRequest& request, Statement& statement) const;
   std::optional<TimePoint> timeOf(std::optional<WallTime> position) const;
   ReplicaReport reportOf(const request::UpstreamRequest& request) const;
 
--- a/src/pipeline/dispatcher.h
+++ b/src/pipeline/dispatcher.h
@@ -1,4 +1,4 @@
-// Turns the engine's decisions to send into requests of the connection pools.
+// Submits the attempts and probes that the engine decides on to the connection pools.
 #pragma once
 
 #include <cstdint>
@@ -11,7 +11,7 @@
 
 class Dispatcher {
  public:
-  // `probeVersion`: the protocol version in which stores are probed.
+  // `probeVersion`: the protocol version used for probes.
   Dispatcher(runtime::Scheduler& scheduler, StatementTable& statements,
              upstream::ConnectionPools& pools, Duration probeTimeout,
              request::ProtocolVersion probeVersion)
@@ -21,10 +21,13 @@
         probeTimeout_(probeTimeout),
         probeVersion_(probeVersion) {}
 
+  // Submits an attempt of statement `index`. It fails at `deadline`, and isn't written after
+  // `sendBy`.
   void sendAttempt(int index, int store, TimePoint deadline, TimePoint sendBy);
+  // No effect if the attempt has ended or was never submitted.
   void cancelAttempt(int index, int attempt);
   void sendProbe(int store);
-  // Since the start, with those that were never written.
+  // Numbers submitted since process start, including requests that were never written.
   std::uint64_t attemptCount() const { return attemptCount_; }
   std::uint64_t probeCount() const { return probeCount_; }
 
--- a/src/pipeline/responder.cpp
+++ b/src/pipeline/responder.cpp
@@ -4,8 +4,8 @@
 
 namespace reedchute::pipeline {
 
-// Recorded before the response is sent: a process that ended in between would never bill it (test
-// ledgerKilled).
+// Called before the response is sent: if usage were recorded afterwards, a process killed in
+// between would never bill the statement (test ledgerKilled).
 void Responder::recordUsage(const Statement& statement, Result result, std::size_t bytesOut) {
   if (!usageMeter_) return;
   usageMeter_->record({
--- a/src/pipeline/responder.h
+++ b/src/pipeline/responder.h
@@ -1,4 +1,4 @@
-// Gives each statement its one final response, and has its use recorded first.
+// Delivers the single final response of each statement, after recording its usage.
 #pragma once
 
 #include <cstddef>
@@ -12,23 +12,26 @@
 
 class Responder {
  public:
-  // Statements since the start, by their final response.
+  // Number of statements since process start, by kind of final response.
   struct ResponseCounts {
     std::uint64_t completed = 0;
     std::uint64_t rejected = 0;
     std::uint64_t aborted = 0;
   };
 
-  // `groups`: the names of the groups, for usage records.
+  // `groups`: maps group indices to the ids that usage records contain.
   explicit Responder(const IdIndex<std::int64_t>& groups) : groups_(groups) {}
 
   const ResponseCounts& counts() const { return counts_; }
-  // From now on each final response is recorded before it goes out.
+  // Sets the meter that records each final response before it is sent. Without one, usage isn't
+  // recorded. Not owned.
   void setUsageMeter(request::UsageMeter* meter) { usageMeter_ = meter; }
 
-  // Passes on what a store responded to this very statement.
+  // Passes the store's response on to the client. `request` is an attempt of `statement`.
   void complete(Statement& statement, request::UpstreamRequest& request);
+  // No attempt of the statement has run.
   void reject(Statement& statement, Duration retryAfter);
+  // The statement may have run.
   void abort(Statement& statement);
 
  private:
--- a/src/pipeline/round_trigger.h
+++ b/src/pipeline/round_trigger.h
@@ -1,4 +1,4 @@
-// Asks the scheduler for another decision round once the engine has new facts to decide on.
+// Requests another decision round from the scheduler when the engine has received new events.
 #pragma once
 
 #include "runtime/scheduler.h"
@@ -9,7 +9,7 @@
  public:
   explicit RoundTrigger(runtime::Scheduler& scheduler) : scheduler_(scheduler) {}
 
-  // Called with every event that is passed to the engine.
+  // To be called for every event that is passed to the engine.
   void request() {
     isRequested_ = true;
     scheduler_.requestAnotherRound();
--- a/src/pipeline/router.cpp
+++ b/src/pipeline/router.cpp
@@ -28,7 +28,7 @@
   wakeTimeChanged_.set();
 }
 
-void Router::logGivenUp(const char* event, const Statement& statement) const {
+void Router::logFailure(const char* event, const Statement& statement) const {
   TimePoint now = scheduler_.now();
   const char* last = statement.attempts.empty() ? "none" : request::nameOf(statement.lastOutcome);
   log::line(event, "id=%s attempts=%zu last=%s waited_ms=%lld left_ms=%lld", statement.id.c_str(),
@@ -40,7 +40,7 @@
 void Router::reject(int index, Duration retryAfter) {
   Statement& statement = statements_.at(index);
   if (!statement.isOpen) return;
-  logGivenUp("rejected", statement);
+  logFailure("rejected", statement);
   responder_.reject(statement, retryAfter);
   statements_.close(index);
 }
@@ -48,7 +48,7 @@
 void Router::abort(int index) {
   Statement& statement = statements_.at(index);
   if (!statement.isOpen) return;
-  logGivenUp("aborted", statement);
+  logFailure("aborted", statement);
   responder_.abort(statement);
   statements_.close(index);
 }
--- a/src/pipeline/router.h
+++ b/src/pipeline/router.h
@@ -1,4 +1,4 @@
-// Runs the decision rounds and carries out what the engine decides in them.
+// Runs the decision rounds and carries out the engine's decisions.
 #pragma once
 
 #include "decision/engine.h"
@@ -27,11 +27,11 @@
         pools_(pools),
         wakeTimeChanged_(scheduler) {}
 
-  // To be called before the first round.
+  // To be called before the first round. Not owned.
   void setEndpointWatcher(discovery::EndpointWatcher* watcher) { endpointWatcher_ = watcher; }
-  // Called at the end of each turn of the scheduler; decides where a round was requested.
+  // Called at the end of each scheduler iteration; runs a decision round if one was requested.
   void runRound();
-  // Wakes the engine at the time that it asked for.
+  // Notifies the engine at the time that it requested with wake(). Never returns.
   runtime::Task<> runWakeTimer();
 
   // DecisionSink
@@ -47,7 +47,7 @@
   void wake(Duration after) override;
 
  private:
-  void logGivenUp(const char* event, const Statement& statement) const;
+  void logFailure(const char* event, const Statement& statement) const;
 
   runtime::Scheduler& scheduler_;
   DecisionEngine& engine_;
--- a/src/pipeline/send_gate.cpp
+++ b/src/pipeline/send_gate.cpp
@@ -4,16 +4,16 @@
 
 namespace reedchute::pipeline {
 
-bool SendGate::mayProbe(const request::UpstreamRequest& probe, TimePoint now) const {
+bool SendGate::maySendProbe(const request::UpstreamRequest& probe, TimePoint now) const {
   return !probe.isCancelled && probe.deadline > now && probe.sendBy > now &&
          !guard_.isPastDrainGrace(probe.store, settings_.drainGrace, now);
 }
 
-bool SendGate::mayAttempt(const request::UpstreamRequest& request, Statement& statement,
-                          TimePoint now) {
+bool SendGate::maySendAttempt(const request::UpstreamRequest& request, Statement& statement,
+                              TimePoint now) {
   auto number = static_cast<std::size_t>(request.attempt);
-  // An attempt that is written a second time, as its store had lost the prepared texts that it
-  // needs, has not run before.
+  // An attempt is written a second time if its store had lost the prepared statements that it
+  // needs. It didn't run the first time, so that send must not count as an earlier one.
   TimePoint& sentAt = statement.attempts[number].sentAt;
   sentAt = kNever;
   invariants::AttemptToSend attempt{
--- a/src/pipeline/send_gate.h
+++ b/src/pipeline/send_gate.h
@@ -1,4 +1,4 @@
-// The last check before a request is written to a store, and the counts of what it refused.
+// The last check before a request is written to a store. Counts the attempts that it refuses.
 #pragma once
 
 #include <array>
@@ -17,10 +17,11 @@
   SendGate(const invariants::AttemptGuard& guard, const EngineSettings& settings)
       : guard_(guard), settings_(settings) {}
 
-  bool mayProbe(const request::UpstreamRequest& probe, TimePoint now) const;
-  // Notes the send in the statement where it is allowed; logs and counts it where it is not.
-  bool mayAttempt(const request::UpstreamRequest& request, Statement& statement, TimePoint now);
-  // Attempts refused since the start.
+  bool maySendProbe(const request::UpstreamRequest& probe, TimePoint now) const;
+  // Records the time of sending in `statement` if the attempt is allowed; otherwise logs and counts
+  // the refusal.
+  bool maySendAttempt(const request::UpstreamRequest& request, Statement& statement, TimePoint now);
+  // Number of attempts refused since process start.
   std::uint64_t refusedCount(invariants::Refusal refusal) const {
     return refusedCounts_[static_cast<std::size_t>(refusal)];
   }
--- a/src/pipeline/sent_attempt_check.h
+++ b/src/pipeline/sent_attempt_check.h
@@ -1,5 +1,5 @@
-// Checks ended attempts against the rules, by the times at which they were really written. What it
-// finds is reported as an invariant violation and changes nothing.
+// Checks ended attempts against the sending rules, using the times at which they were actually
+// written. A breach is only reported as an invariant violation; the attempt is not affected.
 #pragma once
 
 #include "config/engine_settings.h"
@@ -14,7 +14,7 @@
   SentAttemptCheck(const invariants::AttemptGuard& guard, const EngineSettings& settings)
       : guard_(guard), settings_(settings) {}
 
-  // `statement` already knows how this attempt ended.
+  // To be called after the outcome of `request` has been recorded in `statement`.
   void check(const request::UpstreamRequest& request, const Statement& statement) const;
 
  private:
--- a/src/pipeline/statement.h
+++ b/src/pipeline/statement.h
@@ -1,4 +1,4 @@
-// What the proxy holds of a statement from its admission until its last attempt has ended.
+// The state of a statement from its admission until its last attempt has ended.
 #pragma once
 
 #include <cstdint>
@@ -17,8 +17,8 @@
 namespace reedchute::pipeline {
 
 struct Statement {
-  request::ResponseSink* sink = nullptr;  // none once it is answered or its client has gone
-  int requestId = 0;                      // the sink's own number for it
+  request::ResponseSink* sink = nullptr;  // null once closed; not owned
+  int requestId = 0;                      // assigned by the sink
   std::string id;
   request::ProtocolVersion version = 0;
   std::unique_ptr<request::StatementPayload> payload;
@@ -29,10 +29,12 @@
   TimePoint admittedAt;
   TimePoint deadline;
   TimePoint clientGoneAt = kForever;
-  bool isOpen = false;  // its client still awaits the final response
+  bool isOpen = false;  // the client is waiting for the final response
   int outstandingAttempts = 0;
-  std::vector<request::UpstreamRequest*> requests;         // by attempt; null once it has ended
-  std::vector<invariants::EarlierAttempt> attempts;        // the same, as the guard knows them
+  // Both by attempt number. `requests` are owned by the connection pools and null once ended;
+  // `attempts` holds the facts that the attempt guard needs.
+  std::vector<request::UpstreamRequest*> requests;
+  std::vector<invariants::EarlierAttempt> attempts;
   AttemptOutcome lastOutcome = AttemptOutcome::neverSent;  // of the attempt that ended last
 };
 
--- a/src/pipeline/statement_table.cpp
+++ b/src/pipeline/statement_table.cpp
@@ -5,7 +5,7 @@
 
 namespace reedchute::pipeline {
 
-int StatementTable::takeFreeRow() {
+int StatementTable::allocateRow() {
   if (freeRows_.empty()) {
     rows_.emplace_back();
     return static_cast<int>(rows_.size()) - 1;
@@ -19,7 +19,7 @@
   if (!statement.id.empty()) openIds_.insert(statement.id);
   reservedBytes_ += reservationFor(statement.payload->size());
   ++openCount_;
-  int index = takeFreeRow();
+  int index = allocateRow();
   at(index) = std::move(statement);
   return index;
 }
