--- a/src/request/attempt_outcome.h
+++ b/src/request/attempt_outcome.h
@@ -5,6 +5,7 @@
 
 namespace reedchute::request {
 
+// Returns a string literal; "moot" for attempts that were never sent.
 const char* nameOf(AttemptOutcome outcome);
 
 }  // namespace reedchute::request
--- a/src/request/attempt_owner.h
+++ b/src/request/attempt_owner.h
@@ -1,4 +1,4 @@
-// The interface of whoever submits requests to the connection pools.
+// Interface implemented by the component that submits requests to the connection pools.
 #pragma once
 
 #include "base/time.h"
@@ -9,11 +9,12 @@
 class AttemptOwner {
  public:
   virtual ~AttemptOwner() = default;
-  // Is the response still waited for?
+  // Whether a response to the request is still needed.
   virtual bool isWanted(const UpstreamRequest& request) const = 0;
-  // Asked right before the first byte is written; the request is written only where this is true.
+  // Called immediately before the first byte is written; the request is written only if this
+  // returns true.
   virtual bool maySend(const UpstreamRequest& request, TimePoint now) = 0;
-  // Called exactly once for each request.
+  // Called exactly once for each request, after its outcome has been set.
   virtual void onRequestEnded(UpstreamRequest& request) = 0;
 };
 
--- a/src/request/idempotency_key.h
+++ b/src/request/idempotency_key.h
@@ -1,4 +1,4 @@
-// The hash that stands for a client's idempotency key.
+// The hash by which the proxy identifies a client's idempotency key.
 #pragma once
 
 #include <cstdint>
@@ -6,7 +6,8 @@
 
 namespace reedchute::request {
 
-// Keys of different tenants or groups are different. 0 where `key` is empty, and only there.
+// Tenant and group are part of the hash, so equal keys of different tenants or groups have
+// different hashes. Returns 0 if and only if `key` is empty.
 std::uint64_t idempotencyKeyOf(std::string_view tenant, std::int64_t group, std::string_view key);
 
 }  // namespace reedchute::request
--- a/src/request/open_statement_ids.h
+++ b/src/request/open_statement_ids.h
@@ -1,4 +1,4 @@
-// The ids of the statements that still await their response.
+// The ids of the statements that are waiting for their final response.
 #pragma once
 
 #include <string>
--- a/src/request/protocol_version.h
+++ b/src/request/protocol_version.h
@@ -1,10 +1,10 @@
-// The protocol in whose form a statement arrived.
+// Identifies the protocol and version in which a statement was received.
 #pragma once
 
 namespace reedchute::request {
 
-// A row of the table of protocol versions that the connection pools hold. Versions whose statements
-// can't share a connection have a row each.
+// An index into the connection pools' table of protocol versions. Versions whose statements can't
+// share a connection to a store have separate entries.
 using ProtocolVersion = int;
 
 }  // namespace reedchute::request
--- a/src/request/received_statement.h
+++ b/src/request/received_statement.h
@@ -1,4 +1,4 @@
-// A statement as a client protocol has decoded it.
+// A statement as decoded by a client protocol.
 #pragma once
 
 #include <cstddef>
@@ -16,16 +16,16 @@
 inline constexpr std::size_t kMaxTenantBytes = 64;
 
 struct ReceivedStatement {
-  // When the last byte arrived. The client's timeout runs from here, however long the statement
-  // waited behind others on its connection.
+  // When the last byte arrived. The client's timeout starts here, even if the statement was queued
+  // behind others on its connection.
   TimePoint receivedAt;
   Duration timeout;
-  std::string id;  // empty: the client gave none
+  std::string id;  // empty if the client sent none
   ProtocolVersion version = 0;
   std::unique_ptr<StatementPayload> payload;
   Arrival arrival;
-  std::string tenant;                // as the client named it, configured or not
-  std::uint64_t idempotencyKey = 0;  // as idempotencyKeyOf() returns it; 0: none
+  std::string tenant;                // as the client sent it; may not be configured
+  std::uint64_t idempotencyKey = 0;  // from idempotencyKeyOf(); 0 if none
 };
 
 }  // namespace reedchute::request
--- a/src/request/request_counters.h
+++ b/src/request/request_counters.h
@@ -1,4 +1,4 @@
-// Counts of statements by what became of them, over all client protocols.
+// Counts of statements by how they ended, over all client protocols.
 #pragma once
 
 #include <cstddef>
@@ -8,18 +8,20 @@
 
 namespace reedchute::request {
 
-// A response up to so long after its deadline counts as answered, if late; a later one as lost.
+// Grace period after a statement's deadline. A response written after it counts as `answeredLate`,
+// and a client that disconnects after it without a response doesn't count as `clientGone`.
 inline constexpr Duration kLateAnswerGrace{500'000};
 
-// Each statement that was received is answered, or its client went before, or it is outstanding.
-// Where the sum doesn't close, a statement ended without its whole response.
+// Each received statement is either answered, or abandoned by its client, or outstanding. If the
+// counts don't add up, a statement ended without its complete response.
 struct RequestCounters {
   std::uint64_t received = 0;
-  std::uint64_t answered = 0;      // to the last byte handed to the kernel
-  std::uint64_t clientGone = 0;    // before the response and before the deadline
-  std::uint64_t answeredLate = 0;  // of the answered, those past their grace
+  std::uint64_t answered = 0;      // responses passed to the kernel completely
+  std::uint64_t clientGone = 0;    // disconnected before the response and within the grace
+  std::uint64_t answeredLate = 0;  // those of `answered` written after the grace
 
-  // `outstanding`: statements that are open, or whose responses are being written.
+  // The number of statements not accounted for. `outstanding`: statements that are open or whose
+  // responses are being written.
   std::int64_t missing(std::size_t outstanding) const {
     return static_cast<std::int64_t>(received - answered - clientGone - outstanding);
   }
--- a/src/request/response.h
+++ b/src/request/response.h
@@ -1,4 +1,4 @@
-// What a store responded.
+// A store's response to an attempt.
 #pragma once
 
 #include <string>
@@ -6,8 +6,8 @@
 namespace reedchute::request {
 
 struct Response {
-  std::string bytes;         // as the store sent them
-  unsigned frameHeader = 0;  // protocol specific: frame flags and opcode
+  std::string bytes;         // as received from the store
+  unsigned frameHeader = 0;  // protocol-specific: frame flags and opcode
 };
 
 }  // namespace reedchute::request
--- a/src/request/response_sink.h
+++ b/src/request/response_sink.h
@@ -1,4 +1,4 @@
-// Where the pipeline delivers the final response of a statement.
+// The interface through which the pipeline delivers the final response of a statement.
 #pragma once
 
 #include <optional>
@@ -8,16 +8,16 @@
 
 namespace reedchute::request {
 
-// The client connection that admitted a statement. Exactly one of onCompleted(), onRejected() and
-// onAborted() is called for each statement whose client stays; `requestId` is the one that the
-// connection passed to StatementHandler::admit().
+// Implemented by the client connection that submitted the statement. Exactly one of onCompleted(),
+// onRejected() and onAborted() is called for each statement whose client stays connected.
+// `requestId` is the value that the connection passed to StatementHandler::admit().
 class ResponseSink {
  public:
   virtual ~ResponseSink() = default;
-  // `store` gave the response; `position` is the replication position that it reported with it.
+  // `store` sent the response; `position` is the replication position that it reported with it.
   virtual void onCompleted(int requestId, Response response, int store,
                            std::optional<WallTime> position) = 0;
-  // Nothing of the statement has run.
+  // No attempt of the statement has run. The client may retry it after `retryAfter`.
   virtual void onRejected(int requestId, Duration retryAfter) = 0;
   // The statement may have run.
   virtual void onAborted(int requestId) = 0;
--- a/src/request/statement_handler.h
+++ b/src/request/statement_handler.h
@@ -1,4 +1,4 @@
-// Where client connections submit the statements that they decoded.
+// The interface to which client connections submit decoded statements.
 #pragma once
 
 #include "base/time.h"
@@ -10,13 +10,13 @@
 class StatementHandler {
  public:
   virtual ~StatementHandler() = default;
-  // Returns the statement's index, or -1 where it has already been rejected to `sink`.
+  // Returns the statement's index, or -1 if it was rejected at once, through `sink`.
   virtual int admit(ReceivedStatement statement, ResponseSink& sink, int requestId) = 0;
-  // The client has closed its connection, or wants no response any more.
+  // The client disconnected, or doesn't need the response any more.
   virtual void onClientLeft(int statement) = 0;
-  // Is there memory for a client to have more than one statement open?
+  // Whether there is enough memory for a client to have more than one statement open.
   virtual bool hasCapacity() const = 0;
-  // False for statements received too late after the signal to shut down.
+  // False if a statement received at this time arrived too late after the shutdown signal.
   virtual bool acceptsReceivedAt(TimePoint receivedAt) const = 0;
 };
 
--- a/src/request/store_report.cpp
+++ b/src/request/store_report.cpp
@@ -10,7 +10,7 @@
 
 constexpr double kMaxReportedNumber = 1e12;  // positions are seconds of Unix time
 
-// Nothing where it is no number, infinite or out of range.
+// Returns nullopt if `text` is not a finite number or is out of range.
 std::optional<double> parseReportedNumber(std::string_view text) {
   std::optional<double> value = parseNumber<double>(text);
   if (!value || !(std::abs(*value) < kMaxReportedNumber)) return std::nullopt;
@@ -30,10 +30,11 @@
     std::string_view name = pair.substr(0, equals);
     std::optional<double> value = parseReportedNumber(pair.substr(equals + 1));
     if (!value) continue;
-    // A store that has no position yet reports 0. Taken for a position it would hide the primary.
+    // A store that has no position yet reports 0. Treating that as a position would hide the
+    // primary.
     if (name == "x0" && *value > 0)
       report.position = WallTime{static_cast<std::int64_t>(*value * 1e6)};
-    // A position ahead of the clock would hide every later one and make stale reads look fresh.
+    // A position ahead of the clock would mask all later ones and make stale reads look fresh.
     if (report.position && *report.position > newest) return {};
     if (name == "x1") report.isPrimary = *value > 0.5;
   }
--- a/src/request/store_report.h
+++ b/src/request/store_report.h
@@ -1,4 +1,4 @@
-// Parsers of the load reports that stores send, in whatever protocol they arrive. No I/O.
+// Parsers for the load reports of stores, shared by all protocols. No I/O.
 #pragma once
 
 #include <optional>
@@ -10,19 +10,19 @@
 namespace reedchute::request {
 
 struct StoreReport {
-  std::optional<WallTime> position;  // up to where the store has replicated
+  std::optional<WallTime> position;  // how far the store has replicated
   std::optional<bool> isPrimary;
 };
 
-// Parses comma-separated name=value pairs. A report whose position lies after `newest` is ignored
-// as a whole.
+// Parses comma-separated name=value pairs. Malformed pairs are ignored. A report whose position is
+// later than `newest`, the latest plausible one, is ignored as a whole.
 StoreReport parseStoreReport(std::string_view text, WallTime newest);
 
-// Parses the role that a store states beside its responses.
+// Parses the role that a store sends with its responses; Role::unknown for other words.
 Role parseStoreRole(std::string_view word);
 
-// Parses a position in milliseconds of Unix time; nothing where it is no number or lies after
-// `newest`.
+// Parses a position in milliseconds of Unix time. Returns nullopt if it is not a positive number or
+// is later than `newest`.
 std::optional<WallTime> parseStorePosition(std::string_view text, WallTime newest);
 
 }  // namespace reedchute::request
--- a/src/request/upstream_request.h
+++ b/src/request/upstream_request.h
@@ -1,4 +1,4 @@
-// One message to a store and what came of it: an attempt of a statement, or a probe.
+// One request to a store and its result: an attempt of a statement, or a probe.
 #pragma once
 
 #include <algorithm>
@@ -20,35 +20,35 @@
 namespace reedchute::request {
 
 struct UpstreamRequest {
-  int statement = -1;  // -1: a probe
-  int attempt = -1;    // its number among the attempts of the statement
+  int statement = -1;  // -1 for a probe
+  int attempt = -1;    // attempt number within the statement, from 0
   int store = -1;
   ProtocolVersion version = 0;
-  const StatementPayload* payload = nullptr;  // none: a probe
+  const StatementPayload* payload = nullptr;  // null for a probe
   TimePoint startedAt;
   TimePoint deadline;
-  TimePoint sendBy = kForever;  // it is not written after this
+  TimePoint sendBy = kForever;  // not written after this time
 
-  // How long the proxy still waits for the response, for protocols that announce it. Counted at the
-  // write: a store that was announced more would work on for a client that has gone (test
-  // toldLeft).
+  // How long the proxy will still wait for the response, for protocols that announce this to the
+  // store. Computed when the request is written: if more were announced, the store would go on
+  // working for a client that no longer waits (test toldLeft).
   std::int64_t remainingMs(TimePoint now) const {
     return std::max<std::int64_t>(0, (deadline - now).us / 1000);
   }
 
-  upstream::UpstreamConnection* connection = nullptr;  // the one that it was given to
-  std::size_t index = 0;                               // among all requests of the connection pools
+  upstream::UpstreamConnection* connection = nullptr;  // that the request was assigned to
+  std::size_t index = 0;                               // in the connection pools' table of requests
   TimePoint firstByteSentAt = kNever;
   TimePoint lastByteSentAt = kNever;
   std::int64_t announcedTimeoutMs = 0;
-  int requeueCount = 0;  // connections that failed before it was written to them
+  int requeueCount = 0;  // connections that closed before it was written
   bool isCancelled = false;
-  // The process had no place for another connection, which says nothing about the store.
+  // The process had no descriptor for another connection, which says nothing about the store.
   bool lackedConnectionSlot = false;
 
-  // The result.
+  // The result; complete once the request has ended.
   AttemptOutcome outcome = AttemptOutcome::neverSent;
-  Response response;  // or the store's error
+  Response response;  // or the store's error response
   Role role = Role::unknown;
   std::optional<WallTime> position;
   StoreReport report;
--- a/src/request/usage_meter.h
+++ b/src/request/usage_meter.h
@@ -1,4 +1,4 @@
-// The interface of usage accounting.
+// The interface to usage accounting.
 #pragma once
 
 #include "request/usage_record.h"
@@ -8,9 +8,9 @@
 class UsageMeter {
  public:
   virtual ~UsageMeter() = default;
-  // False while records can't be kept and statements are to be rejected for it.
+  // False while usage can't be recorded and statements must therefore be rejected.
   virtual bool acceptsStatements() const = 0;
-  // Called once a statement, before its final response goes to the client.
+  // Called once for each statement, before its final response is sent to the client.
   virtual void record(const UsageRecord& usage) = 0;
 };
 
--- a/src/request/usage_record.h
+++ b/src/request/usage_record.h
@@ -1,4 +1,4 @@
-// The final response of one statement, as usage accounting records it.
+// What usage accounting records of a statement and its final response.
 #pragma once
 
 #include <cstdint>
@@ -9,8 +9,9 @@
 struct UsageRecord {
   std::string_view tenant;
   int workload = -1;
-  std::int64_t group = -1;  // as the endpoint list names it
-  // Neither is set where the statement was aborted, or ended with an error that blames it.
+  std::int64_t group = -1;  // id from the endpoint list
+  // Neither is set if the statement was aborted, or if its response is an error in the statement
+  // itself.
   bool completed = false;
   bool rejected = false;
   std::uint64_t bytesIn = 0;
