--- a/src/upstream/connection_pool.cpp
+++ b/src/upstream/connection_pool.cpp
@@ -5,19 +5,21 @@
 namespace reedchute::upstream {
 
 PoolDemand ConnectionPool::demand() const {
-  bool hasStatements = std::any_of(waiting.begin(), waiting.end(),
-                                   [](const UpstreamRequest* one) { return one->statement >= 0; });
+  bool hasStatements = std::any_of(
+      waiting.begin(), waiting.end(),
+      [](const UpstreamRequest* request) { return request->statement >= 0; });
   return hasStatements ? PoolDemand::statements : PoolDemand::probes;
 }
 
-// Statements that start together would each open a connection, where one carries several.
+// If one connection carries several requests, statements that arrive together share it instead of
+// opening one each.
 bool ConnectionPool::needsConnection(std::size_t requestsPerConnection) const {
   std::size_t wanted = (waiting.size() + requestsPerConnection - 1) / requestsPerConnection;
   return static_cast<std::size_t>(connecting) < wanted;
 }
 
-// A store may close right behind its response, and a request that is written just then is lost: a
-// connection that has been idle for a moment is preferred.
+// A store may close the connection right after its response, and a request written at that moment
+// is lost. A connection that has been idle for a while is therefore preferred.
 UpstreamConnection* ConnectionPool::pickReady(TimePoint settledBefore) const {
   auto isSettled = [&](const UpstreamConnection* connection) {
     return connection->requestCount() > 0 || connection->idleSince <= settledBefore;
--- a/src/upstream/connection_pool.h
+++ b/src/upstream/connection_pool.h
@@ -1,5 +1,5 @@
 // The state of one pool: the connections to one store in one protocol version, and the requests
-// that wait for one. ConnectionPools owns all pools and does their I/O.
+// that are waiting for a connection. ConnectionPools owns all pools and does their I/O.
 #pragma once
 
 #include <netinet/in.h>
@@ -13,31 +13,32 @@
 
 namespace reedchute::upstream {
 
-// Names a pool among all of them.
+// Identifies a pool.
 struct PoolKey {
   int store = -1;
   ProtocolVersion version = 0;
 };
 
-// What a pool wants connections for: statements, with or without probes beside them, or probes
-// alone.
+// What a pool needs connections for. `statements`: at least one statement is waiting, possibly
+// along with probes. `probes`: only probes are waiting.
 enum class PoolDemand { statements, probes };
 inline constexpr std::array kPoolDemands{PoolDemand::statements, PoolDemand::probes};
 
 struct ConnectionPool {
   std::optional<sockaddr_in> address;
-  std::vector<UpstreamConnection*> ready;  // may be given requests; the one used last at the end
+  std::vector<UpstreamConnection*> ready;  // accept requests; most recently used last
   std::list<UpstreamRequest*> waiting;
-  int connecting = 0;                                // connections being made
-  std::array<bool, kPoolDemands.size()> isQueued{};  // for a descriptor, by demand
+  int connecting = 0;                                // connections being established
+  std::array<bool, kPoolDemands.size()> isQueued{};  // for a descriptor, by PoolDemand
 
   PoolDemand demand() const;
-  // Do more requests wait than the connections being made will carry?
+  // Whether more requests are waiting than the connections being established can carry.
   bool needsConnection(std::size_t requestsPerConnection) const;
-  // The ready connection that the next request goes on; there has to be one. Of those with the
-  // fewest requests it is the one used last that has been idle since `settledBefore`.
+  // Picks the ready connection for the next request; requires that there is one. Prefers those with
+  // the fewest requests, among these the ones that carry a request or have been idle since
+  // `settledBefore` or longer, and among these the most recently used one.
   UpstreamConnection* pickReady(TimePoint settledBefore) const;
-  // Closes the ready connections that carry no request.
+  // Closes the ready connections that carry no request, and removes them from `ready`.
   void closeIdle();
 };
 
--- a/src/upstream/connection_pools.cpp
+++ b/src/upstream/connection_pools.cpp
@@ -10,12 +10,17 @@
 namespace reedchute::upstream {
 namespace {
 
-constexpr double kSettleTime = 0.01;         // connect time-outs of idleness before reuse is safe
-constexpr std::size_t kProbeShare = 2;       // probes may make one connection in so many
-constexpr double kStatementMaxWait = 0.4;    // connect time-outs, for a descriptor
-constexpr double kProbeMaxWait = 1.0;        // connect time-outs, for a descriptor
-constexpr double kQueueCheckInterval = 0.1;  // connect time-outs
-constexpr int kMaxRequeues = 3;              // connections that a request may find closed
+// Idle time after which a connection can be reused safely, in multiples of the connect timeout.
+constexpr double kSettleTime = 0.01;
+// Connections being opened for probes may be at most 1/kProbeShareDivisor of `maxConnections`.
+constexpr std::size_t kProbeShareDivisor = 2;
+// How long requests wait for a descriptor and how often this is checked, in multiples of the
+// connect timeout.
+constexpr double kStatementMaxWait = 0.4;
+constexpr double kProbeMaxWait = 1.0;
+constexpr double kQueueCheckInterval = 0.1;
+// How often a request is put back because its connection closed before the write. Then it fails.
+constexpr int kMaxRequeues = 3;
 
 }  // namespace
 
@@ -36,7 +41,7 @@
   bool hasMoved = pool.address && !runtime::sameAddress(*pool.address, address);
   pool.address = address;
   if (!hasMoved) return;
-  // What still answers at the old address is not this store.
+  // A server that still responds at the old address is not this store.
   pool.closeIdle();
   std::vector<UpstreamConnection*> all = connections_;
   for (UpstreamConnection* connection : all)
@@ -65,13 +70,14 @@
 void ConnectionPools::cancel(UpstreamRequest* request) {
   if (request->isCancelled) return;
   request->isCancelled = true;
-  // One that waits for a connection is passed over when its turn comes.
+  // A request that is waiting for a connection is skipped by nextRequest().
   if (request->connection) request->connection->cancel(request);
 }
 
 void ConnectionPools::drainStore(int store) {
   for (ConnectionPool& pool : pools_[static_cast<std::size_t>(store)]) {
-    // A connection may come up as late as the grace ends, so nothing is left to wait for it.
+    // Establishing a connection may take until the drain grace is over, so no request is left
+    // waiting for one.
     std::list<UpstreamRequest*> unsent = std::exchange(pool.waiting, {});
     for (UpstreamRequest* request : unsent) complete(request, AttemptOutcome::neverSent);
   }
@@ -80,9 +86,9 @@
     if (connection->store == store) connection->drain();
 }
 
-void ConnectionPools::cancelUnsent(const std::function<bool(const UpstreamRequest&)>& which) {
+void ConnectionPools::cancelUnsent(const std::function<bool(const UpstreamRequest&)>& predicate) {
   for (const std::unique_ptr<UpstreamRequest>& request : requests_)
-    if (request->firstByteSentAt == kNever && which(*request)) request->sendBy = kNever;
+    if (request->firstByteSentAt == kNever && predicate(*request)) request->sendBy = kNever;
   std::vector<UpstreamRequest*> unsent;
   auto collect = [&](UpstreamRequest* request) {
     if (request->sendBy != kNever) return false;
@@ -95,7 +101,7 @@
 }
 
 bool ConnectionPools::isUnused(int store) const {
-  auto isToStore = [&](const auto& one) { return one->store == store; };
+  auto isToStore = [&](const auto& item) { return item->store == store; };
   return std::none_of(connections_.begin(), connections_.end(), isToStore) &&
          std::none_of(requests_.begin(), requests_.end(), isToStore);
 }
@@ -133,8 +139,8 @@
   return bytes;
 }
 
-// A store for which this process has no descriptor left must not count as unreachable, so its pool
-// waits for one.
+// If this process has no descriptor left for a connection to a store, the store must not count as
+// unreachable. Its pool waits for a descriptor instead.
 void ConnectionPools::openOrQueue(PoolKey key) {
   ConnectionPool& pool = poolOf(key);
   if (!pool.needsConnection(maxConcurrentRequests(key.version)) || tryOpen(key)) return;
@@ -144,14 +150,15 @@
   scheduler_.spawn(watchQueue());
 }
 
-// The process has only so many descriptors, and stores may be more: the longest idle connection
-// makes room. Probes of all stores at once would leave no descriptor to statements.
+// There may be more stores than this process has descriptors, so the connection that has been idle
+// longest is closed if the limit is reached. Connections for probes are limited because probing all
+// stores at once would leave no descriptors for statements.
 bool ConnectionPools::hasDescriptor(PoolDemand demand) {
   if (demand == PoolDemand::probes) {
     auto probing = std::count_if(
         connections_.begin(), connections_.end(),
         [](const UpstreamConnection* connection) { return connection->isForProbe; });
-    std::size_t maxProbing = std::max<std::size_t>(1, limits_.maxConnections / kProbeShare);
+    std::size_t maxProbing = std::max<std::size_t>(1, limits_.maxConnections / kProbeShareDivisor);
     if (static_cast<std::size_t>(probing) >= maxProbing) return false;
   }
   return connections_.size() < limits_.maxConnections || closeLongestIdle();
@@ -170,29 +177,30 @@
   connection->isForProbe = demand == PoolDemand::probes;
   connections_.push_back(connection.get());
   ++pool.connecting;
-  ++opened_;
+  ++openedCount_;
   scheduler_.spawn(run(std::move(connection)));
   return true;
 }
 
 void ConnectionPools::onDescriptorFreed() {
   for (PoolDemand demand : kPoolDemands)
-    while (!queue_.line(demand).empty()) {
-      PoolKey key = queue_.line(demand).front();
+    while (!queue_.poolsFor(demand).empty()) {
+      PoolKey key = queue_.poolsFor(demand).front();
       ConnectionPool& pool = poolOf(key);
       bool stillNeedsIt = pool.needsConnection(maxConcurrentRequests(key.version)) &&
                           pool.demand() == demand;
       if (stillNeedsIt && !tryOpen(key)) break;
       queue_.pop(demand, pool);
-      openOrQueue(key);  // where it wants more than one, it goes to the end
+      openOrQueue(key);  // if it needs more than one, it is queued again at the end
     }
 }
 
-// Requests of a pool that have waited too long for a descriptor.
-void ConnectionPools::collectUnplaced(PoolKey key, std::vector<UpstreamRequest*>& unplaced) {
+// Collects the requests of a pool that have waited too long for a descriptor or are no longer
+// wanted.
+void ConnectionPools::collectExpired(PoolKey key, std::vector<UpstreamRequest*>& expired) {
   ConnectionPool& pool = poolOf(key);
   TimePoint now = scheduler_.now();
-  // The first ones have their connections on the way.
+  // Connections for the first requests are already being established.
   std::size_t covered = static_cast<std::size_t>(pool.connecting) *
                         maxConcurrentRequests(key.version);
   std::size_t position = 0;
@@ -204,17 +212,17 @@
     bool waitedTooLong = now - request->startedAt >= limits_.connectTimeout * maxWait;
     if (!waitedTooLong && isStillWanted(*request)) continue;
     request->lackedConnectionSlot = true;
-    unplaced.push_back(request);
+    expired.push_back(request);
   }
 }
 
-// Left waiting, such a request would wait until its client's time is up, while other stores could
-// be had.
-void ConnectionPools::failUnplaced() {
-  std::vector<UpstreamRequest*> unplaced;
+// Otherwise these requests would wait until their client's deadline although other stores may be
+// reachable.
+void ConnectionPools::failExpired() {
+  std::vector<UpstreamRequest*> expired;
   for (PoolDemand demand : kPoolDemands)
-    for (PoolKey key : queue_.line(demand)) collectUnplaced(key, unplaced);
-  for (UpstreamRequest* request : unplaced) {
+    for (PoolKey key : queue_.poolsFor(demand)) collectExpired(key, expired);
+  for (UpstreamRequest* request : expired) {
     log::line("stores_crowded", "connections=%zu store=%d", connections_.size(), request->store);
     poolOf(*request).waiting.remove(request);
     complete(request, AttemptOutcome::neverSent);
@@ -225,15 +233,15 @@
   while (!queue_.isEmpty()) {
     co_await runtime::sleepUntil(scheduler_,
                                  scheduler_.now() + limits_.connectTimeout * kQueueCheckInterval);
-    failUnplaced();
+    failExpired();
     onDescriptorFreed();
   }
   isWatchingQueue_ = false;
 }
 
 bool ConnectionPools::isStillWanted(const UpstreamRequest& request) const {
-  // A process that has used up its share of a core stands still in the middle of a round; a bounded
-  // read judged by the round's beginning would be sent stale.
+  // A process that has used up its CPU quota is paused in the middle of a round. A bounded read
+  // that is checked against the time at which the round began could then be sent stale.
   TimePoint now = scheduler_.steadyNow();
   return !request.isCancelled && request.deadline > now && request.sendBy > now &&
          owner_.isWanted(request);
@@ -275,17 +283,17 @@
 void ConnectionPools::requeue(UpstreamRequest* request) {
   request->connection = nullptr;
   ++request->requeueCount;
-  // A store that closes each connection as soon as it is up would be dialled in a loop (test
-  // closesAtOnce).
+  // Without this limit, a store that closes each connection as soon as it is established would be
+  // connected to in an endless loop (test closesAtOnce).
   if (request->requeueCount > kMaxRequeues) return complete(request, AttemptOutcome::connectFailed);
   poolOf(*request).waiting.push_front(request);
 }
 
-// Takes the request out of the table, where the last one moves to its place.
+// Removes the request from the table. The last one in the table moves to its index.
 std::unique_ptr<UpstreamRequest> ConnectionPools::release(UpstreamRequest* request) {
-  std::size_t place = request->index;
-  std::swap(requests_[place], requests_.back());
-  requests_[place]->index = place;
+  std::size_t index = request->index;
+  std::swap(requests_[index], requests_.back());
+  requests_[index]->index = index;
   std::unique_ptr<UpstreamRequest> released = std::move(requests_.back());
   requests_.pop_back();
   return released;
@@ -308,8 +316,8 @@
   }
 }
 
-// An exception that left run() would leave the connection's requests without an end (test
-// storeFaults).
+// Catches exceptions: one that escaped from run() would leave the connection's requests pending
+// forever (test storeFaults).
 runtime::Task<> ConnectionPools::tryServe(UpstreamConnection& connection) {
   try {
     co_await connection.serve();
@@ -318,8 +326,8 @@
   }
 }
 
-// Ends the requests that the connection was made for, as it couldn't be had. One that waited too
-// long to be sent found the store unreachable all the same.
+// Ends the requests that the failed connection was opened for. A request whose `sendBy` or
+// deadline passed meanwhile also counts as having found the store unreachable.
 void ConnectionPools::failWaiting(UpstreamConnection& connection) {
   std::list<UpstreamRequest*>& waiting = poolOf(connection).waiting;
   std::size_t remaining = maxConcurrentRequests(connection.version);
@@ -343,7 +351,7 @@
   markBusy(connection);
   co_await connection.end();
   std::erase(connections_, &connection);
-  // Requests that counted on this connection need another.
+  // Requests that were to use this connection need another one.
   openOrQueue({connection.store, connection.version});
   onDescriptorFreed();
 }
--- a/src/upstream/connection_pools.h
+++ b/src/upstream/connection_pools.h
@@ -1,7 +1,7 @@
-// The pools of connections to all stores, by store and protocol version, and the requests that
-// travel on them. The pipeline submits and cancels requests, discovery says where the stores are,
-// and connections ask for their next request. Each submitted request is handed to
-// AttemptOwner::ended() exactly once.
+// The connection pools to all stores, by store and protocol version, and the requests that are
+// waiting or in flight. The pipeline submits and cancels requests, discovery sets the addresses of
+// stores, and connections fetch their next request. Each submitted request is passed to
+// AttemptOwner::onRequestEnded() exactly once.
 #pragma once
 
 #include <functional>
@@ -23,53 +23,60 @@
  public:
   struct Limits {
     Duration connectTimeout, keepalive;
-    std::size_t maxConnections = 0;    // of all stores together
+    std::size_t maxConnections = 0;    // to all stores together
     std::size_t maxRowBytes = 0;       // of one row
-    std::size_t maxBufferedBytes = 0;  // of all responses on their way together
+    std::size_t maxBufferedBytes = 0;  // of all responses being received together
   };
 
   ConnectionPools(runtime::Scheduler& scheduler, request::AttemptOwner& owner, Limits limits);
   ~ConnectionPools();
 
-  // Adds a protocol version; to be called before the first setAddress().
+  // Adds a protocol version; to be called before the first setAddress(). `protocol` has to outlive
+  // the pools.
   ProtocolVersion addProtocol(UpstreamProtocol& protocol);
 
-  // Where a store is reached in one version. Connections to another address are drained.
+  // Sets the address of a store for one protocol version. Connections to a previous address are
+  // drained.
   void setAddress(int store, ProtocolVersion version, const sockaddr_in& address);
-  // Sends the request on a ready connection, or as soon as there is one.
+  // Sends the request on a ready connection, or as soon as there is one. The returned pointer is
+  // valid until AttemptOwner::onRequestEnded() has returned for the request.
   UpstreamRequest* submit(std::unique_ptr<UpstreamRequest> submitted);
-  // The response is not wanted any more. The request ends in its connection's own turn.
+  // The response is no longer needed. The request doesn't end within this call, but when a
+  // connection handles it next.
   void cancel(UpstreamRequest* request);
-  // The store drains or is gone: what still waits for a connection to it is never sent.
+  // Called when a store is draining or was removed from the endpoint list. Requests that are
+  // waiting for a connection to it are never sent, and its connections are drained.
   void drainStore(int store);
-  // Of the requests that are not written yet, those that `which` selects are never sent.
-  void cancelUnsent(const std::function<bool(const UpstreamRequest&)>& which);
+  // Requests that have not been written yet and match `predicate` are never sent.
+  void cancelUnsent(const std::function<bool(const UpstreamRequest&)>& predicate);
   void closeIdleConnections(int store);
   std::size_t connectionCount() const { return connections_.size(); }
-  std::uint64_t openedCount() const { return opened_; }  // connections begun since the start
-  // Is there neither a connection nor a request to the store?
+  // Number of connections opened since process start, including those that failed to connect.
+  std::uint64_t openedCount() const { return openedCount_; }
+  // Whether there is neither a connection nor a request to the store.
   bool isUnused(int store) const;
-  // Drops all that is known of a store that is unused.
+  // Discards all state of a store; requires isUnused().
   void removeStore(int store);
 
-  // For connections.
+  // The functions below are for connections.
   runtime::Scheduler& scheduler() { return scheduler_; }
   const Limits& limits() const { return limits_; }
   std::size_t bufferedBytes() const;  // of all connections
-  // Is the request still to be written? Its statement may have ended while it waited for a
-  // connection.
+  // Whether the request is still to be written. Its statement may have ended while it was waiting
+  // for a connection.
   bool isStillWanted(const UpstreamRequest& request) const;
-  // May the request be written at this very moment? To be asked right before the write.
+  // Whether the request may be written now; records the time as its first write if so. To be called
+  // immediately before the write.
   bool maySend(UpstreamRequest& request);
-  // The next request for this connection, or none. Those that are not wanted any more end on the
-  // way.
+  // Assigns the next waiting request to this connection; null if there is none. Completes waiting
+  // requests that are no longer wanted.
   UpstreamRequest* nextRequest(UpstreamConnection& connection);
-  // The connection may be given requests until markBusy(), or until one fills it.
+  // The connection accepts requests until markBusy(), or until it carries the maximum number.
   void markReady(UpstreamConnection& connection);
   void markBusy(UpstreamConnection& connection);
-  // A request that wasn't written waits again, before all others.
+  // Puts a request that was not written back at the head of its pool's queue.
   void requeue(UpstreamRequest* request);
-  // Hands the request back to its owner.
+  // Ends the request: reports it to the owner with this outcome, then destroys it.
   void complete(UpstreamRequest* request, AttemptOutcome outcome);
 
  private:
@@ -87,12 +94,12 @@
   }
   std::unique_ptr<UpstreamRequest> release(UpstreamRequest* request);
   void openOrQueue(PoolKey key);
-  bool tryOpen(PoolKey key);  // false where no descriptor is left
+  bool tryOpen(PoolKey key);  // false if no descriptor is available
   bool hasDescriptor(PoolDemand demand);
   bool closeLongestIdle();
   void onDescriptorFreed();
-  void collectUnplaced(PoolKey key, std::vector<UpstreamRequest*>& unplaced);
-  void failUnplaced();
+  void collectExpired(PoolKey key, std::vector<UpstreamRequest*>& expired);
+  void failExpired();
   void failWaiting(UpstreamConnection& connection);
   runtime::Task<> watchQueue();
   runtime::Task<> run(std::unique_ptr<UpstreamConnection> owned);
@@ -107,7 +114,7 @@
   std::vector<UpstreamConnection*> connections_;
   DescriptorQueue queue_;
   bool isWatchingQueue_ = false;
-  std::uint64_t opened_ = 0;
+  std::uint64_t openedCount_ = 0;
   std::vector<std::unique_ptr<UpstreamRequest>> requests_;
 };
 
--- a/src/upstream/upstream_connection.h
+++ b/src/upstream/upstream_connection.h
@@ -1,5 +1,6 @@
-// A connection to one store in one protocol version. ConnectionPools creates it through the
-// protocol, hands it requests and owns it until end() has returned; each protocol implements it.
+// A connection to one store in one protocol version; implemented by each protocol. ConnectionPools
+// creates it through UpstreamProtocol, assigns requests to it, and owns it until end() has
+// returned.
 #pragma once
 
 #include <cstddef>
@@ -21,19 +22,20 @@
       : pools(owner), store(storeIndex), version(protocolVersion) {}
   virtual ~UpstreamConnection() = default;
 
-  // Does what comes before the first request; false where the connection can't be had by `until`.
-  virtual runtime::Task<bool> connect(TimePoint until) = 0;
-  // Carries requests until the connection is of no more use.
+  // Establishes the connection and performs the protocol's startup. Returns false if it isn't ready
+  // for requests by `deadline`.
+  virtual runtime::Task<bool> connect(TimePoint deadline) = 0;
+  // Carries requests until the connection can't be used any more.
   virtual runtime::Task<> serve() = 0;
-  // Closes, and completes all requests that are still on it, also where serve() has thrown.
+  // Closes the connection and completes all requests that are still on it, even if serve() threw.
   virtual runtime::Task<> end() = 0;
-  // Takes a request. Only called while the connection is marked ready.
+  // Accepts a request. Only called while the connection is marked ready.
   virtual void accept(UpstreamRequest* request) = 0;
-  // One of its requests is not wanted any more.
+  // The response to one of its requests is no longer needed.
   virtual void cancel(UpstreamRequest* request) = 0;
-  // Closes at once.
+  // Closes the connection immediately.
   virtual void close() = 0;
-  // Takes no new request, and closes when it has none.
+  // Accepts no further requests, and closes once the pending ones have ended.
   virtual void drain() {}
   virtual std::size_t requestCount() const = 0;
   virtual std::size_t bufferedBytes() const = 0;
@@ -41,8 +43,8 @@
   ConnectionPools& pools;
   const int store;
   const ProtocolVersion version;
-  TimePoint idleSince{};    // when its last request ended
-  bool isForProbe = false;  // made for a probe, and not ready since
+  TimePoint idleSince{};    // when the most recent request ended
+  bool isForProbe = false;  // opened for a probe and not ready yet
 };
 
 }  // namespace reedchute::upstream
--- a/src/upstream/upstream_protocol.h
+++ b/src/upstream/upstream_protocol.h
@@ -1,5 +1,5 @@
-// How stores are spoken to in one protocol version. Each protocol implements it; ConnectionPools
-// refers to it for as long as it exists.
+// Creates the connections to stores in one protocol version; implemented by each protocol. Not
+// owned by ConnectionPools, which it has to outlive.
 #pragma once
 
 #include <cstddef>
@@ -12,12 +12,12 @@
 class UpstreamProtocol {
  public:
   virtual ~UpstreamProtocol() = default;
-  // `fd`: a connection that was started, or -1 where it couldn't be.
+  // `fd`: a socket on which connect(2) was started, or -1 if none could be. The connection owns it.
   virtual std::unique_ptr<UpstreamConnection> createConnection(ConnectionPools& pools, int store,
                                                                ProtocolVersion version, int fd) = 0;
-  // Requests that one connection carries at a time.
+  // Maximum number of requests in flight on one connection.
   virtual std::size_t maxConcurrentRequests() const = 0;
-  // Drops what is known of a store, whose index may be another's from now on.
+  // Discards all state kept for a store, whose index may be reused for another one afterwards.
   virtual void removeStore(int /*store*/) {}
 };
 
