--- a/src/codec/http/response.cpp
+++ b/src/codec/http/response.cpp
@@ -9,7 +9,7 @@
 namespace reedchute::http {
 namespace {
 
-constexpr std::size_t kMaxHeadSize = 16 * 1024;  // bytes
+constexpr std::size_t kMaxHeadSize = 16 * 1024;  // bytes, also of the lines between chunks
 constexpr int kMaxInterimResponses = 8;
 constexpr std::size_t kStatusOffset = 9;  // in "HTTP/1.1 200 OK"
 constexpr std::size_t kStatusLength = 3;
@@ -29,25 +29,25 @@
 
 }  // namespace
 
-bool Response::fail(const char* why) {
-  state_ = State::bad;
-  why_ = why;
+bool Response::fail(const char* error) {
+  state_ = State::failed;
+  error_ = error;
   return false;
 }
 
 std::size_t Response::feed(std::string_view bytes) {
   std::string_view rest = bytes;
-  while (!rest.empty() && !whole() && !bad()) {
+  while (!rest.empty() && !isComplete() && !hasFailed()) {
     switch (state_) {
       case State::body:
         appendBody(rest);
-        if (state_ == State::body && bodyLeft_ == 0) state_ = State::whole;
+        if (state_ == State::body && bodyLeft_ == 0) state_ = State::complete;
         break;
       case State::chunkData:
         appendBody(rest);
         if (state_ == State::chunkData && bodyLeft_ == 0) state_ = State::chunkEnd;
         break;
-      case State::untilEnd:
+      case State::untilClose:
         bodyLeft_ = rest.size();
         appendBody(rest);
         break;
@@ -84,10 +84,10 @@
   if (readLine()) line_.clear();
 }
 
-void Response::ended(bool reset) {
-  if (whole() || bad()) return;
-  if (state_ == State::untilEnd && !reset)
-    state_ = State::whole;
+void Response::onConnectionClosed(bool reset) {
+  if (isComplete() || hasFailed()) return;
+  if (state_ == State::untilClose && !reset)
+    state_ = State::complete;
   else
     fail("the connection ended inside a response");
 }
@@ -104,7 +104,7 @@
       state_ = State::chunkSize;
       return true;
     case State::trailer:
-      if (line_.empty()) state_ = State::whole;
+      if (line_.empty()) state_ = State::complete;
       return true;
     default:
       return true;
@@ -115,7 +115,7 @@
   if (!hasStatus_) return readStatusLine();
   if (!line_.empty()) return readHeader();
   endHead();
-  return !bad();
+  return !hasFailed();
 }
 
 bool Response::readChunkSize() {
@@ -137,7 +137,7 @@
                     (line.size() == 12 || line[12] == ' ');
   if (!isResponse) return fail("no HTTP response");
   status_ = *status;
-  keepsOpen_ = line[7] != '0';
+  isKeptAlive_ = line[7] != '0';
   hasStatus_ = true;
   return true;
 }
@@ -154,8 +154,8 @@
   }
   if (name == "connection") {
     std::string options = lowerCase(value);
-    if (options.find("close") != std::string::npos) keepsOpen_ = false;
-    if (options.find("keep-alive") != std::string::npos) keepsOpen_ = true;
+    if (options.find("close") != std::string::npos) isKeptAlive_ = false;
+    if (options.find("keep-alive") != std::string::npos) isKeptAlive_ = true;
   }
   return true;
 }
@@ -182,14 +182,14 @@
     isChunked_ = false;
     hasLength_ = false;
   } else if (hasNoBody) {
-    state_ = State::whole;
+    state_ = State::complete;
   } else if (isChunked_) {
     state_ = State::chunkSize;
   } else if (hasLength_) {
-    state_ = bodyLeft_ == 0 ? State::whole : State::body;
+    state_ = bodyLeft_ == 0 ? State::complete : State::body;
   } else {
-    state_ = State::untilEnd;
-    keepsOpen_ = false;
+    state_ = State::untilClose;
+    isKeptAlive_ = false;
   }
 }
 
--- a/src/codec/http/response.h
+++ b/src/codec/http/response.h
@@ -1,5 +1,5 @@
-// An incremental reader of HTTP/1.1 responses: bodies by length, in chunks, or up to the end of the
-// connection. No I/O.
+// An incremental parser of HTTP/1.1 responses (RFC 9112). Bodies may be delimited by
+// Content-Length, chunked, or end with the connection. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -11,36 +11,46 @@
 
 class Response {
  public:
-  // `maxBody`: bytes that the body may have.
+  // `maxBody`: the maximum size of the body in bytes.
   explicit Response(std::size_t maxBody) : maxBody_(maxBody) {}
 
-  // Takes bytes and returns how many of them belong to this response.
+  // Parses `bytes` and returns how many of them belong to this response.
   std::size_t feed(std::string_view bytes);
-  // To be called when the connection has ended. That is a proper end only for a body without a
-  // length, and only if the connection was not reset.
-  void ended(bool reset);
+  // Must be called when the connection is closed. This completes only a body that is delimited by
+  // the end of the connection, and only if the connection was not reset.
+  void onConnectionClosed(bool reset);
 
-  bool whole() const { return state_ == State::whole; }
-  bool bad() const { return state_ == State::bad; }
-  const std::string& why() const { return why_; }  // where it is bad
+  bool isComplete() const { return state_ == State::complete; }
+  bool hasFailed() const { return state_ == State::failed; }
+  const std::string& error() const { return error_; }  // if it has failed
   int status() const { return status_; }
-  // Whether the connection may be used for another request.
-  bool keepsOpen() const { return keepsOpen_; }
+  // Whether the connection can be used for another request.
+  bool isKeptAlive() const { return isKeptAlive_; }
   const std::string& body() const { return body_; }
   std::string takeBody() { return std::move(body_); }
 
  private:
-  // What the next byte belongs to.
-  enum class State { head, body, chunkSize, chunkData, chunkEnd, trailer, untilEnd, whole, bad };
+  // The part of the response that the next byte belongs to.
+  enum class State {
+    head,
+    body,
+    chunkSize,
+    chunkData,
+    chunkEnd,
+    trailer,
+    untilClose,
+    complete,
+    failed
+  };
 
-  // These return false once the response is bad.
+  // These return false once the response is invalid.
   bool readLine();
   bool readHeadLine();
   bool readStatusLine();
   bool readHeader();
   bool readContentLength(std::string_view value);
   bool readChunkSize();
-  bool fail(const char* why);
+  bool fail(const char* error);
 
   void endHead();
   void appendBody(std::string_view& rest);
@@ -50,14 +60,14 @@
   State state_ = State::head;
   std::string line_;
   std::string body_;
-  std::string why_;
+  std::string error_;
   int status_ = 0;
   bool hasStatus_ = false;
   bool isChunked_ = false;
   bool hasLength_ = false;
-  bool keepsOpen_ = true;
-  std::uint64_t bodyLeft_ = 0;  // bytes of the body or the chunk
-  std::size_t headSize_ = 0;    // bytes of lines since the last body or chunk
+  bool isKeptAlive_ = true;
+  std::uint64_t bodyLeft_ = 0;  // of the body or the current chunk
+  std::size_t headSize_ = 0;    // bytes of header or chunk lines since the last chunk
   int interimCount_ = 0;
 };
 
--- a/src/codec/json/json.cpp
+++ b/src/codec/json/json.cpp
@@ -6,12 +6,12 @@
 namespace reedchute::json {
 namespace {
 
-constexpr std::size_t kMaxDepth = 64;    // arrays and objects in each other
-constexpr std::size_t kLongestWord = 5;  // characters
-constexpr int kHexDigits = 4;            // of a \u escape
+constexpr std::size_t kMaxDepth = 64;      // nesting of arrays and objects
+constexpr std::size_t kMaxWordLength = 5;  // characters of "false"
+constexpr int kHexDigits = 4;              // of a \u escape
 constexpr int kNoDigit = -1;
 
-// Half of a character beyond the basic plane, as two escapes write it.
+// Characters beyond the Basic Multilingual Plane are escaped as a pair of UTF-16 surrogates.
 bool isHighSurrogate(unsigned code) {
   return code >= 0xd800 && code < 0xdc00;
 }
@@ -45,7 +45,7 @@
   return isDigit(c) || c == '-' || c == '+' || c == '.' || c == 'e' || c == 'E';
 }
 
-// Reads over the parts of a number.
+// Skips over the parts of a number.
 class NumberScanner {
  public:
   explicit NumberScanner(std::string_view text) : text_(text) {}
@@ -56,7 +56,7 @@
     ++position_;
     return true;
   }
-  // False if there is not a single one.
+  // Returns false if there is no digit.
   bool skipDigits() {
     std::size_t begin = position_;
     while (!atEnd() && isDigit(text_[position_])) ++position_;
@@ -68,7 +68,7 @@
   std::size_t position_ = 0;
 };
 
-// JSON's form of a number, which is narrower than that of from_chars.
+// Whether `text` is a number in JSON syntax, which is stricter than that of std::from_chars.
 bool isWellFormedNumber(std::string_view text) {
   NumberScanner scanner(text);
   scanner.skip('-');
@@ -117,16 +117,16 @@
   return nullptr;
 }
 
-bool Reader::fail(const char* why) {
-  if (state_ != State::bad) why_ = why;
-  state_ = State::bad;
+bool Reader::fail(const char* error) {
+  if (state_ != State::failed) error_ = error;
+  state_ = State::failed;
   return false;
 }
 
 bool Reader::feed(std::string_view bytes) {
   for (char c : bytes)
     if (!step(c)) return false;
-  return state_ != State::bad;
+  return state_ != State::failed;
 }
 
 bool Reader::finish() {
@@ -148,7 +148,7 @@
       return stepNumber(c);
     case State::word:
       return stepWord(c);
-    case State::bad:
+    case State::failed:
       return false;
     default:
       return isBlank(c) || stepBetweenTokens(c);
@@ -220,7 +220,7 @@
 bool Reader::stepWord(char c) {
   if (!isWordCharacter(c)) return endWord() && step(c);
   token_.push_back(c);
-  return token_.size() <= kLongestWord || fail("an unknown word");
+  return token_.size() <= kMaxWordLength || fail("an unknown word");
 }
 
 bool Reader::stepFirstItem(char c) {
@@ -255,7 +255,8 @@
 
 bool Reader::beginValue(char c) {
   token_.clear();
-  // An empty array has two bytes in the text and fifty times as many here.
+  // The limit is on memory, not on the length of the text: an empty array is two bytes of text and
+  // fifty times as many in memory.
   usedBytes_ += sizeof(Level);
   if (usedBytes_ > maxBytes_) return fail("more values than memory allows");
   if (c == '{' || c == '[') {
@@ -325,7 +326,7 @@
   return addValue(std::move(value));
 }
 
-// Hands a whole value to the array or object that it stands in.
+// Adds a complete value to the array or object that contains it.
 bool Reader::addValue(Value value) {
   if (stack_.empty()) {
     root_ = std::move(value);
@@ -355,10 +356,10 @@
   appendUtf8(token_, isHalf ? kReplacementCharacter : code_);
 }
 
-bool parse(std::string_view text, Value& into, std::string& why, std::size_t maxBytes) {
+bool parse(std::string_view text, Value& into, std::string& error, std::size_t maxBytes) {
   Reader reader(maxBytes);
   bool isWhole = reader.feed(text) && reader.finish();
-  why = reader.why();
+  error = reader.error();
   if (isWhole) into = reader.take();
   return isWhole;
 }
--- a/src/codec/json/json.h
+++ b/src/codec/json/json.h
@@ -1,4 +1,5 @@
-// An incremental JSON reader: it is fed bytes as they arrive and builds one value. No I/O.
+// An incremental JSON parser (RFC 8259): it is fed bytes as they arrive and builds one value. No
+// I/O.
 #pragma once
 
 #include <cstdint>
@@ -9,16 +10,17 @@
 
 namespace reedchute::json {
 
+// A parsed JSON value. Only the fields of its kind are set.
 struct Value {
   enum class Kind { null, boolean, number, string, array, object };
   Kind kind = Kind::null;
   bool boolean = false;
   double number = 0;
-  std::string text;  // of a string; of a number, its characters in the input
+  std::string text;  // a string, or the characters of a number in the input
   std::vector<Value> items;
   std::vector<std::pair<std::string, Value>> members;
 
-  // Defined in json.cpp, as the members' type is complete only after this class.
+  // Defined in json.cpp, because Value is incomplete here as the type of its own members.
   Value();
   Value(const Value&);
   Value(Value&&) noexcept;
@@ -26,7 +28,7 @@
   Value& operator=(Value&&) noexcept;
   ~Value();
 
-  // The first member of this name; null if there is none.
+  // Returns the first member of this name, or null.
   const Value* find(std::string_view name) const;
   bool isString() const { return kind == Kind::string; }
   bool isNumber() const { return kind == Kind::number; }
@@ -34,18 +36,18 @@
 
 class Reader {
  public:
-  // `maxBytes`: memory that the values may take, however short their text.
+  // `maxBytes`: the maximum memory of the values, which may be much larger than their text.
   explicit Reader(std::size_t maxBytes = SIZE_MAX) : maxBytes_(maxBytes) {}
 
-  // False once the input can't be JSON any more; why() then tells the reason.
+  // Returns false once the input is invalid; error() then describes the reason.
   bool feed(std::string_view bytes);
-  // To be called at the end of the input: true if exactly one whole value was read.
+  // Must be called at the end of the input. Returns true if exactly one complete value was read.
   bool finish();
-  const std::string& why() const { return why_; }
+  const std::string& error() const { return error_; }
   Value take() { return std::move(root_); }
 
  private:
-  // What the next character belongs to.
+  // The token that the next character belongs to or begins.
   enum class State {
     value,
     firstItem,  // a value, or the end of an empty array
@@ -59,7 +61,7 @@
     number,
     word,
     done,
-    bad
+    failed
   };
   // An array or object that is not closed yet.
   struct Level {
@@ -67,7 +69,7 @@
     std::string name;  // of the member that is being read
   };
 
-  // One character. All return false once the input can't be JSON any more.
+  // These process one character and return false once the input is invalid.
   bool step(char c);
   bool stepString(char c);
   bool stepEscape(char c);
@@ -89,22 +91,23 @@
   bool endLevel();
   bool addValue(Value value);
   void addEscapedCode();
-  bool fail(const char* why);
+  bool fail(const char* error);
 
   std::size_t maxBytes_;
   std::size_t usedBytes_ = 0;
   State state_ = State::value;
   std::vector<Level> stack_;
-  std::string token_;  // the string, number or word that is being read
-  bool isName_ = false;
+  std::string token_;           // the current string, number or word (true, false, null)
+  bool isName_ = false;         // the current string is the name of a member
   unsigned code_ = 0;           // of a \u escape
-  unsigned highSurrogate_ = 0;  // of a pair whose second half is missing; 0: none
+  unsigned highSurrogate_ = 0;  // of a surrogate pair that is still incomplete; 0: none
   int hexDigits_ = 0;
   Value root_;
-  std::string why_;
+  std::string error_;
 };
 
-// Reads a whole text. False if it is no JSON; `why` then tells the reason.
-bool parse(std::string_view text, Value& into, std::string& why, std::size_t maxBytes = SIZE_MAX);
+// Parses a complete text into `into`. Returns false if it is invalid; `error` then describes the
+// reason.
+bool parse(std::string_view text, Value& into, std::string& error, std::size_t maxBytes = SIZE_MAX);
 
 }  // namespace reedchute::json
--- a/src/discovery/http_connection.cpp
+++ b/src/discovery/http_connection.cpp
@@ -8,9 +8,9 @@
 namespace reedchute::discovery {
 namespace {
 
-// Bytes of a response before others have their turn.
-constexpr std::size_t kMaxReadInARow = 64 * 1024;
-constexpr Duration kTurnForOthers{1};  // microseconds
+// The number of bytes of a response that are read before other coroutines run.
+constexpr std::size_t kMaxReadBeforeYield = 64 * 1024;
+constexpr Duration kYieldDelay{1};  // microseconds
 
 }  // namespace
 
@@ -24,32 +24,32 @@
 
 void HttpConnection::reset() {
   socket_.reset();
-  in_.clear();
+  input_.clear();
 }
 
-// The service may have closed the idle connection, or have written to it unasked.
+// The service may have closed the idle connection, or have sent data without a request.
 void HttpConnection::closeIfStale() {
   if (!isOpen()) return;
-  in_.clear();
-  runtime::Socket::ReadStatus got = socket_->read(in_, limits_.maxBodyBytes);
-  if (got != runtime::Socket::ReadStatus::noData) socket_->close();
+  input_.clear();
+  runtime::Socket::ReadStatus readStatus = socket_->read(input_, limits_.maxBodyBytes);
+  if (readStatus != runtime::Socket::ReadStatus::noData) socket_->close();
 }
 
 runtime::Task<bool> HttpConnection::connect(TimePoint until) {
-  in_.clear();
+  input_.clear();
   socket_.emplace(scheduler_, runtime::startConnect(address_));
   TimePoint connectBy = std::min(until, scheduler_.now() + limits_.connectTimeout);
-  bool isUp = co_await runtime::awaitConnected(*socket_, connectBy);
-  if (!isUp) log::line("discovery_unreachable", "what=\"no connection\"");
-  co_return isUp;
+  bool isConnected = co_await runtime::awaitConnected(*socket_, connectBy);
+  if (!isConnected) log::line("discovery_unreachable", "what=\"no connection\"");
+  co_return isConnected;
 }
 
 runtime::Task<std::optional<std::string>> HttpConnection::get(const std::string& path,
                                                               TimePoint until) {
   closeIfStale();
   if (!isOpen()) {
-    bool isUp = co_await connect(until);
-    if (!isUp) co_return std::nullopt;
+    bool isConnected = co_await connect(until);
+    if (!isConnected) co_return std::nullopt;
   }
   std::string request = "GET " + path + " HTTP/1.1\r\nHost: " + host_ +
                         "\r\nAccept: application/json\r\n\r\n";
@@ -58,40 +58,41 @@
   http::Response response(limits_.maxBodyBytes);
   bool hasEnded = co_await readResponse(response, path, until);
   if (!hasEnded) co_return std::nullopt;
-  if (response.whole() && !response.keepsOpen()) socket_->close();
-  if (!response.whole() || response.status() != 200) {
+  if (response.isComplete() && !response.isKeptAlive()) socket_->close();
+  if (!response.isComplete() || response.status() != 200) {
     log::line("discovery_invalid_response", "status=%d what=\"%s\"", response.status(),
-              response.why().c_str());
+              response.error().c_str());
     co_return std::nullopt;
   }
   co_return response.takeBody();
 }
 
-// Reads up to the end of the response, be it good or bad; false where the time came first.
+// Reads until the response is complete or invalid. Returns false if `until` came first or the
+// connection was closed by close().
 runtime::Task<bool> HttpConnection::readResponse(http::Response& response, const std::string& path,
                                                  TimePoint until) {
-  std::size_t readInARow = 0;
+  std::size_t readSinceYield = 0;
   for (;;) {
-    readInARow += in_.size();
-    in_.erase(0, response.feed(in_));
-    if (response.whole() || response.bad()) co_return true;
-    // A response without end, as fast as it can be read, would have this thread for itself and
-    // never be late.
-    if (readInARow > kMaxReadInARow) {
-      readInARow = 0;
-      co_await runtime::sleepUntil(scheduler_, scheduler_.now() + kTurnForOthers);
+    readSinceYield += input_.size();
+    input_.erase(0, response.feed(input_));
+    if (response.isComplete() || response.hasFailed()) co_return true;
+    // An endless response that arrives as fast as it is read would otherwise occupy the thread and
+    // never time out.
+    if (readSinceYield > kMaxReadBeforeYield) {
+      readSinceYield = 0;
+      co_await runtime::sleepUntil(scheduler_, scheduler_.now() + kYieldDelay);
     }
-    runtime::Socket::ReadStatus got = socket_->read(in_, kMaxReadInARow);
+    runtime::Socket::ReadStatus readStatus = socket_->read(input_, kMaxReadBeforeYield);
     if (!socket_->isOpen()) co_return false;  // close() was called meanwhile
-    if (got == runtime::Socket::ReadStatus::closed) {
-      response.ended(socket_->wasReset());
+    if (readStatus == runtime::Socket::ReadStatus::closed) {
+      response.onConnectionClosed(socket_->wasReset());
       co_return true;
     }
-    if (got == runtime::Socket::ReadStatus::data && scheduler_.now() < until) continue;
-    bool mayGoOn = false;
-    if (got == runtime::Socket::ReadStatus::noData)
-      mayGoOn = co_await socket_->readable.wait(until);
-    if (!mayGoOn) {
+    if (readStatus == runtime::Socket::ReadStatus::data && scheduler_.now() < until) continue;
+    bool isReadable = false;
+    if (readStatus == runtime::Socket::ReadStatus::noData)
+      isReadable = co_await socket_->readable.wait(until);
+    if (!isReadable) {
       log::line("discovery_timeout", "path=%s", path.c_str());
       co_return false;
     }
--- a/src/discovery/http_connection.h
+++ b/src/discovery/http_connection.h
@@ -1,5 +1,5 @@
-// GET requests to one HTTP service, one at a time, over one connection that is kept open between
-// them. Used by EndpointWatcher.
+// An HTTP client for GET requests to one service, one at a time, over a persistent connection. Used
+// by EndpointWatcher.
 #pragma once
 
 #include <netinet/in.h>
@@ -22,12 +22,12 @@
   HttpConnection(runtime::Scheduler& scheduler, sockaddr_in address, std::string host,
                  Limits limits);
 
-  // The body of a response with status 200, or nothing where none came by `until`; the log then
-  // says why. After a failure the connection is to be reset().
+  // Returns the body of a response with status 200, or nothing if none was received by `until`.
+  // Connection errors, timeouts and invalid responses are logged. After a failure, call reset().
   runtime::Task<std::optional<std::string>> get(const std::string& path, TimePoint until);
-  // Closes at once; a get() on the way fails.
+  // Closes the connection at once; a get() in flight fails.
   void close();
-  // Forgets the connection and what came on it; the next get() makes another.
+  // Drops the connection and the data received on it; the next get() opens another one.
   void reset();
 
  private:
@@ -42,7 +42,7 @@
   const std::string host_;
   const Limits limits_;
   std::optional<runtime::Socket> socket_;
-  std::string in_;  // read and not yet parsed
+  std::string input_;  // received, not parsed yet
 };
 
 }  // namespace reedchute::discovery
--- a/tests/codec/parsers_test.cpp
+++ b/tests/codec/parsers_test.cpp
@@ -60,7 +60,7 @@
   bool good = true;
   for (const std::string& part : parts) good = good && r.feed(part);
   good = good && r.finish();
-  return good ? shown(r.take()) : "bad: " + r.why();
+  return good ? shown(r.take()) : "bad: " + r.error();
 }
 
 void jsonReader() {
@@ -99,10 +99,10 @@
   http::Response r(64);
   std::size_t used = 0;
   for (const std::string& part : parts) used += r.feed(part);
-  if (!r.whole() && !r.bad()) r.ended(reset);
-  if (r.bad()) return "bad: " + r.why();
+  if (!r.isComplete() && !r.hasFailed()) r.onConnectionClosed(reset);
+  if (r.hasFailed()) return "bad: " + r.error();
   return std::to_string(r.status()) + " '" + r.body() + "' used " + std::to_string(used) +
-         (r.keepsOpen() ? ", stays open" : ", closes");
+         (r.isKeptAlive() ? ", stays open" : ", closes");
 }
 
 void httpReader() {
