--- a/src/discovery/endpoint_list.cpp
+++ b/src/discovery/endpoint_list.cpp
@@ -11,9 +11,9 @@
 namespace {
 
 constexpr double kMaxVersion = 1e15;
-constexpr double kMaxStartMs = 1e15;  // Unix time
+constexpr double kMaxStartMs = 1e15;  // Unix time in milliseconds
 
-const std::string* findText(const json::Value& entry, const char* name) {
+const std::string* findString(const json::Value& entry, const char* name) {
   const json::Value* field = entry.find(name);
   return field && field->isString() ? &field->text : nullptr;
 }
@@ -24,17 +24,17 @@
   return field->number;
 }
 
-std::optional<EndpointStatus> parseStatus(std::string_view word) {
-  if (word == "up") return EndpointStatus::up;
-  if (word == "draining") return EndpointStatus::draining;
-  if (word == "removed") return EndpointStatus::gone;
+std::optional<EndpointStatus> parseStatus(std::string_view state) {
+  if (state == "up") return EndpointStatus::up;
+  if (state == "draining") return EndpointStatus::draining;
+  if (state == "removed") return EndpointStatus::gone;
   return std::nullopt;
 }
 
 using ParseResult = std::optional<EndpointListError>;
 
 ParseResult parseStatus(const json::Value& entry, Endpoint& endpoint) {
-  const std::string* state = findText(entry, "state");
+  const std::string* state = findString(entry, "state");
   if (!state) return EndpointListError::noState;
   std::optional<EndpointStatus> status = parseStatus(*state);
   if (!status) return EndpointListError::unknownState;
@@ -43,15 +43,15 @@
 }
 
 ParseResult parseAddresses(const json::Value& entry, Endpoint& endpoint) {
-  const std::string* text = findText(entry, "addr");
+  const std::string* text = findString(entry, "addr");
   if (!text) return EndpointListError::noAddress;
   std::optional<sockaddr_in> address = runtime::parseAddress(*text);
   if (!address) return EndpointListError::malformedAddress;
   endpoint.address = *address;
-  // The platform itself gives no addresses for other protocols.
-  const json::Value* others = entry.find("addrs");
-  if (!others) return std::nullopt;
-  for (const auto& [protocol, value] : others->members) {
+  // Optional: the platform itself lists no addresses for other protocols.
+  const json::Value* otherAddresses = entry.find("addrs");
+  if (!otherAddresses) return std::nullopt;
+  for (const auto& [protocol, value] : otherAddresses->members) {
     std::optional<sockaddr_in> other = runtime::parseAddress(value.text);
     if (!other) return EndpointListError::malformedAddress;
     endpoint.otherAddresses.emplace_back(protocol, *other);
@@ -67,17 +67,17 @@
 }
 
 void parseOptionalFields(const json::Value& entry, Endpoint& endpoint) {
-  if (const std::string* zone = findText(entry, "zone")) endpoint.zone = *zone;
+  if (const std::string* zone = findString(entry, "zone")) endpoint.zone = *zone;
   if (std::optional<double> weight = findNumber(entry, "weight")) endpoint.weight = *weight;
   std::optional<double> startedMs = findNumber(entry, "started_ms");
   if (startedMs && *startedMs > 0 && *startedMs < kMaxStartMs)
     endpoint.startedMs = static_cast<std::int64_t>(*startedMs);
-  if (const std::string* access = findText(entry, "access"))
+  if (const std::string* access = findString(entry, "access"))
     endpoint.isPrimary = *access == "writer";
 }
 
 ParseResult parseEndpoint(const json::Value& entry, Endpoint& endpoint) {
-  const std::string* id = findText(entry, "id");
+  const std::string* id = findString(entry, "id");
   if (!id || id->empty()) return EndpointListError::noId;
   endpoint.id = *id;
   if (ParseResult error = parseStatus(entry, endpoint)) return error;
--- a/src/discovery/endpoint_list.h
+++ b/src/discovery/endpoint_list.h
@@ -1,4 +1,4 @@
-// The endpoint list as the discovery service words it, and its parser. No I/O.
+// The endpoint list as the discovery service sends it, and its parser. No I/O.
 #pragma once
 
 #include <netinet/in.h>
@@ -14,20 +14,20 @@
 
 namespace reedchute::discovery {
 
-// One store.
+// An entry of the list: one store.
 struct Endpoint {
   std::string id, zone;
   sockaddr_in address{};
-  // Where the store is spoken to in other protocols, by the protocol's name.
+  // The store's addresses for other protocols, by the name of the protocol.
   std::vector<std::pair<std::string, sockaddr_in>> otherAddresses;
   std::int64_t group = 0;
   EndpointStatus status = EndpointStatus::up;
   bool isPrimary = false;
   double weight = 1;
-  std::int64_t startedMs = 0;  // Unix time; 0: not given
+  std::int64_t startedMs = 0;  // Unix time in milliseconds; 0: not given
 };
 
-// The whole list, or the changes since an earlier version.
+// The full list, or the changes since an earlier version.
 struct EndpointList {
   std::int64_t version = 0;
   bool isFull = false;
@@ -45,10 +45,10 @@
   duplicateId,
 };
 
-// The error as log lines word it.
+// The text of the error for logs and error messages.
 const char* describe(EndpointListError error);
 
-// A list of which any part can't be read is refused as a whole.
+// Parses the JSON document of a list. If any part of it is invalid, the whole list is rejected.
 std::variant<EndpointList, EndpointListError> parseEndpointList(const json::Value& document);
 
 }  // namespace reedchute::discovery
--- a/src/discovery/endpoint_watcher.cpp
+++ b/src/discovery/endpoint_watcher.cpp
@@ -10,14 +10,14 @@
 namespace reedchute::discovery {
 namespace {
 
-constexpr std::int64_t kMaxWaitMs = 60'000;   // the service allows no more
-constexpr std::size_t kMaxValuesPerBody = 2;  // bytes of parsed values per byte of body
+constexpr std::int64_t kMaxWaitMs = 60'000;           // the limit of the service
+constexpr std::size_t kMaxValueBytesPerBodyByte = 2;  // bytes of parsed values per byte of body
 
 std::variant<EndpointList, std::string> parseBody(const std::string& body,
                                                   std::size_t maxValueBytes) {
   json::Value document;
-  std::string why;
-  if (!json::parse(body, document, why, maxValueBytes)) return why;
+  std::string parseError;
+  if (!json::parse(body, document, parseError, maxValueBytes)) return parseError;
   std::variant<EndpointList, EndpointListError> parsed = parseEndpointList(document);
   if (const auto* error = std::get_if<EndpointListError>(&parsed)) return describe(*error);
   return std::get<EndpointList>(std::move(parsed));
@@ -25,19 +25,19 @@
 
 }  // namespace
 
-// A discovery service that is called, and what is known of it.
+// A discovery service that is polled, and its state.
 struct EndpointWatcher::Service {
   Service(runtime::Scheduler& scheduler, sockaddr_in address, std::string host,
           HttpConnection::Limits limits)
-      : connection(scheduler, address, std::move(host), limits), wakes(scheduler) {}
+      : connection(scheduler, address, std::move(host), limits), wakeUp(scheduler) {}
 
   HttpConnection connection;
-  runtime::Event wakes;
+  runtime::Event wakeUp;
   std::int64_t version = 0;
-  bool isVersionKnown = false;  // `version` is of what this service has told
-  bool hasAnswered = false;
-  bool callsUnrequested = false;  // also on demand, it is called at once
-  bool answeredEarly = false;     // its last response had nothing new, and did not wait for it
+  bool isVersionKnown = false;  // `version` was sent by this service
+  bool hasResponded = false;
+  bool pollsAtOnce = false;     // the first poll doesn't wait for requestPoll()
+  bool respondedEarly = false;  // the last watch returned at once, without changes
 };
 
 EndpointWatcher::EndpointWatcher(runtime::Scheduler& scheduler, EndpointListener& listener,
@@ -66,47 +66,48 @@
 }
 
 void EndpointWatcher::requestPoll() {
-  service_->wakes.set();
+  service_->wakeUp.set();
 }
 
 void EndpointWatcher::abandon(ServicePtr& service) {
   service->connection.close();
-  service->wakes.set();
+  service->wakeUp.set();
   service.reset();
 }
 
-// What the former service has written counts as told, read or not: closed unread it would be lost,
-// and the new service may be slow to say it.
+// The former service is kept until the new one has responded: an update that it has already written
+// counts as known to this process, even if it isn't read yet. Closing the connection would lose the
+// update, and the new service may be slow to send it.
 void EndpointWatcher::setService(sockaddr_in address, std::string host) {
-  ServicePtr last = std::exchange(service_, makeService(address, std::move(host)));
-  if (last->hasAnswered || !former_) {
+  ServicePtr previous = std::exchange(service_, makeService(address, std::move(host)));
+  if (previous->hasResponded || !former_) {
     if (former_) abandon(former_);
-    former_ = last;
-    last->wakes.set();
+    former_ = previous;
+    previous->wakeUp.set();
   } else {
-    abandon(last);
+    abandon(previous);
   }
-  service_->callsUnrequested = true;
-  scheduler_.spawn(follow(service_));
+  service_->pollsAtOnce = true;
+  scheduler_.spawn(pollService(service_));
 }
 
 runtime::Task<> EndpointWatcher::run() {
-  co_await follow(service_);
+  co_await pollService(service_);
 }
 
-// Calls the service for as long as it is the current one, or the former one whose watch still
-// holds.
-runtime::Task<> EndpointWatcher::follow(ServicePtr service) {
-  int consecutiveFailures = timing_.isOnDemand && !service->callsUnrequested ? 1 : 0;
+// Polls the service for as long as it is the current one, or the former one and its watch
+// continues.
+runtime::Task<> EndpointWatcher::pollService(ServicePtr service) {
+  int consecutiveFailures = timing_.isOnDemand && !service->pollsAtOnce ? 1 : 0;
   while (service == service_) {
-    co_await waitBeforeCall(*service, consecutiveFailures);
+    co_await waitBeforePoll(*service, consecutiveFailures);
     if (service != service_) break;
-    // A watch goes on for as long as each next call follows the last response at once.
+    // The watch continues as long as each response is followed at once by the next poll.
     bool hasSucceeded = true;
     while (hasSucceeded) {
-      hasSucceeded = co_await call(*service);
+      hasSucceeded = co_await poll(*service);
       if (hasSucceeded) consecutiveFailures = 0;
-      if (hasSucceeded && service->answeredEarly)
+      if (hasSucceeded && service->respondedEarly)
         co_await runtime::sleepUntil(scheduler_, scheduler_.now() + timing_.retryDelay);
       if (!isCurrentOrFormer(*service)) co_return;
     }
@@ -115,62 +116,68 @@
   }
 }
 
-runtime::Task<> EndpointWatcher::waitBeforeCall(Service& service, int consecutiveFailures) {
+runtime::Task<> EndpointWatcher::waitBeforePoll(Service& service, int consecutiveFailures) {
   if (consecutiveFailures > 0 && timing_.isOnDemand) {
-    co_await service.wakes.wait();  // the decision engine says when to call again
+    co_await service.wakeUp.wait();  // the decision engine requests the next poll
     co_return;
   }
-  // A service that fails at once would be called in a loop. The first repetition is made at once,
-  // as a change may come in between and counts as told.
-  if (consecutiveFailures > 1) co_await service.wakes.wait(scheduler_.now() + timing_.retryDelay);
+  // The delay prevents a busy loop if the service fails immediately. The first retry isn't delayed,
+  // because a change that the service publishes meanwhile counts as known to this process.
+  if (consecutiveFailures > 1) co_await service.wakeUp.wait(scheduler_.now() + timing_.retryDelay);
 }
 
-// Fetches the whole list, or watches for changes where the version is known.
-runtime::Task<bool> EndpointWatcher::call(Service& service) {
-  const bool wantsWhole = !service.isVersionKnown;
+// Fetches the full list, or watches for changes if the version is known. Returns whether the
+// response was valid.
+runtime::Task<bool> EndpointWatcher::poll(Service& service) {
+  const bool requestsFullList = !service.isVersionKnown;
   const std::int64_t lastVersion = service.version;
-  const TimePoint begun = scheduler_.now();
-  std::int64_t waitMs = std::min(kMaxWaitMs, timing_.maxHold.us / 1000);
+  const TimePoint startTime = scheduler_.now();
+  std::int64_t waitMs = std::min(kMaxWaitMs, timing_.maxWatchTime.us / 1000);
   std::string path = "/catalog/members";
-  if (!wantsWhole)
+  if (!requestsFullList)
     path += "?index=" + std::to_string(lastVersion) + "&wait=" + std::to_string(waitMs);
-  // A watch that has fallen silent looks like one with nothing to tell. Where the list is pushed
-  // the whole of it comes from this machine at once; a service that many call may take its time.
-  bool answersAtOnce = wantsWhole && !timing_.isOnDemand;
-  Duration limit = answersAtOnce ? timing_.silence : timing_.maxHold + timing_.silence;
-  std::optional<std::string> body = co_await service.connection.get(path, begun + limit);
-  if (body && acceptList(service, *body, wantsWhole)) {
-    // A service that answers at once that there is nothing new would be called in a loop.
-    service.answeredEarly = !wantsWhole && service.version == lastVersion &&
-                            scheduler_.now() - begun < timing_.retryDelay;
+  // An unresponsive service can't be told from one without changes, so each poll has a timeout. If
+  // polls aren't on demand, the service is on this machine and sends the full list at once; a
+  // service that is shared by many clients may take longer.
+  bool expectsImmediateResponse = requestsFullList && !timing_.isOnDemand;
+  Duration timeout = expectsImmediateResponse ? timing_.responseGrace
+                                              : timing_.maxWatchTime + timing_.responseGrace;
+  std::optional<std::string> body = co_await service.connection.get(path, startTime + timeout);
+  if (body && acceptList(service, *body, requestsFullList)) {
+    // The next poll is then delayed: a service that responds at once without changes would
+    // otherwise be polled in a busy loop.
+    service.respondedEarly = !requestsFullList && service.version == lastVersion &&
+                             scheduler_.now() - startTime < timing_.retryDelay;
     co_return true;
   }
   service.connection.reset();
   co_return false;
 }
 
-// False where the response is of no use.
-bool EndpointWatcher::acceptList(Service& service, const std::string& body, bool askedForWhole) {
-  std::variant<EndpointList, std::string> parsed = parseBody(body,
-                                                             maxBodyBytes_ * kMaxValuesPerBody);
-  if (const auto* why = std::get_if<std::string>(&parsed)) {
-    log::line("discovery_invalid_response", "what=\"%s\"", why->c_str());
+// Returns false if the response is invalid or no longer relevant.
+bool EndpointWatcher::acceptList(Service& service, const std::string& body,
+                                 bool requestedFullList) {
+  std::variant<EndpointList, std::string> parsed = parseBody(
+      body, maxBodyBytes_ * kMaxValueBytesPerBodyByte);
+  if (const auto* parseError = std::get_if<std::string>(&parsed)) {
+    log::line("discovery_invalid_response", "what=\"%s\"", parseError->c_str());
     return false;
   }
   const auto& list = std::get<EndpointList>(parsed);
-  if (askedForWhole && !list.isFull) {
-    log::line("discovery_invalid_response", "what=\"changes where the whole list was asked for\"");
+  if (requestedFullList && !list.isFull) {
+    log::line("discovery_invalid_response",
+              "what=\"response with changes only, but the full list was requested\"");
     return false;
   }
-  // A call that was abandoned may have had its response already; that is not the word of the
-  // service called now.
+  // The response of an abandoned poll may already have been received. It is not applied, as it
+  // isn't from the current service.
   if (!isCurrentOrFormer(service)) return false;
-  bool isFirst = !service.hasAnswered;
-  service.hasAnswered = true;
+  bool isFirst = !service.hasResponded;
+  service.hasResponded = true;
   if (!list.isFull && list.version < service.version) {
     log::line("discovery_version_regressed", "version=%lld held=%lld",
               static_cast<long long>(list.version), static_cast<long long>(service.version));
-    service.isVersionKnown = false;  // the service has started anew: the whole list is fetched
+    service.isVersionKnown = false;  // the service has restarted: fetch the full list
     return true;
   }
   service.version = list.version;
--- a/src/discovery/endpoint_watcher.h
+++ b/src/discovery/endpoint_watcher.h
@@ -1,5 +1,6 @@
-// Keeps the endpoint list up to date: fetches it whole from the discovery service, then watches for
-// changes over one connection. The proxy owns the watcher, runs run() and is told of each list.
+// Keeps the endpoint list up to date: fetches the full list from the discovery service, then
+// watches for changes by long polls over one connection. The proxy owns the watcher, runs run() and
+// is notified of each list.
 #pragma once
 
 #include <cstdint>
@@ -15,33 +16,37 @@
  public:
   virtual ~EndpointListener() = default;
   virtual void onEndpointsChanged(const EndpointList& list) = 0;
-  // A call that requestPoll() asked for has failed.
+  // A poll that was requested by requestPoll() has failed.
   virtual void onPollFailed() = 0;
 };
 
 class EndpointWatcher {
  public:
   struct Timing {
-    Duration maxHold;         // that a watch may be held by the service
-    Duration silence;         // beyond that, before a call without a response is made anew
+    Duration maxWatchTime;    // for which the service may hold back the response to a watch
+    Duration responseGrace;   // beyond that, until a poll without a response is retried
     Duration connectTimeout;  // of the connection to the service
-    Duration retryDelay;      // between two calls where the last ones failed
-    bool isOnDemand;          // called only after requestPoll()
+    Duration retryDelay;      // between polls after repeated failures
+    bool isOnDemand;          // polls only after requestPoll()
   };
 
-  // `knownVersion`: of the list that is known already. On demand, where each call is work for a
-  // service that many call, the list is watched from there on; else the whole of it comes first.
+  // `host` is the value of the HTTP Host header. `knownVersion`: the version of the endpoint list
+  // in the configuration. If polls are on demand, where each poll loads a service that is shared by
+  // many clients, changes since that version are watched; otherwise the full list is fetched first.
+  // `maxBodyBytes`: the maximum size of a response body.
   EndpointWatcher(runtime::Scheduler& scheduler, EndpointListener& listener, sockaddr_in address,
                   std::string host, std::int64_t knownVersion, Timing timing,
                   std::size_t maxBodyBytes);
   ~EndpointWatcher();
 
+  // Watches the service given to the constructor. Must be spawned once; setService() spawns the
+  // watch of the new service itself.
   runtime::Task<> run();
-  // The service is at another address from now on, and the whole list is fetched from there. Until
-  // it has come, what the former service says still counts. A version counts only where it came
-  // from.
+  // Switches to a service at another address and fetches the full list from there, as versions are
+  // valid only at the service that assigned them. Until that list arrives, the responses of the
+  // former service are still applied.
   void setService(sockaddr_in address, std::string host);
-  // On demand: asks for the next call.
+  // Requests the next poll, if polls are on demand.
   void requestPoll();
 
  private:
@@ -50,10 +55,10 @@
 
   ServicePtr makeService(sockaddr_in address, std::string host) const;
   bool isCurrentOrFormer(const Service& service) const;
-  runtime::Task<> follow(ServicePtr service);
-  runtime::Task<> waitBeforeCall(Service& service, int consecutiveFailures);
-  runtime::Task<bool> call(Service& service);
-  bool acceptList(Service& service, const std::string& body, bool askedForWhole);
+  runtime::Task<> pollService(ServicePtr service);
+  runtime::Task<> waitBeforePoll(Service& service, int consecutiveFailures);
+  runtime::Task<bool> poll(Service& service);
+  bool acceptList(Service& service, const std::string& body, bool requestedFullList);
   void abandon(ServicePtr& service);
 
   runtime::Scheduler& scheduler_;
@@ -61,7 +66,7 @@
   const Timing timing_;
   const std::size_t maxBodyBytes_;
   ServicePtr service_;
-  ServicePtr former_;  // until the new service has answered
+  ServicePtr former_;  // set until the new service has responded
 };
 
 }  // namespace reedchute::discovery
--- a/src/proxy/resource_limits.cpp
+++ b/src/proxy/resource_limits.cpp
@@ -5,29 +5,29 @@
 namespace reedchute::proxy {
 namespace {
 
-// Descriptors.
-constexpr std::size_t kReservedDescriptors = 24;  // for discovery, signals, the log and the like
-constexpr std::size_t kUpstreamDivisor = 3;       // of the rest, a third is for stores
-constexpr std::size_t kIdleClientDivisor = 6;     // of all, a sixth for idle clients
+// Descriptors, of those that the process may open.
+constexpr std::size_t kReservedDescriptors = 24;  // discovery, signals, the log and the like
+constexpr std::size_t kUpstreamDivisor = 3;       // a third of the rest is for stores
+constexpr std::size_t kIdleClientDivisor = 6;     // a sixth of all is for idle clients
 
-// Memory, as divisors of what is allowed.
-constexpr std::size_t kClientMemoryDivisor = 4;    // buffers of clients
-constexpr std::size_t kUpstreamMemoryDivisor = 4;  // responses on their way from stores
+// Memory budgets, as divisors of Config::maxMemory.
+constexpr std::size_t kClientMemoryDivisor = 4;    // buffers of client connections
+constexpr std::size_t kUpstreamMemoryDivisor = 4;  // responses being received from stores
 constexpr std::size_t kRowMemoryDivisor = 32;      // one row of a response
 constexpr std::size_t kStatementMemoryDivisor = 2;
 constexpr std::size_t kListMemoryDivisor = 16;
 
-// Time-outs of clients, in connect time-outs.
-constexpr double kFirstByteGrace = 0.1;
+// Client timeouts, as multiples of the connect timeout.
+constexpr double kFirstRequestGrace = 0.1;
 constexpr double kMessageTimeout = 6;
 constexpr double kIdleTimeout = 8;
 
-// Discovery, as parts of the time after which an unread list counts as known.
-constexpr double kWatchPart = 2.0 / 5;
-constexpr double kSilencePart = 1.0 / 6;
-// Discovery, as parts of the grace of a drain.
-constexpr double kConnectPart = 2.0 / 5;
-constexpr double kRetryPart = 1.0 / 5;
+// Discovery, as shares of EngineSettings::endpointsAssumedKnownAfter.
+constexpr double kMaxWatchShare = 2.0 / 5;
+constexpr double kResponseGraceShare = 1.0 / 6;
+// Discovery, as shares of EngineSettings::drainGrace.
+constexpr double kConnectTimeoutShare = 2.0 / 5;
+constexpr double kRetryDelayShare = 1.0 / 5;
 
 }  // namespace
 
@@ -57,7 +57,7 @@
       .maxSessions = connections,
       .linger = unit,
       .writeProgressTimeout = config.keepalive,
-      .firstRequestGrace = unit * kFirstByteGrace,
+      .firstRequestGrace = unit * kFirstRequestGrace,
       .messageTimeout = unit * kMessageTimeout,
       .idleTimeout = unit * kIdleTimeout,
       .maxIdle = shareOf(config.maxDescriptors / kIdleClientDivisor),
@@ -67,13 +67,14 @@
 
 discovery::EndpointWatcher::Timing discoveryTiming(const EngineSettings& settings) {
   Duration connect = settings.connectTimeout;
-  if (!settings.pollsEndpoints) connect = std::min(connect, settings.drainGrace * kConnectPart);
+  if (!settings.pollsEndpoints)
+    connect = std::min(connect, settings.drainGrace * kConnectTimeoutShare);
   return {
-      .maxHold = std::min(settings.maxPollInterval,
-                          settings.endpointsAssumedKnownAfter * kWatchPart),
-      .silence = settings.endpointsAssumedKnownAfter * kSilencePart,
+      .maxWatchTime = std::min(settings.maxPollInterval,
+                               settings.endpointsAssumedKnownAfter * kMaxWatchShare),
+      .responseGrace = settings.endpointsAssumedKnownAfter * kResponseGraceShare,
       .connectTimeout = connect,
-      .retryDelay = std::min(settings.connectTimeout, settings.drainGrace) * kRetryPart,
+      .retryDelay = std::min(settings.connectTimeout, settings.drainGrace) * kRetryDelayShare,
       .isOnDemand = settings.pollsEndpoints,
   };
 }
--- a/src/proxy/resource_limits.h
+++ b/src/proxy/resource_limits.h
@@ -1,5 +1,5 @@
-// How the process's descriptors, memory and time-outs are shared among its parts. Pure functions of
-// the configuration.
+// Divides the descriptors and memory of the process among its components, and derives their
+// timeouts. Pure functions of the configuration.
 #pragma once
 
 #include <cstddef>
@@ -13,20 +13,21 @@
 
 upstream::ConnectionPools::Limits upstreamLimits(const config::Config& config);
 
-// Client connections that the process may hold, of all protocols together.
+// The maximum number of client connections of all protocols together.
 std::size_t clientCapacity(const config::Config& config);
 
-// The limits for one protocol's clients, which may hold `connections` of the `capacity` connections
-// of all protocols.
+// The limits for the clients of one protocol, which may use `connections` of the `capacity` client
+// connections of the process.
 client::ClientConnections::Limits clientLimits(const config::Config& config, std::size_t capacity,
                                                std::size_t connections);
 
+// The timeouts and delays of polls of the discovery service.
 discovery::EndpointWatcher::Timing discoveryTiming(const EngineSettings& settings);
 
-// Bytes that an endpoint list may have as it is received.
+// The maximum size in bytes of an endpoint list as received.
 std::size_t endpointListMemory(const config::Config& config);
 
-// Bytes that open statements may take together.
+// The maximum memory in bytes of all open statements together.
 std::size_t statementMemory(const config::Config& config);
 
 }  // namespace reedchute::proxy
