--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -22,33 +22,34 @@
 
 using Kind = json::Value::Kind;
 
-constexpr std::size_t kLeastMemory = 16u << 20;  // bytes
-constexpr std::size_t kMostMemory = 1u << 30;    // bytes
-constexpr std::size_t kLeastDescriptors = 64;
+constexpr std::size_t kMinMemory = 16u << 20;  // bytes
+constexpr std::size_t kMaxMemory = 1u << 30;   // bytes
+constexpr std::size_t kMinDescriptors = 64;
 constexpr double kBytesPerMegabyte = 1048576;
 
-const json::Value& need(const json::Value& object, const char* name, Kind kind) {
+const json::Value& require(const json::Value& object, const char* name, Kind kind) {
   const json::Value* value = object.find(name);
   if (!value || value->kind != kind)
     throw InvalidInput(std::string("the configuration has no proper '") + name + "'");
   return *value;
 }
 
-const std::string& needText(const json::Value& object, const char* name) {
-  return need(object, name, Kind::string).text;
+const std::string& requireString(const json::Value& object, const char* name) {
+  return require(object, name, Kind::string).text;
 }
 
-sockaddr_in needAddress(const json::Value& object, const char* name, bool allowsPortZero) {
-  auto address = runtime::parseAddress(needText(object, name), allowsPortZero);
+sockaddr_in requireAddress(const json::Value& object, const char* name, bool allowsPortZero) {
+  auto address = runtime::parseAddress(requireString(object, name), allowsPortZero);
   if (!address) throw InvalidInput(std::string("the configuration's '") + name + "' is no address");
   return *address;
 }
 
 json::Value parseObject(const std::string& text) {
   json::Value object;
-  std::string why;
-  if (!json::parse(text, object, why)) throw InvalidInput("the configuration is no JSON: " + why);
-  if (object.kind != Kind::object) throw InvalidInput("the configuration is no JSON object");
+  std::string parseError;
+  if (!json::parse(text, object, parseError))
+    throw InvalidInput("the configuration is no JSON: " + parseError);
+  if (object.kind != Kind::object) throw InvalidInput("the configuration must be a JSON object");
   return object;
 }
 
@@ -66,12 +67,13 @@
   return std::get<discovery::EndpointList>(std::move(parsed));
 }
 
-// The smaller of what the configuration states and what the process may really hold.
+// Each limit is the smaller of the configured value and what the process can use: RLIMIT_NOFILE for
+// descriptors, kMaxMemory for memory.
 void readLimits(const json::Value& object, Config& config) {
   rlimit limit{};
   getrlimit(RLIMIT_NOFILE, &limit);
   config.maxDescriptors = static_cast<std::size_t>(limit.rlim_cur);
-  config.maxMemory = kMostMemory;
+  config.maxMemory = kMaxMemory;
   if (const json::Value* limits = object.find("limits")) {
     const json::Value* sockets = limits->find("sockets");
     if (sockets && sockets->isNumber())
@@ -80,21 +82,21 @@
     const json::Value* megabytes = limits->find("memory_mb");
     if (megabytes && megabytes->isNumber())
       config.maxMemory = static_cast<std::size_t>(
-          std::clamp(megabytes->number * kBytesPerMegabyte, 0.0, double{kMostMemory}));
+          std::clamp(megabytes->number * kBytesPerMegabyte, 0.0, double{kMaxMemory}));
   }
-  if (config.maxMemory < kLeastMemory) throw InvalidInput("less than 16 MB of memory is allowed");
-  if (config.maxDescriptors < kLeastDescriptors)
+  if (config.maxMemory < kMinMemory) throw InvalidInput("limits.memory_mb must be at least 16");
+  if (config.maxDescriptors < kMinDescriptors)
     throw InvalidInput("fewer than 64 sockets are allowed");
 }
 
 void addLedger(Config& config, const Section& file, const std::vector<Section>& blocks) {
-  if (blocks.size() > 1) file.fail("ledger", "stands twice");
+  if (blocks.size() > 1) file.fail("ledger", "may be given only once");
   if (!blocks.empty()) config.ledger = ledger::usageRecorderConfigFrom(blocks.front(), config.name);
 }
 
 void addCassandra(Config& config, const Section& file, const std::vector<Section>& blocks,
                   const std::string& path) {
-  if (blocks.size() > 1) file.fail("cassandra", "stands twice");
+  if (blocks.size() > 1) file.fail("cassandra", "may be given only once");
   if (blocks.empty()) return;
   config.cassandra = protocols::cassandra::parseConfig(blocks.front());
   for (const protocols::cassandra::Mapping& mapping : config.cassandra->mappings)
@@ -123,13 +125,13 @@
 Config parseConfig(const std::string& text) {
   json::Value object = parseObject(text);
   Config config;
-  config.name = needText(object, "name");
-  config.listenAddress = needAddress(object, "listen", true);
-  config.discoveryAddress = needAddress(object, "discovery", false);
-  config.discoveryHost = needText(object, "discovery");
-  std::uint64_t seed = parseSeed(needText(object, "seed"));
-  config.knownEndpoints = parseKnownEndpoints(need(object, "known", Kind::object));
-  config.platformSettings.add("", need(object, "settings", Kind::object));
+  config.name = requireString(object, "name");
+  config.listenAddress = requireAddress(object, "listen", true);
+  config.discoveryAddress = requireAddress(object, "discovery", false);
+  config.discoveryHost = requireString(object, "discovery");
+  std::uint64_t seed = parseSeed(requireString(object, "seed"));
+  config.knownEndpoints = parseKnownEndpoints(require(object, "known", Kind::object));
+  config.platformSettings.add("", require(object, "settings", Kind::object));
   config.engineSettings = engineSettingsFrom(config.platformSettings, seed, config.names);
   config.engineSettings.listedStartsNeedProof = true;
   config.keepalive = Duration{config.platformSettings.integer("limits.keepalive")};
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -1,5 +1,5 @@
-// The configuration of a proxy process: what the file that LB_CONFIG names holds, and what the HCL
-// file of our own settings adds to it.
+// The configuration of a proxy process: the platform's JSON file, which LB_CONFIG names, and the
+// optional HCL file with reedchute's own settings.
 #pragma once
 
 #include <netinet/in.h>
@@ -19,11 +19,11 @@
 namespace reedchute::config {
 
 struct Config {
-  std::string path;  // of the file that it was read from
+  std::string path;  // the file that it was read from
   std::string name;
   sockaddr_in listenAddress{};
   sockaddr_in discoveryAddress{};
-  std::string discoveryHost;  // the same address as text
+  std::string discoveryHost;  // discoveryAddress as text
   std::size_t maxDescriptors = 0;
   std::size_t maxMemory = 0;  // bytes
   discovery::EndpointList knownEndpoints;
@@ -31,22 +31,22 @@
   Names names;
   EngineSettings engineSettings;
   Duration keepalive;
-  // From the HCL file, if there is one.
+  // Set only if the HCL file configures them.
   std::optional<protocols::cassandra::Config> cassandra;
   std::optional<protocols::cassandra::TableMapping> tableMapping;
   std::optional<ledger::UsageRecorderConfig> ledger;
 };
 
 // Reads the file at `path`. Throws InvalidInput if it is missing or invalid, and std::system_error
-// if it can't be opened at the moment.
+// if it can't be opened for a temporary reason.
 Config loadConfig(const char* path);
-// Throws InvalidInput.
+// Parses the text of the JSON file. Throws InvalidInput.
 Config parseConfig(const std::string& text);
 
-// Adds the settings of an HCL file. Throws InvalidInput with file and line.
+// Adds the settings of the HCL file at `path`. Throws InvalidInput with file and line.
 void addSettings(Config& config, const std::string& path);
 
-// The fields that differ and that only a restart can change.
+// Returns the names of the fields that differ and that can be changed only by a restart.
 std::vector<const char*> fieldsNeedingRestart(const Config& current, const Config& next);
 
 }  // namespace reedchute::config
--- a/src/config/engine_settings.cpp
+++ b/src/config/engine_settings.cpp
@@ -16,13 +16,13 @@
 const WordTable<Scope> kScopes = {
     {"all", Scope::everywhere}, {"zone", Scope::zone}, {"cell", Scope::group}};
 
-constexpr std::int64_t kMostWorkloads = 10'000;
+constexpr std::int64_t kMaxWorkloads = 10'000;
 
 std::string elementPath(const char* list, std::int64_t index) {
   return std::string(list) + "." + std::to_string(index) + ".";
 }
 
-// Whether an optional setting is there and has this text.
+// Whether an optional setting is present and has this text.
 bool hasText(const PlatformSettings& platform, const char* path, std::string_view text) {
   const std::string* value = platform.find(path);
   return value && *value == text;
@@ -33,9 +33,10 @@
 }
 
 void readWorkload(const PlatformSettings& platform, const std::string& path, Workload& workload) {
-  workload.effect = parseWord(kEffects, platform.need(path + "repeat"), "classes[].repeat");
+  workload.effect = parseWord(kEffects, platform.require(path + "repeat"), "classes[].repeat");
   if (workload.effect == Effect::deduplicated) {
-    workload.scope = parseWord(kScopes, platform.need(path + "key_scope"), "classes[].key_scope");
+    workload.scope = parseWord(kScopes, platform.require(path + "key_scope"),
+                               "classes[].key_scope");
     workload.deduplicationWindow = durationAt(platform, path + "repeat_window");
   }
   workload.slo = durationAt(platform, path + "slo");
@@ -47,11 +48,11 @@
   std::vector<std::string> levels = platform.list("extra.read_level");
   std::vector<std::string> bounds = platform.list("extra.lag_allowed");
   std::int64_t count = platform.integer("classes.count");
-  if (count < 1 || count > kMostWorkloads || levels.size() != static_cast<std::size_t>(count))
+  if (count < 1 || count > kMaxWorkloads || levels.size() != static_cast<std::size_t>(count))
     throw InvalidInput("extra.read_level must name a level for each of the classes");
   for (std::size_t k = 0; k < levels.size(); ++k) {
     std::string path = elementPath("classes", static_cast<std::int64_t>(k));
-    names.workloads.push_back(platform.need(path + "name"));
+    names.workloads.push_back(platform.require(path + "name"));
     Workload workload;
     workload.level = parseWord(kLevels, levels[k], "extra.read_level");
     if (k < bounds.size())
@@ -67,7 +68,7 @@
   std::int64_t count = platform.integer("realms.count", 0);
   for (std::int64_t k = 0; k < count; ++k) {
     std::string path = elementPath("realms", k);
-    names.tenants.push_back(platform.need(path + "name"));
+    names.tenants.push_back(platform.require(path + "name"));
     settings.tenants.push_back({platform.number(path + "quota_per_s", 0)});
   }
   settings.overQuotaImportance = platform.number("over_share_worth", 1);
@@ -82,7 +83,7 @@
 }
 
 void readStoreBehaviour(const PlatformSettings& platform, EngineSettings& settings) {
-  settings.pollsEndpoints = platform.need("membership_mode") == "subscribe";
+  settings.pollsEndpoints = platform.require("membership_mode") == "subscribe";
   settings.removalMeansDrained = !platform.boolean("obligations.dropped_stay_open", false);
   settings.endpointRolesAreCurrent = hasText(platform, "extra.role_in_list", "trailing");
   settings.storesRejectStaleReads = platform.find("extra.checks") &&
--- a/src/config/engine_settings.h
+++ b/src/config/engine_settings.h
@@ -1,5 +1,5 @@
-// Translates the platform's settings into the decision engine's, for the proxy and the simulator's
-// adapter alike. The platform's own names and words end here.
+// Translates the platform's settings into those of the decision engine, for both the proxy and the
+// simulator's adapter. The engine doesn't know the platform's names of settings and values.
 #pragma once
 
 #include <cstdint>
@@ -13,11 +13,12 @@
 
 namespace reedchute {
 
-// Words of an outer format and the values that they stand for.
+// Maps the words of an external format to values.
 template <class T>
 using WordTable = std::vector<std::pair<std::string_view, T>>;
 
-// The value of `word`. Throws InvalidInput, which names `what` is unknown.
+// Returns the value of `word`. Throws InvalidInput if it is unknown; the message names `what`, the
+// setting or field.
 template <class T>
 T parseWord(const WordTable<T>& table, std::string_view word, const char* what) {
   for (const auto& [name, value] : table)
@@ -26,21 +27,21 @@
                      "'");
 }
 
-// The names in the platform's settings, by the indices that the engine has for them.
+// The names in the platform's settings, by the indices that the engine uses for them.
 struct Names {
   std::vector<std::string> workloads;
   std::vector<std::string> tenants;
   std::vector<std::string> zones;
-  // For each workload that was added to the platform's own: the one that it was made from, or -1.
+  // For each workload that was added to the platform's own: the workload it was copied from, or -1.
   std::vector<int> templateOf;
   // By workload: whether its statements carry an idempotency key.
   std::vector<bool> deduplicated;
 };
 
-// The index of `name`, or -1.
+// Returns the index of `name`, or -1.
 int indexOf(const std::vector<std::string>& names, std::string_view name);
 
-// Reads all settings of the engine, and fills `names`. Throws InvalidInput.
+// Reads all settings of the engine and fills `names`. Throws InvalidInput.
 EngineSettings engineSettingsFrom(const PlatformSettings& platform, std::uint64_t seed,
                                   Names& names);
 
--- a/src/config/hcl_reader/main.go
+++ b/src/config/hcl_reader/main.go
@@ -1,6 +1,6 @@
-// reedchute-hcl reads a file of settings in HCL, by HashiCorp's library, and writes it as JSON with the line of each
-// attribute and block. What can't be read is told on standard error as file:line: text, and the exit is 1. What
-// names are allowed is not its concern.
+// reedchute-hcl parses an HCL settings file with HashiCorp's library and prints it as JSON with the line of each
+// attribute and block. Errors are printed to standard error as file:line: text, and the exit status is 1. Names of
+// attributes and blocks are not checked here.
 package main
 
 import (
@@ -72,7 +72,7 @@
 
 func main() {
 	if len(os.Args) != 2 {
-		fmt.Fprintln(os.Stderr, "reedchute-hcl FILE")
+		fmt.Fprintln(os.Stderr, "usage: reedchute-hcl FILE")
 		os.Exit(2)
 	}
 	text, err := os.ReadFile(os.Args[1])
--- a/src/config/hcl_settings.cpp
+++ b/src/config/hcl_settings.cpp
@@ -11,7 +11,7 @@
 namespace reedchute::config {
 namespace {
 
-constexpr std::size_t kMostOutput = 1 << 20;  // bytes
+constexpr std::size_t kMaxOutput = 1 << 20;  // bytes
 
 std::string kindName(json::Value::Kind kind) {
   static constexpr const char* kNames[] = {"null",   "a boolean", "a number",
@@ -46,7 +46,7 @@
   return block;
 }
 
-// The reader program, which stands in the folder of the program that runs.
+// The path of reedchute-hcl, which is installed in the folder of the running program.
 std::string readerPath() {
   char path[4096];
   ssize_t length = readlink("/proc/self/exe", path, sizeof path);
@@ -54,8 +54,8 @@
   return self.substr(0, self.rfind('/') + 1) + "reedchute-hcl";
 }
 
-// Starts `program` with both its streams written to the pipe, whose writing end is closed here.
-// Returns the process, or -1.
+// Starts `program` with its stdout and stderr redirected to the pipe, and closes the write end
+// here. Returns the process id, or -1.
 pid_t startProgram(const std::string& program, const std::string& argument, const int (&pipe)[2]) {
   posix_spawn_file_actions_t actions;
   posix_spawn_file_actions_init(&actions);
@@ -72,7 +72,7 @@
   return error == 0 ? child : -1;
 }
 
-// Everything up to the end of the stream; what is beyond kMostOutput is dropped.
+// Reads until the end of the stream; output beyond about kMaxOutput is dropped.
 std::string readToEnd(int fd) {
   std::string text;
   char part[4096];
@@ -80,23 +80,23 @@
     ssize_t length = read(fd, part, sizeof part);
     if (length < 0 && errno == EINTR) continue;
     if (length <= 0) return text;
-    if (text.size() < kMostOutput) text.append(part, static_cast<std::size_t>(length));
+    if (text.size() < kMaxOutput) text.append(part, static_cast<std::size_t>(length));
   }
 }
 
 struct ProgramResult {
-  std::string output;  // of both its streams
+  std::string output;  // of stdout and stderr
   bool succeeded = false;
 };
 
 ProgramResult runProgram(const std::string& program, const std::string& argument) {
   int pipeEnds[2];
-  if (pipe(pipeEnds) < 0) throw InvalidInput("no pipe to read settings by");
+  if (pipe(pipeEnds) < 0) throw InvalidInput("can't create a pipe to read the settings");
   pid_t child = startProgram(program, argument, pipeEnds);
   ProgramResult result;
   if (child >= 0) result.output = readToEnd(pipeEnds[0]);
   close(pipeEnds[0]);
-  if (child < 0) throw InvalidInput("settings can't be read without " + program);
+  if (child < 0) throw InvalidInput("can't start the parser of settings: " + program);
   int status = 0;
   while (waitpid(child, &status, 0) < 0 && errno == EINTR) {
   }
@@ -112,18 +112,20 @@
 
 Block parseBlock(const std::string& path, const std::string& text) {
   json::Value value;
-  std::string why;
-  if (!json::parse(text, value, why))
-    throw InvalidInput(position(path, 0) + "what the reader of settings wrote is no JSON: " + why);
+  std::string parseError;
+  if (!json::parse(text, value, parseError))
+    throw InvalidInput(position(path, 0) +
+                       "the output of reedchute-hcl is not valid JSON: " + parseError);
   return blockFrom(value);
 }
 
 Block readBlockFile(const std::string& path) {
   ProgramResult result = runProgram(readerPath(), path);
   if (result.succeeded) return parseBlock(path, result.output);
-  // The first error is enough, and stands in one line.
+  // Only the first error is reported; it is one line.
   std::string error = result.output.substr(0, result.output.find('\n'));
-  throw InvalidInput(error.empty() ? position(path, 0) + "the reader of settings failed" : error);
+  throw InvalidInput(
+      error.empty() ? position(path, 0) + "reedchute-hcl failed without an error message" : error);
 }
 
 const Attribute* Section::find(std::string_view name) const {
@@ -132,10 +134,10 @@
   return nullptr;
 }
 
-void Section::fail(std::string_view name, std::string_view why) const {
+void Section::fail(std::string_view name, std::string_view problem) const {
   const Attribute* attribute = find(name);
   int line = attribute ? attribute->line : block_.line;
-  throw InvalidInput(position(file_, line) + "'" + std::string(name) + "' " + std::string(why));
+  throw InvalidInput(position(file_, line) + "'" + std::string(name) + "' " + std::string(problem));
 }
 
 const Attribute* Section::lookUp(std::string_view name) {
@@ -143,43 +145,42 @@
   return find(name);
 }
 
-const Attribute& Section::need(std::string_view name) {
+const Attribute& Section::require(std::string_view name) {
   const Attribute* attribute = lookUp(name);
   if (!attribute) fail(name, "is missing");
   return *attribute;
 }
 
 std::string Section::text(std::string_view name) {
-  const Attribute& attribute = need(name);
+  const Attribute& attribute = require(name);
   if (!attribute.value.isString())
     fail(name, "must be a text and is " + kindName(attribute.value.kind));
   return attribute.value.text;
 }
 
-std::string Section::text(std::string_view name, std::string otherwise) {
-  return lookUp(name) ? text(name) : std::move(otherwise);
+std::string Section::text(std::string_view name, std::string defaultValue) {
+  return lookUp(name) ? text(name) : std::move(defaultValue);
 }
 
-std::int64_t Section::number(std::string_view name, std::int64_t least, std::int64_t most) {
-  const Attribute& attribute = need(name);
+std::int64_t Section::number(std::string_view name, std::int64_t min, std::int64_t max) {
+  const Attribute& attribute = require(name);
   if (!attribute.value.isNumber())
     fail(name, "must be a number and is " + kindName(attribute.value.kind));
   double value = attribute.value.number;
   bool isWhole = value == std::floor(value);
-  if (!isWhole || value < static_cast<double>(least) || value > static_cast<double>(most))
-    fail(name,
-         "must be a whole number from " + std::to_string(least) + " to " + std::to_string(most));
+  if (!isWhole || value < static_cast<double>(min) || value > static_cast<double>(max))
+    fail(name, "must be a whole number from " + std::to_string(min) + " to " + std::to_string(max));
   return static_cast<std::int64_t>(value);
 }
 
-std::int64_t Section::number(std::string_view name, std::int64_t least, std::int64_t most,
-                             std::int64_t otherwise) {
-  return lookUp(name) ? number(name, least, most) : otherwise;
+std::int64_t Section::number(std::string_view name, std::int64_t min, std::int64_t max,
+                             std::int64_t defaultValue) {
+  return lookUp(name) ? number(name, min, max) : defaultValue;
 }
 
-bool Section::boolean(std::string_view name, bool otherwise) {
+bool Section::boolean(std::string_view name, bool defaultValue) {
   const Attribute* attribute = lookUp(name);
-  if (!attribute) return otherwise;
+  if (!attribute) return defaultValue;
   if (attribute->value.kind != json::Value::Kind::boolean)
     fail(name, "must be true or false and is " + kindName(attribute->value.kind));
   return attribute->value.boolean;
@@ -197,7 +198,7 @@
 std::vector<std::string> Section::texts(std::string_view name) {
   std::vector<std::string> texts;
   for (const json::Value& item : items(name)) {
-    if (!item.isString()) fail(name, "must hold texts and holds " + kindName(item.kind));
+    if (!item.isString()) fail(name, "must be a list of texts and contains " + kindName(item.kind));
     texts.push_back(item.text);
   }
   return texts;
@@ -207,7 +208,7 @@
   std::vector<std::int64_t> numbers;
   for (const json::Value& item : items(name)) {
     if (!item.isNumber() || item.number != std::floor(item.number))
-      fail(name, "must hold whole numbers");
+      fail(name, "must be a list of whole numbers");
     numbers.push_back(static_cast<std::int64_t>(item.number));
   }
   return numbers;
--- a/src/config/hcl_settings.h
+++ b/src/config/hcl_settings.h
@@ -1,6 +1,6 @@
-// Our own settings, in HCL. A program of its own, reedchute-hcl, reads the file with HashiCorp's
-// library and writes JSON; here the blocks are checked against what each part of the proxy asks
-// for. Every error is an InvalidInput whose text begins with file:line.
+// Reads reedchute's own settings, in HCL. The separate program reedchute-hcl parses the file with
+// HashiCorp's library and prints it as JSON; each component of the proxy then reads its blocks with
+// the typed readers below. Every error is an InvalidInput whose text begins with file:line.
 #pragma once
 
 #include <cstdint>
@@ -29,41 +29,43 @@
   std::vector<Block> blocks;
 };
 
-// The whole file as a block without a type. Blocks until the reader program has ended.
+// Reads the file and returns it as a block without a type. Blocks until reedchute-hcl has exited.
 Block readBlockFile(const std::string& path);
-// The same from the reader program's output.
+// Parses the output of reedchute-hcl for the file at `path`.
 Block parseBlock(const std::string& path, const std::string& text);
 
-// Typed reading of one block, which has to outlive it. It notes which names were read, so that
-// requireAllRead() can refuse the others as unknown. The readers throw where a value has the wrong
-// form; those without a default also where it is absent.
+// Typed access to one block, which must outlive the section. It records which names were read, so
+// that requireAllRead() can reject the others as unknown. The readers throw InvalidInput if a value
+// has the wrong type; those without a default also if it is absent.
 class Section {
  public:
   Section(std::string file, const Block& block) : file_(std::move(file)), block_(block) {}
 
   bool has(std::string_view name) const { return find(name) != nullptr; }
   std::string text(std::string_view name);
-  std::string text(std::string_view name, std::string otherwise);
-  // A whole number from `least` to `most`, both included.
-  std::int64_t number(std::string_view name, std::int64_t least, std::int64_t most);
-  std::int64_t number(std::string_view name, std::int64_t least, std::int64_t most,
-                      std::int64_t otherwise);
-  bool boolean(std::string_view name, bool otherwise);
-  // Lists; empty where they are absent.
+  std::string text(std::string_view name, std::string defaultValue);
+  // An integer from `min` to `max`, both included.
+  std::int64_t number(std::string_view name, std::int64_t min, std::int64_t max);
+  std::int64_t number(std::string_view name, std::int64_t min, std::int64_t max,
+                      std::int64_t defaultValue);
+  bool boolean(std::string_view name, bool defaultValue);
+  // Lists; empty if absent.
   std::vector<std::string> texts(std::string_view name);
   std::vector<std::int64_t> numbers(std::string_view name);
   std::vector<Section> blocks(std::string_view type);
 
-  // Throws for the first attribute or block that nothing has read.
+  // Throws InvalidInput for the first attribute or block that was not read.
   void requireAllRead() const;
-  // Throws InvalidInput with the line of `name`, or of the block where it is absent.
-  [[noreturn]] void fail(std::string_view name, std::string_view why) const;
+  // Throws InvalidInput "file:line: 'name' problem" with the line of `name`, or of the block if
+  // `name` is absent.
+  [[noreturn]] void fail(std::string_view name, std::string_view problem) const;
   int line() const { return block_.line; }
 
  private:
   const Attribute* find(std::string_view name) const;
+  // Like find(), and records `name` as read.
   const Attribute* lookUp(std::string_view name);
-  const Attribute& need(std::string_view name);
+  const Attribute& require(std::string_view name);
   const std::vector<json::Value>& items(std::string_view name);
 
   std::string file_;
--- a/src/config/platform_settings.cpp
+++ b/src/config/platform_settings.cpp
@@ -5,9 +5,9 @@
 namespace reedchute {
 namespace {
 
-// Leaves room for sums of a few values.
-constexpr std::int64_t kMostInteger = INT64_MAX / 8;
-constexpr const char* kAbsent = "-";  // stands for a setting without a value
+// Small enough that sums of a few values don't overflow.
+constexpr std::int64_t kMaxInteger = INT64_MAX / 8;
+constexpr const char* kAbsent = "-";  // the value of a setting that is not set
 
 std::string scalarText(const json::Value& value) {
   using Kind = json::Value::Kind;
@@ -80,33 +80,33 @@
   return &it->second;
 }
 
-const std::string& PlatformSettings::need(const std::string& path) const {
+const std::string& PlatformSettings::require(const std::string& path) const {
   const std::string* value = find(path);
   if (!value || value->empty()) throw InvalidInput("the setting " + path + " is missing");
   return *value;
 }
 
 double PlatformSettings::number(const std::string& path) const {
-  return numberFrom(need(path), path.c_str());
+  return numberFrom(require(path), path.c_str());
 }
 
-double PlatformSettings::number(const std::string& path, double otherwise) const {
-  return find(path) ? number(path) : otherwise;
+double PlatformSettings::number(const std::string& path, double defaultValue) const {
+  return find(path) ? number(path) : defaultValue;
 }
 
 std::int64_t PlatformSettings::integer(const std::string& path) const {
-  auto value = integerFrom<std::int64_t>(need(path), path.c_str());
-  if (value < -kMostInteger || value > kMostInteger) badValue(path.c_str(), need(path));
+  auto value = integerFrom<std::int64_t>(require(path), path.c_str());
+  if (value < -kMaxInteger || value > kMaxInteger) badValue(path.c_str(), require(path));
   return value;
 }
 
-std::int64_t PlatformSettings::integer(const std::string& path, std::int64_t otherwise) const {
-  return find(path) ? integer(path) : otherwise;
+std::int64_t PlatformSettings::integer(const std::string& path, std::int64_t defaultValue) const {
+  return find(path) ? integer(path) : defaultValue;
 }
 
-bool PlatformSettings::boolean(const std::string& path, bool otherwise) const {
+bool PlatformSettings::boolean(const std::string& path, bool defaultValue) const {
   const std::string* value = find(path);
-  if (!value) return otherwise;
+  if (!value) return defaultValue;
   if (*value == "true" || *value == "1") return true;
   if (*value == "false" || *value == "0") return false;
   badValue(path.c_str(), *value);
--- a/src/config/platform_settings.h
+++ b/src/config/platform_settings.h
@@ -1,6 +1,7 @@
-// The platform's settings as texts by their paths, such as classes.0.name. Both the simulator's
-// start line and the proxy's configuration are brought into this form. Also the readers of single
-// values and the error that all reading of outer input throws.
+// The platform's settings as a map from paths, such as classes.0.name, to texts. Both the
+// simulator's start line and the proxy's configuration file are converted to this form. Also
+// defines the parsers of single values, and the error that is thrown for any invalid external
+// input.
 #pragma once
 
 #include <cstdint>
@@ -15,18 +16,18 @@
 
 namespace reedchute {
 
-// An input that can't be used. Its text is one plain line for the operator.
+// An invalid input. The message is one line for the operator.
 struct InvalidInput : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-// Throws InvalidInput, naming `what` and the beginning of `text`.
+// Throws InvalidInput with a message that names `what` and the beginning of `text`.
 [[noreturn]] void badValue(const char* what, std::string_view text);
 
-// `text` as a finite number. Throws InvalidInput.
+// Parses `text` as a finite number. Throws InvalidInput.
 double numberFrom(std::string_view text, const char* what);
 
-// `text` as a whole number of type T. Throws InvalidInput.
+// Parses `text` as an integer of type T. Throws InvalidInput.
 template <class T>
 T integerFrom(std::string_view text, const char* what, int base = 10) {
   auto value = parseNumber<T>(text, base);
@@ -34,26 +35,26 @@
   return *value;
 }
 
-// All readers throw InvalidInput, naming the path, where a value has the wrong form, and those
-// without a default also where it is absent.
+// All readers throw InvalidInput, naming the path, if a value has the wrong type; those without a
+// default also if it is absent.
 class PlatformSettings {
  public:
-  void add(std::string_view pair);  // path=value
+  void add(std::string_view pair);  // "path=value"
   void set(const std::string& path, std::string value) { values_[path] = std::move(value); }
-  // Adds a JSON value. An object's members are appended to the path; an array of plain values is
-  // joined by commas; an array of objects gets its length under .count, and its items under .0, .1
-  // and so on.
+  // Adds a JSON value at `path`. The names of an object's members are appended to the path. An
+  // array of scalars is joined by commas. An array of objects is stored as its length under .count
+  // and its items under .0, .1 and so on.
   void add(const std::string& path, const json::Value& value);
 
-  // Null where the setting is absent.
+  // Null if the setting is absent.
   const std::string* find(const std::string& path) const;
-  const std::string& need(const std::string& path) const;
+  const std::string& require(const std::string& path) const;
   double number(const std::string& path) const;
-  double number(const std::string& path, double otherwise) const;
+  double number(const std::string& path, double defaultValue) const;
   std::int64_t integer(const std::string& path) const;
-  std::int64_t integer(const std::string& path, std::int64_t otherwise) const;
-  bool boolean(const std::string& path, bool otherwise) const;
-  std::vector<std::string> list(const std::string& path) const;  // empty where it is absent
+  std::int64_t integer(const std::string& path, std::int64_t defaultValue) const;
+  bool boolean(const std::string& path, bool defaultValue) const;
+  std::vector<std::string> list(const std::string& path) const;  // empty if absent
   bool operator==(const PlatformSettings&) const = default;
 
  private:
