--- a/src/base/id_index.h
+++ b/src/base/id_index.h
@@ -1,5 +1,5 @@
-// Maps ids from outside to small dense indices, in order of first sight; released indices are used
-// again.
+// Maps external ids to small dense indices, in the order in which the ids are added. Released
+// indices are reused.
 #pragma once
 
 #include <unordered_map>
@@ -10,43 +10,45 @@
 template <class Id>
 class IdIndex {
  public:
-  // The index of `id`, or -1.
+  // Returns the index of `id`, or -1.
   int find(const Id& id) const {
     auto it = map_.find(id);
     return it == map_.end() ? -1 : it->second;
   }
 
+  // Returns the index of `id`, and assigns one if it has none.
   int add(const Id& id) {
     if (int known = find(id); known >= 0) return known;
-    int ix;
+    int index;
     if (free_.empty()) {
-      ix = static_cast<int>(ids_.size());
+      index = static_cast<int>(ids_.size());
       ids_.push_back(id);
     } else {
-      ix = free_.back();
+      index = free_.back();
       free_.pop_back();
-      ids_[static_cast<std::size_t>(ix)] = id;
+      ids_[static_cast<std::size_t>(index)] = id;
     }
-    map_.emplace(id, ix);
-    return ix;
+    map_.emplace(id, index);
+    return index;
   }
 
-  void release(int ix) {
-    map_.erase(ids_[static_cast<std::size_t>(ix)]);
-    ids_[static_cast<std::size_t>(ix)] = {};
-    free_.push_back(ix);
+  // Removes the id of `index`, which may then be assigned to another id.
+  void release(int index) {
+    map_.erase(ids_[static_cast<std::size_t>(index)]);
+    ids_[static_cast<std::size_t>(index)] = {};
+    free_.push_back(index);
   }
 
   std::size_t size() const { return map_.size(); }
 
-  // Each index in use, in order.
-  template <class Do>
-  void each(Do act) const {
+  // Calls `callback` with each index in use, in ascending order.
+  template <class Callback>
+  void forEach(Callback callback) const {
     for (std::size_t k = 0; k < ids_.size(); ++k)
-      if (find(ids_[k]) == static_cast<int>(k)) act(static_cast<int>(k));
+      if (find(ids_[k]) == static_cast<int>(k)) callback(static_cast<int>(k));
   }
 
-  const Id& id(int ix) const { return ids_[static_cast<std::size_t>(ix)]; }
+  const Id& id(int index) const { return ids_[static_cast<std::size_t>(index)]; }
 
  private:
   std::unordered_map<Id, int> map_;
--- a/src/base/parse_number.h
+++ b/src/base/parse_number.h
@@ -1,5 +1,4 @@
-// A whole text as a number: nothing where it is empty, out of range, or has anything before or
-// behind it.
+// Parses a text that consists of one number and nothing else.
 #pragma once
 
 #include <charconv>
@@ -9,15 +8,17 @@
 
 namespace reedchute {
 
+// Returns nothing if `text` is empty, out of range, or has other characters before or after the
+// number. `base` applies to integers only.
 template <class T>
 std::optional<T> parseNumber(std::string_view text, [[maybe_unused]] int base = 10) {
   T value{};
-  std::from_chars_result read;
+  std::from_chars_result result;
   if constexpr (std::is_floating_point_v<T>)
-    read = std::from_chars(text.data(), text.data() + text.size(), value);
+    result = std::from_chars(text.data(), text.data() + text.size(), value);
   else
-    read = std::from_chars(text.data(), text.data() + text.size(), value, base);
-  if (read.ec != std::errc{} || read.ptr != text.data() + text.size()) return std::nullopt;
+    result = std::from_chars(text.data(), text.data() + text.size(), value, base);
+  if (result.ec != std::errc{} || result.ptr != text.data() + text.size()) return std::nullopt;
   return value;
 }
 
--- a/src/base/time.h
+++ b/src/base/time.h
@@ -1,5 +1,5 @@
-// Points in time, spans of time and moments of the wall clock, in microseconds: three types, so
-// that none is taken for another.
+// Durations, points in time of the monotonic clock, and times of the wall clock, in microseconds.
+// They are separate types so that they can't be confused.
 #pragma once
 
 #include <compare>
@@ -22,6 +22,7 @@
   constexpr double seconds() const { return static_cast<double>(us) / 1e6; }
 };
 
+// A time of the monotonic clock.
 struct TimePoint {
   std::int64_t us = 0;
 
@@ -31,8 +32,8 @@
   constexpr Duration operator-(TimePoint o) const { return {us - o.us}; }
 };
 
-// A moment as the world names it, in Unix time. The wall clock may be set at any time, so nothing
-// is timed by it: what a protocol tells in it is brought to the monotonic clock first
+// A time of the wall clock, in Unix time. The wall clock may be set at any moment, so it isn't used
+// for timing: wall-clock times that a protocol carries are first converted to the monotonic clock
 // (runtime/wall_clock.h).
 struct WallTime {
   std::int64_t us = 0;
@@ -43,7 +44,8 @@
   constexpr Duration operator-(WallTime o) const { return {us - o.us}; }
 };
 
-// Earlier than anything a clock shows, and far enough from the type's end to be subtracted from.
+// Earlier and later than any time of the clock, and far enough from the limits of the type that
+// differences and sums with durations don't overflow.
 inline constexpr TimePoint kNever{INT64_MIN / 4};
 inline constexpr TimePoint kForever{INT64_MAX / 4};
 
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -12,9 +12,9 @@
 namespace reedchute::log {
 namespace {
 
-constexpr int kMaxEvents = 64;               // distinct names; the rest share the last limiter
-constexpr int kMaxLinesPerSecond = 10;       // of one event
-constexpr std::size_t kMaxLineLength = 480;  // bytes of fields
+constexpr int kMaxEvents = 64;          // distinct event names; all others share the last limiter
+constexpr int kMaxLinesPerSecond = 10;  // per event
+constexpr std::size_t kMaxLineLength = 480;  // bytes of fields; longer text is truncated
 
 struct EventLimiter {
   const char* event = nullptr;
@@ -22,7 +22,8 @@
   int written = 0;
   std::uint64_t suppressed = 0;
 
-  // Counts one line in `now`, a time in seconds: as written, or as suppressed.
+  // Counts one line at `now`, in seconds. Returns whether to write it; otherwise it counts as
+  // suppressed.
   bool admit(std::int64_t now) {
     if (now != second) {
       second = now;
@@ -62,7 +63,7 @@
 void setNonBlocking() {
   struct stat status {};
   if (fstat(STDERR_FILENO, &status) < 0) return;
-  // A terminal or file stays as it is: its flags may be shared with other programs.
+  // The flags of a terminal or file are left unchanged, as they may be shared with other programs.
   if (!S_ISFIFO(status.st_mode) && !S_ISSOCK(status.st_mode)) return;
   fcntl(STDERR_FILENO, F_SETFL, fcntl(STDERR_FILENO, F_GETFL) | O_NONBLOCK);
 }
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -1,5 +1,5 @@
-// The one way to the log: a line an event on standard error, rate-limited by the event's name. For
-// one thread.
+// The log: one line per event on standard error, rate-limited by event name. Must be used from one
+// thread only.
 #pragma once
 
 #include <cstdint>
@@ -9,23 +9,25 @@
 
 namespace reedchute::log {
 
-// From now on lines that a full pipe can't take are lost, so that a reader of the log that stands
-// still doesn't block the process.
+// Makes standard error non-blocking if it is a pipe or socket. Lines that don't fit into a full
+// pipe are then lost, so that a stalled reader of the log can't block the process.
 void setNonBlocking();
 
-// Sets the time by which lines are stamped and limited. Called once a round.
+// Sets the time used for timestamps and rate limits. Called once per scheduler round.
 void setTime(WallTime now);
 
-// Writes "<ms> <event> <fields>". Only so many lines a second are written of one event; the next
-// line tells how many were suppressed. `event` must be a literal, as its text is kept by pointer.
+// Writes "<ms> <event> <fields>", where <ms> is Unix time in milliseconds. The number of lines per
+// second and event is limited; the next line of the event that is written states in left_out= how
+// many were suppressed. `event` must be a string literal, because the pointer is kept.
 [[gnu::format(printf, 2, 3)]] void line(const char* event, const char* format, ...);
 
-// For the %llu of a format.
+// Converts a count for %llu in a format.
 inline unsigned long long printable(std::uint64_t count) {
   return count;
 }
 
-// Writes a line for each event of which lines were suppressed since its last line.
+// Writes a line with left_out= for each event that had lines suppressed since its last written
+// line.
 void flushSuppressed();
 
 }  // namespace reedchute::log
--- a/src/proxy/endpoint_registry.cpp
+++ b/src/proxy/endpoint_registry.cpp
@@ -5,8 +5,8 @@
 namespace reedchute::proxy {
 namespace {
 
-constexpr double kSweepInterval = 0.5;    // keepalives
-constexpr double kAbsentRetention = 2.0;  // keepalives
+constexpr double kRemovalCheckInterval = 0.5;  // keepalives
+constexpr double kAbsentRetention = 2.0;       // keepalives
 
 const char* nameOf(EndpointStatus status) {
   switch (status) {
@@ -24,11 +24,12 @@
 void EndpointRegistry::apply(const discovery::EndpointList& list, bool polled) {
   TimePoint now = scheduler_.now();
   engine_.beginSnapshot(list.isFull);
-  // A store that a full list leaves out is absent; applyEntry() takes back those that it names.
-  if (list.isFull) ids_.stores.each([&](int store) { absentSince_.try_emplace(store, now); });
+  // Stores missing from a full list are absent. All are marked here, and applyEntry() unmarks those
+  // that the list contains.
+  if (list.isFull) ids_.stores.forEach([&](int store) { absentSince_.try_emplace(store, now); });
   for (const discovery::Endpoint& endpoint : list.endpoints) applyEntry(endpoint, now);
   engine_.endSnapshot(polled);
-  withdrawUnlisted(list, now);
+  drainUnavailableStores(list, now);
   rounds_.request();
 }
 
@@ -45,8 +46,8 @@
   info.primary = endpoint.isPrimary;
   info.weight = endpoint.weight;
   if (endpoint.startedMs > 0)
-    info.started = takeStart(info.store, WallTime{endpoint.startedMs * 1000});
-  placeInPools(info.store, endpoint);
+    info.started = recordListedStart(info.store, WallTime{endpoint.startedMs * 1000});
+  setPoolAddresses(info.store, endpoint);
   engine_.addEndpoint(info, now);
   guard_.onEndpointListed(info.store, info.group, info.zone, info.listed, now);
   log::line("endpoint", "store=%d id=%s group=%lld state=%s primary=%d started_ms=%lld", info.store,
@@ -54,7 +55,7 @@
             endpoint.isPrimary, static_cast<long long>(endpoint.startedMs));
 }
 
-void EndpointRegistry::placeInPools(int store, const discovery::Endpoint& endpoint) {
+void EndpointRegistry::setPoolAddresses(int store, const discovery::Endpoint& endpoint) {
   for (const auto& protocol : protocols_) {
     std::optional<sockaddr_in> address = protocol->upstreamAddress(endpoint);
     if (!address) continue;
@@ -63,7 +64,7 @@
   }
 }
 
-void EndpointRegistry::withdrawUnlisted(const discovery::EndpointList& list, TimePoint now) {
+void EndpointRegistry::drainUnavailableStores(const discovery::EndpointList& list, TimePoint now) {
   for (const discovery::Endpoint& endpoint : list.endpoints)
     if (endpoint.status != EndpointStatus::up) pools_.drainStore(ids_.stores.find(endpoint.id));
   if (!config_.engineSettings.removalMeansDrained) return;
@@ -74,20 +75,23 @@
   }
 }
 
-// Starts are told apart by the list's own times: converted again after the wall clock was set, the
-// same start would look like another.
-std::optional<TimePoint> EndpointRegistry::takeStart(int store, WallTime listed) {
-  WallTime& last = lastStarts_[store];
+// Returns the start time if it is later than the last one listed for the store. The listed
+// wall-clock times are compared, not the converted ones: after the wall clock is set, the same
+// start would convert to a different monotonic time and look like another restart.
+std::optional<TimePoint> EndpointRegistry::recordListedStart(int store, WallTime listed) {
+  WallTime& last = lastListedStarts_[store];
   if (listed <= last) return std::nullopt;
   last = listed;
   return scheduler_.wallClock().toSteady(listed);
 }
 
-// The list may drop a running store by mistake, so its state is kept for a while; but not for ever,
-// as it would pile up where stores are always new.
+// The endpoint list may drop a running store by mistake, so the state of an absent store is kept
+// for a while. It isn't kept forever, because it would accumulate where stores are replaced all the
+// time.
 runtime::Task<> EndpointRegistry::removeExpired() {
   for (;;) {
-    co_await runtime::sleepUntil(scheduler_, scheduler_.now() + config_.keepalive * kSweepInterval);
+    co_await runtime::sleepUntil(scheduler_,
+                                 scheduler_.now() + config_.keepalive * kRemovalCheckInterval);
     if (!config_.engineSettings.removalMeansDrained) continue;
     std::erase_if(absentSince_, [&](const auto& entry) {
       if (!mayRemove(entry.first, entry.second)) return false;
@@ -108,7 +112,7 @@
   guard_.forget(store);
   pools_.removeStore(store);
   ids_.stores.release(store);
-  lastStarts_.erase(store);
+  lastListedStarts_.erase(store);
 }
 
 }  // namespace reedchute::proxy
--- a/src/proxy/endpoint_registry.h
+++ b/src/proxy/endpoint_registry.h
@@ -1,6 +1,6 @@
-// Applies endpoint lists: gives stores and groups their indices, passes each entry on to the
+// Applies endpoint lists: assigns indices to stores and groups, passes each entry on to the
 // decision engine, the attempt guard and the connection pools, and removes stores that have been
-// absent for long.
+// absent from the endpoint list for long.
 #pragma once
 
 #include <cstdint>
@@ -21,7 +21,8 @@
 
 namespace reedchute::proxy {
 
-// The parts that endpoint lists are passed on to, and those that keep a store from removal.
+// The components that endpoint lists are passed on to, and those that can still use a store and
+// thereby defer its removal.
 struct EndpointConsumers {
   runtime::Scheduler& scheduler;
   DecisionEngine& engine;
@@ -33,7 +34,7 @@
 
 class EndpointRegistry {
  public:
-  // `ids` gets the indices. Everything is borrowed and has to outlive the registry.
+  // Indices are assigned in `ids`. All arguments must outlive the registry.
   EndpointRegistry(const EndpointConsumers& consumers, const config::Config& config,
                    EndpointIds& ids, const Protocols& protocols)
       : scheduler_(consumers.scheduler),
@@ -46,20 +47,20 @@
         ids_(ids),
         protocols_(protocols) {}
 
-  // `polled`: whether the list comes from the discovery service, rather than from the
-  // configuration.
+  // Applies a full list, or the changes since the last one. `polled`: whether the list was sent by
+  // the discovery service, rather than read from the configuration.
   void apply(const discovery::EndpointList& list, bool polled);
-  // Removes absent stores periodically, for as long as the process runs.
+  // Periodically removes stores that have been absent for long and are unused. Never returns.
   runtime::Task<> removeExpired();
 
-  // Stores that the endpoint list has dropped and that are not removed yet.
+  // The number of stores that are no longer in the endpoint list but not yet removed here.
   std::size_t absentCount() const { return absentSince_.size(); }
 
  private:
   void applyEntry(const discovery::Endpoint& endpoint, TimePoint now);
-  void placeInPools(int store, const discovery::Endpoint& endpoint);
-  void withdrawUnlisted(const discovery::EndpointList& list, TimePoint now);
-  std::optional<TimePoint> takeStart(int store, WallTime listed);
+  void setPoolAddresses(int store, const discovery::Endpoint& endpoint);
+  void drainUnavailableStores(const discovery::EndpointList& list, TimePoint now);
+  std::optional<TimePoint> recordListedStart(int store, WallTime listed);
   bool mayRemove(int store, TimePoint absentSince) const;
   void remove(int store);
 
@@ -72,8 +73,8 @@
   const config::Config& config_;
   EndpointIds& ids_;
   const Protocols& protocols_;
-  std::map<int, TimePoint> absentSince_;  // by store
-  std::map<int, WallTime> lastStarts_;    // by store, as listed
+  std::map<int, TimePoint> absentSince_;      // by store
+  std::map<int, WallTime> lastListedStarts_;  // by store, as listed
 };
 
 }  // namespace reedchute::proxy
