--- a/src/proxy/config_reloader.cpp
+++ b/src/proxy/config_reloader.cpp
@@ -8,25 +8,25 @@
 namespace reedchute::proxy {
 namespace {
 
-constexpr Duration kRetryWindow{10'000'000};  // after a request
+constexpr Duration kRetryWindow{10'000'000};  // 10 s after a request
 constexpr double kFirstRetryTicks = 4;
 
 }  // namespace
 
-// The file may be half written when the request comes, or no descriptor may be left to open it. As
-// no second request would follow, reading it is retried.
+// A failed reload is retried, because no second request follows: the file may be only partly
+// written when the request arrives, or no descriptor may be free to open it.
 runtime::Task<> ConfigReloader::run() {
   for (;;) {
-    co_await requested_.wait();
+    co_await requestEvent_.wait();
     if (isStopped_) break;
     runtime::Backoff backoff(config_.engineSettings.tick * kFirstRetryTicks,
                              config_.engineSettings.connectTimeout);
-    TimePoint until = scheduler_.now() + kRetryWindow;
-    while (!isStopped_ && !reload() && scheduler_.now() < until) {
+    TimePoint retryUntil = scheduler_.now() + kRetryWindow;
+    while (!isStopped_ && !reload() && scheduler_.now() < retryUntil) {
       TimePoint nextTry = scheduler_.now() + backoff.nextDelay(scheduler_.now());
-      bool requestedAgain = co_await requested_.wait(nextTry);
+      bool requestedAgain = co_await requestEvent_.wait(nextTry);
       if (!requestedAgain) continue;
-      until = scheduler_.now() + kRetryWindow;
+      retryUntil = scheduler_.now() + kRetryWindow;
       backoff.reset();
     }
   }
--- a/src/proxy/config_reloader.h
+++ b/src/proxy/config_reloader.h
@@ -1,5 +1,5 @@
-// Reads the configuration again when it is asked to, and applies what may change while the process
-// runs: the address of the discovery service.
+// Reloads the configuration file on request and applies the settings that can change while the
+// process runs: the address of the discovery service.
 #pragma once
 
 #include "config/config.h"
@@ -10,26 +10,26 @@
 
 class ConfigReloader {
  public:
-  // `config` gets the applied fields.
+  // Applied settings are written to `config`. All arguments must outlive the reloader.
   ConfigReloader(runtime::Scheduler& scheduler, config::Config& config,
                  discovery::EndpointWatcher& watcher)
-      : scheduler_(scheduler), config_(config), watcher_(watcher), requested_(scheduler) {}
+      : scheduler_(scheduler), config_(config), watcher_(watcher), requestEvent_(scheduler) {}
 
-  // Set this event to have the configuration read.
-  runtime::Event& requested() { return requested_; }
+  // Set this event to request a reload.
+  runtime::Event& requestEvent() { return requestEvent_; }
 
-  // Serves requests for as long as the process runs.
+  // Handles reload requests until stop() is called.
   runtime::Task<> run();
-  // From now on requests change nothing, which the log tells once.
+  // Ignores all later requests; the first of them is logged.
   void stop() { isStopped_ = true; }
 
  private:
-  bool reload();  // false if the file can't be read
+  bool reload();  // false if the file can't be read or is invalid
 
   runtime::Scheduler& scheduler_;
   config::Config& config_;
   discovery::EndpointWatcher& watcher_;
-  runtime::Event requested_;
+  runtime::Event requestEvent_;
   bool isStopped_ = false;
 };
 
--- a/src/proxy/counters_log.cpp
+++ b/src/proxy/counters_log.cpp
@@ -9,7 +9,7 @@
 namespace reedchute::proxy {
 namespace {
 
-// Fields of a log line, of the counters that aren't 0.
+// Builds the fields of a log line, leaving out counters that are 0.
 class NonZeroFields {
  public:
   void add(const char* prefix, const char* name, std::uint64_t count) {
@@ -36,18 +36,18 @@
   writeCauses();
   std::size_t pending = sources_.statements.openCount();
   for (const auto& group : sources_.clients) pending += group->responsesBeingWritten();
-  writeMissing(pending);
+  writeMissingResponses(pending);
 }
 
 void CountersLog::writeFinal() const {
   writeTotals();
   writeCauses();
-  writeMissing(0);
+  writeMissingResponses(0);
 }
 
 void CountersLog::writeTotals() const {
   const request::RequestCounters& requests = sources_.requests;
-  const pipeline::Responder::ResponseCounts& answers = sources_.responder.counts();
+  const pipeline::Responder::ResponseCounts& responses = sources_.responder.counts();
   log::line(
       "counters",
       "taken=%llu open=%zu sessions=%zu store_connections=%zu stores=%zu gone=%zu completed=%llu "
@@ -56,16 +56,16 @@
       "late=%llu",
       log::printable(requests.received), sources_.statements.openCount(),
       sessionCount(sources_.clients), sources_.pools.connectionCount(), sources_.ids.stores.size(),
-      sources_.endpoints.absentCount(), log::printable(answers.completed),
-      log::printable(answers.rejected), log::printable(answers.aborted),
+      sources_.endpoints.absentCount(), log::printable(responses.completed),
+      log::printable(responses.rejected), log::printable(responses.aborted),
       log::printable(sources_.dispatcher.attemptCount()),
       log::printable(sources_.dispatcher.probeCount()),
       log::printable(sources_.pools.openedCount()), log::printable(requests.answered),
       log::printable(requests.clientGone), log::printable(requests.answeredLate));
 }
 
-// Why client connections were closed, why attempts were refused, and which invariants were
-// violated.
+// Logs how many client connections were closed and attempts refused, by reason, and how many
+// violations there were of each invariant.
 void CountersLog::writeCauses() const {
   NonZeroFields fields;
   for (int k = 1; k < static_cast<int>(client::CloseReason::count); ++k) {
@@ -85,7 +85,7 @@
   if (!fields.text().empty()) log::line("close_counters", "%s", fields.text().c_str());
 }
 
-void CountersLog::writeMissing(std::size_t pending) const {
+void CountersLog::writeMissingResponses(std::size_t pending) const {
   const request::RequestCounters& requests = sources_.requests;
   auto missing = static_cast<long long>(requests.missing(pending));
   if (missing == 0) return;
--- a/src/proxy/counters_log.h
+++ b/src/proxy/counters_log.h
@@ -1,5 +1,5 @@
-// Writes the process's counters to the log, and compares them: every statement that was taken has
-// to be answered, left by its client, or pending.
+// Logs the counters of the process and checks that they add up: every received statement must have
+// been answered, abandoned by its client, or be pending.
 #pragma once
 
 #include <cstddef>
@@ -19,10 +19,10 @@
 
 using ClientGroups = std::vector<std::unique_ptr<client::ClientConnections>>;  // by protocol
 
-// Client connections of all protocols.
+// The number of open client connections of all protocols.
 std::size_t sessionCount(const ClientGroups& clients);
 
-// What the counters are read from.
+// The components that the counters are read from. All must outlive the CountersLog.
 struct CounterSources {
   const request::RequestCounters& requests;
   const pipeline::StatementTable& statements;
@@ -39,15 +39,15 @@
  public:
   explicit CountersLog(const CounterSources& sources) : sources_(sources) {}
 
-  // While statements are pending.
+  // Logs the counters while the process is serving.
   void write() const;
-  // When none can be pending any more.
+  // Logs the counters at exit, when no statement may be pending.
   void writeFinal() const;
 
  private:
   void writeTotals() const;
   void writeCauses() const;
-  void writeMissing(std::size_t pending) const;
+  void writeMissingResponses(std::size_t pending) const;
 
   CounterSources sources_;
 };
--- a/src/proxy/ledger_log.h
+++ b/src/proxy/ledger_log.h
@@ -1,5 +1,5 @@
-// Writes the ledger's state to the proxy's log: changes soon after they happen, figures with the
-// other counters.
+// Logs the state of the ledger: changes of its phase soon after they happen, and its counters along
+// with the proxy's other counters.
 #pragma once
 
 #include "ledger/usage_recorder.h"
@@ -12,9 +12,10 @@
   LedgerLog(runtime::Scheduler& scheduler, const ledger::UsageRecorder& ledger, Duration interval)
       : scheduler_(scheduler), ledger_(ledger), interval_(interval) {}
 
+  // Logs the counters, and whatever else has changed since the last call.
   void write();
-  // Writes whenever the state has changed, looking once an `interval`, for as long as the process
-  // runs.
+  // Checks the ledger's phase once per `interval` and calls write() if it has changed. Never
+  // returns.
   runtime::Task<> run();
 
  private:
--- a/src/proxy/lifecycle.h
+++ b/src/proxy/lifecycle.h
@@ -1,17 +1,17 @@
-// The phases of a proxy process, in their order.
+// The phases of a proxy process, in order.
 #pragma once
 
 namespace reedchute::proxy {
 
 enum class Lifecycle {
-  starting,      // statements wait until the first endpoint list has come
+  starting,      // statements wait for the first endpoint list
   serving,       // all statements are accepted
-  draining,      // a signal to end has come; clients that arrive are still served for a while
-  shuttingDown,  // no new statements; idle clients are closed, open statements get their answer
+  draining,      // a termination signal was received; new clients are still served for a while
+  shuttingDown,  // new statements are rejected, idle clients closed, open statements answered
   ended,
 };
 
-// The phase's name in the log.
+// The name of the phase in the log.
 inline const char* nameOf(Lifecycle phase) {
   switch (phase) {
     case Lifecycle::starting:
--- a/src/proxy/main.cpp
+++ b/src/proxy/main.cpp
@@ -1,5 +1,5 @@
-// The reedchute program. Its configuration is the file that LB_CONFIG names; further settings come
-// from the HCL file that --settings names.
+// The reedchute program. The environment variable LB_CONFIG names the platform's configuration file
+// (JSON); the option --settings names an HCL file with reedchute's own settings.
 #include <sys/syscall.h>
 #include <unistd.h>
 
@@ -17,15 +17,17 @@
 
 namespace {
 
-// The libraries take milliseconds to begin, and a signal that comes meanwhile would end the
-// process. What stands in this section runs before them and can't rely on the C library yet.
-void holdSignalsEarly(int, char**, char**) {
+// Initializing the shared libraries takes milliseconds, and a signal that arrives meanwhile would
+// terminate the process. Functions in .preinit_array run before these initializers. They can't rely
+// on the C library, hence the direct system call.
+void blockSignalsEarly(int, char**, char**) {
   std::uint64_t signals = 0;
   for (int number : {SIGTERM, SIGINT, SIGHUP}) signals |= std::uint64_t{1} << (number - 1);
   syscall(SYS_rt_sigprocmask, SIG_BLOCK, &signals, nullptr, sizeof signals);
 }
 __attribute__((section(".preinit_array"),
-               used)) void (*const kHoldSignalsBeforeMain)(int, char**, char**) = &holdSignalsEarly;
+               used)) void (*const kBlockSignalsBeforeMain)(int, char**,
+                                                            char**) = &blockSignalsEarly;
 
 void serve(const std::string& settingsPath) {
   using namespace reedchute;
@@ -37,11 +39,12 @@
 }
 
 int runProgram(int argc, char** argv) {
-  CLI::App app("A proxy before a primary and its replicas.", "reedchute");
+  CLI::App app("A proxy in front of a primary database and its replicas.", "reedchute");
   std::string settingsPath;
-  app.add_option("--settings", settingsPath, "our own settings, in HCL (docs/cql-operators.md)");
+  app.add_option("--settings", settingsPath,
+                 "file with reedchute's own settings, in HCL (docs/cql-operators.md)");
   CLI11_PARSE(app, argc, argv);
-  reedchute::proxy::holdSignals();
+  reedchute::proxy::blockSignals();
   reedchute::log::setNonBlocking();
   serve(settingsPath);
   return 0;
--- a/src/proxy/protocols.cpp
+++ b/src/proxy/protocols.cpp
@@ -11,38 +11,39 @@
 namespace reedchute::proxy {
 namespace {
 
-// Memory, as divisors of what is allowed.
-constexpr std::size_t kPipelineDivisor = 16;        // statements of one client at a time
-constexpr std::size_t kOrderedDivisor = 16;         // responses that wait for earlier ones
-constexpr std::size_t kClientPreparedDivisor = 32;  // texts that clients have prepared
-constexpr std::size_t kStorePreparedDivisor = 8;    // what stores have prepared, all together
+// Memory budgets, as divisors of Config::maxMemory.
+constexpr std::size_t kPipelineDivisor = 16;        // open statements of one client
+constexpr std::size_t kReorderBufferDivisor = 16;   // responses that wait for earlier ones
+constexpr std::size_t kClientPreparedDivisor = 32;  // statement texts prepared by clients
+constexpr std::size_t kStorePreparedDivisor = 8;    // statements prepared at all stores together
 
 class Postgres : public Protocol {
  public:
   Postgres(config::Config& config, const ProtocolContext& context)
       : config_(config),
         version_(context.pools.addProtocol(upstreamProtocol_)),
-        clientProtocol_({.scheduler = context.scheduler,
-                         .handler = context.handler,
-                         .decoder = {config.engineSettings, config.names,
-                                     context.endpointIds.groups, context.openIds},
-                         .version = version_,
-                         .pipeline = {.maxStatements = pipelineDepth(config.maxMemory),
-                                      .maxBufferedBytes = config.maxMemory / kOrderedDivisor}}) {}
+        clientProtocol_(
+            {.scheduler = context.scheduler,
+             .handler = context.handler,
+             .decoder = {config.engineSettings, config.names, context.endpointIds.groups,
+                         context.openIds},
+             .version = version_,
+             .pipeline = {.maxStatements = pipelineDepth(config.maxMemory),
+                          .maxBufferedBytes = config.maxMemory / kReorderBufferDivisor}}) {}
 
   const char* name() const override { return "postgres"; }
   client::ClientProtocol& clientProtocol() override { return clientProtocol_; }
   sockaddr_in listenAddress() const override { return config_.listenAddress; }
   std::vector<request::ProtocolVersion> versions() const override { return {version_}; }
-  bool isForProbes() const override { return !config_.cassandra || !config_.cassandra->probes; }
+  bool isUsedForProbes() const override { return !config_.cassandra || !config_.cassandra->probes; }
   std::optional<sockaddr_in> upstreamAddress(const discovery::Endpoint& endpoint) const override {
     return endpoint.address;
   }
 
  private:
   static std::size_t pipelineDepth(std::size_t memory) {
-    std::size_t smallest = pipeline::StatementTable::reservationFor(0);
-    return std::max<std::size_t>(1, memory / kPipelineDivisor / smallest);
+    std::size_t minReservation = pipeline::StatementTable::reservationFor(0);
+    return std::max<std::size_t>(1, memory / kPipelineDivisor / minReservation);
   }
 
   const config::Config& config_;
@@ -75,7 +76,7 @@
   }
   std::size_t reservedConnections() const override { return config_.connections; }
   std::vector<request::ProtocolVersion> versions() const override { return versions_; }
-  bool isForProbes() const override { return config_.probes; }
+  bool isUsedForProbes() const override { return config_.probes; }
   std::optional<sockaddr_in> upstreamAddress(const discovery::Endpoint& endpoint) const override {
     for (const auto& [protocol, address] : endpoint.otherAddresses)
       if (protocol == "cassandra") return address;
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -9,20 +9,20 @@
 namespace reedchute::proxy {
 namespace {
 
-// Statements that arrive so long after the signal to end still get their response: clients keep
-// coming until they have noticed it.
+// Statements are accepted for this long after the termination signal, because clients keep
+// connecting until they have noticed the shutdown.
 constexpr Duration kDrainTime{550'000};
-// An update that an endpoint watch has missed counts as known after this time.
-constexpr Duration kListKnownAfter{6'000'000};
-// What a response reports counts as known so long after it was written.
-constexpr Duration kResponseKnownAfter{100'000};
-constexpr double kFirstListTimeout = 2;  // connect time-outs
+// An update of the endpoint list counts as known after this time, even if the watch missed it.
+constexpr Duration kEndpointsAssumedKnownAfter{6'000'000};
+// What a response reports counts as known this long after the store wrote it.
+constexpr Duration kResponseAssumedKnownAfter{100'000};
+constexpr double kFirstListTimeout = 2;  // connect timeouts
 constexpr Duration kCountersInterval{5'000'000};
 constexpr double kLedgerLogTicks = 4;
 
-config::Config withKnowledgeDelays(config::Config config) {
-  config.engineSettings.endpointsAssumedKnownAfter = kListKnownAfter;
-  config.engineSettings.responseAssumedKnownAfter = kResponseKnownAfter;
+config::Config withAssumedKnownTimes(config::Config config) {
+  config.engineSettings.endpointsAssumedKnownAfter = kEndpointsAssumedKnownAfter;
+  config.engineSettings.responseAssumedKnownAfter = kResponseAssumedKnownAfter;
   return config;
 }
 
@@ -32,17 +32,17 @@
                                                  config.engineSettings);
 }
 
-request::ProtocolVersion probeVersion(const Protocols& protocols) {
+request::ProtocolVersion probeProtocolVersion(const Protocols& protocols) {
   request::ProtocolVersion version = 0;
   for (const auto& protocol : protocols)
-    if (protocol->isForProbes()) version = protocol->versions().front();
+    if (protocol->isUsedForProbes()) version = protocol->versions().front();
   return version;
 }
 
 }  // namespace
 
 Proxy::Proxy(config::Config config)
-    : config_(withKnowledgeDelays(std::move(config))),
+    : config_(withAssumedKnownTimes(std::move(config))),
       engine_(config_.engineSettings, scheduler_.now()),
       ledger_(openLedger(config_)),
       responder_(endpointIds_.groups),
@@ -56,7 +56,7 @@
       protocols_(createProtocols(
           config_, {scheduler_, intake_, pools_, endpointIds_, statements_.openIds()})),
       dispatcher_(scheduler_, statements_, pools_, config_.engineSettings.connectTimeout,
-                  probeVersion(protocols_)),
+                  probeProtocolVersion(protocols_)),
       router_(scheduler_, engine_, statements_, rounds_, dispatcher_, responder_, pools_),
       endpoints_({.scheduler = scheduler_,
                   .engine = engine_,
@@ -95,7 +95,9 @@
   std::size_t reserved = 0;
   for (const auto& protocol : protocols_) reserved += protocol->reservedConnections();
   if (reserved * 2 > capacity)
-    throw InvalidInput("the doors' connections need more than half of the places for clients");
+    throw InvalidInput(
+        "the client connections reserved for protocols exceed half of the process's client "
+        "connections");
   for (const auto& protocol : protocols_) {
     std::size_t connections = protocol->reservedConnections();
     if (connections == 0) connections = capacity - reserved;
@@ -105,23 +107,23 @@
   }
 }
 
-void Proxy::enter(Lifecycle phase) {
+void Proxy::enterPhase(Lifecycle phase) {
   lifecycle_ = phase;
   log::line("lifecycle", "name=%s phase=%s open=%zu sessions=%zu", config_.name.c_str(),
             nameOf(phase), statements_.openCount(), sessionCount(clients_));
 }
 
 void Proxy::run() {
-  enter(Lifecycle::starting);
+  enterPhase(Lifecycle::starting);
   endpoints_.apply(config_.knownEndpoints, false);
-  signalWatcher_.emplace(scheduler_, shutdownRequested_, reloader_.requested());
+  signalWatcher_.emplace(scheduler_, shutdownRequested_, reloader_.requestEvent());
   spawnTasks();
   listen();
   engine_.holdStatements();
-  scheduler_.spawn(serveOnceListed());
+  scheduler_.spawn(serveAfterFirstList());
   scheduler_.run([this] { router_.runRound(); });
   countersLog_.writeFinal();
-  enter(Lifecycle::ended);
+  enterPhase(Lifecycle::ended);
   log::flushSuppressed();
 }
 
@@ -147,15 +149,16 @@
   }
 }
 
-// The known list may be old: a statement that is sent before the discovery service was heard could
-// go to a store that has drained since. Statements wait for it as long as their own time allows,
-// but not for ever, as the service may be away.
-runtime::Task<> Proxy::serveOnceListed() {
+// The endpoint list in the configuration may be outdated, and a statement routed by it could be
+// sent to a store that has drained since. Statements therefore wait for the first list from the
+// discovery service, within their deadlines. The wait is limited, because the service may be
+// unreachable.
+runtime::Task<> Proxy::serveAfterFirstList() {
   for (const auto& group : clients_) group->startAccepting();
   Duration timeout = config_.engineSettings.connectTimeout * kFirstListTimeout;
   co_await firstListReceived_.wait(scheduler_.now() + timeout);
   releaseStatements();
-  if (lifecycle_ == Lifecycle::starting) enter(Lifecycle::serving);
+  if (lifecycle_ == Lifecycle::starting) enterPhase(Lifecycle::serving);
 }
 
 void Proxy::releaseStatements() {
@@ -167,16 +170,16 @@
   co_await shutdownRequested_.wait();
   TimePoint drainedAt = scheduler_.now() + kDrainTime;
   intake_.closeAt(drainedAt);
-  enter(Lifecycle::draining);
+  enterPhase(Lifecycle::draining);
   for (const auto& protocol : protocols_) protocol->onDraining();
   while (scheduler_.now() < drainedAt) co_await shutdownRequested_.wait(drainedAt);
-  enter(Lifecycle::shuttingDown);
+  enterPhase(Lifecycle::shuttingDown);
   releaseStatements();
   for (const auto& group : clients_) group->drain();
   for (const auto& group : clients_) co_await group->stopListening();
-  // An exit while a response is being written would cut it off.
+  // Exiting while a response is being written would truncate it.
   while (sessionCount(clients_) > 0) {
-    // Whatever the discovery service may tell is only of use to statements.
+    // Only open statements need the discovery service.
     if (statements_.openCount() == 0) reloader_.stop();
     co_await shutdownRequested_.wait(scheduler_.now() + config_.engineSettings.tick);
   }
@@ -204,8 +207,8 @@
   rounds_.request();
 }
 
-// A read that waits for its connection was found fresh by the clock as it was, so it is routed
-// again.
+// Reads that still wait for a connection were routed by the freshness of stores as computed before
+// the clock was set ahead. They are cancelled, so that they are routed again.
 void Proxy::onClockStep(Duration ahead) {
   log::line("clock_step", "ahead_ms=%lld", static_cast<long long>(ahead.us / 1000));
   engine_.onClockStepped(ahead);
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -1,5 +1,4 @@
-// The proxy process: creates all parts, connects them, and leads them from the start to the exit.
-// What a part does is in the part's own header.
+// The proxy process: creates all components, connects them, and runs them from startup to exit.
 #pragma once
 
 #include <memory>
@@ -32,11 +31,10 @@
 
 class Proxy : private discovery::EndpointListener {
  public:
-  // Throws InvalidInput if the configuration can't be served. holdSignals() has to be called first.
+  // Throws InvalidInput if the configuration can't be served. blockSignals() must be called first.
   explicit Proxy(config::Config config);
 
-  // Serves until a signal asks for the shutdown, and returns when every statement that was taken
-  // has its response.
+  // Serves until SIGTERM or SIGINT, and returns once every accepted statement has its response.
   void run();
 
  private:
@@ -44,11 +42,11 @@
   void onPollFailed() override;
 
   void createClients();
-  void enter(Lifecycle phase);
+  void enterPhase(Lifecycle phase);
   void spawnTasks();
   void listen();
   void onClockStep(Duration ahead);
-  runtime::Task<> serveOnceListed();
+  runtime::Task<> serveAfterFirstList();
   void releaseStatements();
   runtime::Task<> shutDownOnSignal();
   runtime::Task<> logCounters();
@@ -58,7 +56,7 @@
   runtime::Scheduler scheduler_;
   EndpointIds endpointIds_;
   DecisionEngine engine_;
-  std::unique_ptr<ledger::UsageRecorder> ledger_;  // null where none is configured
+  std::unique_ptr<ledger::UsageRecorder> ledger_;  // null if none is configured
   pipeline::Responder responder_;
   pipeline::StatementTable statements_;
   pipeline::RoundTrigger rounds_;
--- a/src/proxy/signals.cpp
+++ b/src/proxy/signals.cpp
@@ -13,47 +13,48 @@
 namespace reedchute::proxy {
 namespace {
 
-sigset_t heldSignals() {
+sigset_t handledSignals() {
   sigset_t signals;
   sigemptyset(&signals);
   for (int number : {SIGTERM, SIGINT, SIGHUP}) sigaddset(&signals, number);
   return signals;
 }
 
-int openSignals() {
+int openSignalDescriptor() {
   return retryAtStart([] {
-    sigset_t signals = heldSignals();
+    sigset_t signals = handledSignals();
     int fd = signalfd(-1, &signals, SFD_NONBLOCK | SFD_CLOEXEC);
-    if (fd < 0) runtime::throwErrno("signals can't be read");
+    if (fd < 0) runtime::throwErrno("can't open a descriptor for signals");
     return fd;
   });
 }
 
 }  // namespace
 
-void holdSignals() {
-  sigset_t signals = heldSignals();
+void blockSignals() {
+  sigset_t signals = handledSignals();
   sigprocmask(SIG_BLOCK, &signals, nullptr);
   std::signal(SIGPIPE, SIG_IGN);
 }
 
 SignalWatcher::SignalWatcher(runtime::Scheduler& scheduler, runtime::Event& shutdown,
                              runtime::Event& reload)
-    : signals_(scheduler, openSignals()), shutdown_(shutdown), reload_(reload) {}
+    : signalDescriptor_(scheduler, openSignalDescriptor()), shutdown_(shutdown), reload_(reload) {}
 
 runtime::Task<> SignalWatcher::run() {
   for (;;) {
     signalfd_siginfo info;
-    ssize_t received = read(signals_.fd(), &info, sizeof info);
+    ssize_t received = read(signalDescriptor_.fd(), &info, sizeof info);
     if (received == sizeof info) {
       log::line("signal", "number=%u", info.ssi_signo);
       runtime::Event& event = info.ssi_signo == SIGHUP ? reload_ : shutdown_;
       event.set();
       continue;
     }
-    // No edge comes for a signal that is pending already, so an interrupted read is made again.
+    // The descriptor is edge-triggered and reports no edge for a signal that is already pending, so
+    // an interrupted read must be repeated at once.
     if (received < 0 && errno == EINTR) continue;
-    co_await signals_.readable.wait();
+    co_await signalDescriptor_.readable.wait();
   }
 }
 
--- a/src/proxy/startup_retry.h
+++ b/src/proxy/startup_retry.h
@@ -1,5 +1,5 @@
-// Retries for what a process needs to start: an address that its predecessor still holds, or a
-// descriptor on a machine that has none left for the moment.
+// Retries steps of the startup that can fail temporarily: binding an address that the previous
+// process still uses, or opening a descriptor when the machine has none left.
 #pragma once
 
 #include <chrono>
@@ -11,22 +11,23 @@
 
 namespace reedchute::proxy {
 
-// Returns what `make` returns, calling it again for some seconds while it throws a transient
-// std::system_error. It blocks, so it may only be used before anything is served.
+// Calls `make` and returns its result. If it throws a transient std::system_error, calls it again
+// for up to 10 seconds; after that, or for other errors, the exception is passed on. Blocks the
+// thread, so it may be used only before the process serves clients.
 template <class Make>
 auto retryAtStart(const Make& make) {
-  constexpr std::chrono::milliseconds kPause{50};
-  constexpr std::chrono::seconds kLongest{10};
-  auto until = std::chrono::steady_clock::now() + kLongest;
+  constexpr std::chrono::milliseconds kRetryInterval{50};
+  constexpr std::chrono::seconds kRetryTimeout{10};
+  auto deadline = std::chrono::steady_clock::now() + kRetryTimeout;
   for (;;) {
     try {
       return make();
     } catch (const std::system_error& error) {
-      bool hasTime = std::chrono::steady_clock::now() < until;
-      if (!runtime::isTransientError(error.code()) || !hasTime) throw;
+      bool hasTimeLeft = std::chrono::steady_clock::now() < deadline;
+      if (!runtime::isTransientError(error.code()) || !hasTimeLeft) throw;
       log::line("start_retried", "what=\"%s\"", error.what());
     }
-    std::this_thread::sleep_for(kPause);
+    std::this_thread::sleep_for(kRetryInterval);
   }
 }
 
--- a/src/proxy/statement_intake.cpp
+++ b/src/proxy/statement_intake.cpp
@@ -10,16 +10,17 @@
 int StatementIntake::admit(request::ReceivedStatement received, request::ResponseSink& sink,
                            int requestId) {
   ++counters_.received;
-  // Statements with long responses would together take more memory than there is.
-  std::size_t cost = pipeline::StatementTable::reservationFor(received.payload->size());
-  if (statements_.reservedBytes() + cost > statementMemory(config_)) {
+  // Memory is reserved in advance, because the responses of all open statements could otherwise use
+  // more memory than allowed.
+  std::size_t reservation = pipeline::StatementTable::reservationFor(received.payload->size());
+  if (statements_.reservedBytes() + reservation > statementMemory(config_)) {
     log::line("statement_memory_limit", "bytes=%zu open=%zu", statements_.reservedBytes(),
               statements_.openCount());
     sink.onRejected(requestId, Duration{});
     return -1;
   }
-  // A client that waits for a response may send a further statement during the shutdown; the
-  // process could be killed before that has its own.
+  // A client that waits for a response may send another statement during the shutdown, and the
+  // process could be killed before answering it.
   if (!acceptsReceivedAt(received.receivedAt)) {
     log::line("rejected_draining", "open=%zu", statements_.openCount());
     sink.onRejected(requestId, Duration{});
@@ -38,7 +39,8 @@
   return statements_.reservedBytes() * 2 < statementMemory(config_);
 }
 
-// A client also leaves because its response never came; that one has not left before its time.
+// A client that disconnects later than kLateAnswerGrace after the deadline has left because it
+// received no response. It isn't counted in clientGone, so that the statement is logged as missing.
 void StatementIntake::onClientLeft(int statement) {
   const pipeline::Statement& row = statements_.at(statement);
   TimePoint now = scheduler_.now();
--- a/src/proxy/statement_intake.h
+++ b/src/proxy/statement_intake.h
@@ -1,6 +1,6 @@
-// Where the clients' connections bring their statements: refuses those that the process has no
-// memory for, that came too late in the shutdown, or that the ledger can't record, and hands the
-// others to admission.
+// Receives statements from client connections. Rejects those for which the process has no memory,
+// that arrive too late in the shutdown, or that the ledger can't record, and passes the others on
+// to admission.
 #pragma once
 
 #include "config/config.h"
@@ -16,7 +16,7 @@
 
 class StatementIntake : public request::StatementHandler {
  public:
-  // `ledger` may be null. Everything is borrowed and has to outlive the intake.
+  // `ledger` may be null. All arguments must outlive the intake.
   StatementIntake(const runtime::Scheduler& scheduler, const config::Config& config,
                   pipeline::StatementTable& statements, pipeline::RoundTrigger& rounds,
                   pipeline::Admission& admission, const ledger::UsageRecorder* ledger)
@@ -33,10 +33,10 @@
   bool hasCapacity() const override;
   bool acceptsReceivedAt(TimePoint time) const override { return time <= acceptsUntil_; }
 
-  // Statements that arrive later than this are refused.
+  // Rejects statements received after `time`.
   void closeAt(TimePoint time) { acceptsUntil_ = time; }
 
-  // What became of all statements; the clients' connections count their part here.
+  // Counts the outcomes of all statements. Client connections update the outcomes that they see.
   request::RequestCounters& counters() { return counters_; }
   const request::RequestCounters& counters() const { return counters_; }
 
