--- a/src/zones/evacuation_controller.cpp
+++ b/src/zones/evacuation_controller.cpp
@@ -9,17 +9,17 @@
 namespace reedchute::zones {
 namespace {
 
-constexpr double kMajority = 0.6;            // of the votes' weight
-constexpr double kFollowMajority = 0.6;      // of the proxies of this zone
-constexpr double kRelapseWeight = 0.34;      // of the votes' weight, against a recovering zone
-constexpr int kRelapseProxies = 2;           // at most that many are needed
-constexpr double kUsableHeadroom = 0.9;      // of the other zones' headroom
-constexpr double kMinUsedPart = 0.05;        // of what proxies may send; guards a division
-constexpr double kSmallestShare = 0.05;      // a smaller one is none
-constexpr double kFirstShare = 1.0 / 16;     // of a recovering zone
-constexpr double kReportedShareStep = 0.25;  // from which a change of share is reported
-constexpr int kMaxDoublings = 20;            // of the time until a recovery
-constexpr Duration kProbeTurn{500'000};      // for which the same proxies probe
+constexpr double kMajorityWeight = 0.6;    // minimum fraction of the votes' weight
+constexpr double kFollowMajority = 0.6;    // minimum fraction of the proxies of this zone
+constexpr double kRelapseWeight = 0.34;    // fraction of the votes' weight that ends a recovery
+constexpr int kRelapseProxies = 2;         // bad votes that end a recovery, or a smaller quorum
+constexpr double kUsableHeadroom = 0.9;    // fraction of the other zones' headroom
+constexpr double kMinUsedFraction = 0.05;  // of the proxies' capacity; avoids a division by zero
+constexpr double kMinShare = 0.05;         // a smaller share is treated as zero
+constexpr double kInitialRecoveryShare = 1.0 / 16;  // when a recovery begins
+constexpr double kReportedShareStep = 0.25;         // smallest change of share that is reported
+constexpr int kMaxDoublings = 20;                   // of EvacuationPolicy::recoverAfter
+constexpr Duration kProbeTurn{500'000};             // period during which the same proxies probe
 
 std::uint64_t hashOf(const std::string& proxy, const std::string& zone, std::int64_t turn) {
   std::string bytes = proxy + '\0' + zone + '\0' + std::to_string(turn);
@@ -31,7 +31,7 @@
   return static_cast<double>(hash >> 11) / 9007199254740992.0;  // 2^53
 }
 
-// The upper one of two.
+// The upper median for an even number of values.
 int medianOf(std::vector<int> values) {
   auto middle = values.begin() + static_cast<std::ptrdiff_t>(values.size() / 2);
   std::nth_element(values.begin(), middle, values.end());
@@ -70,24 +70,24 @@
   return it == zones_.end() ? nullptr : &it->second;
 }
 
-// ---- what the votes say ----
+// ---- verdicts ----
 
-bool EvacuationController::Case::isGone() const {
+bool EvacuationController::ZoneContext::isGone() const {
   return !input.isAlone && votes.gone.proxies >= required() &&
-         votes.gone.weight >= kMajority * votes.weight();
+         votes.gone.weight >= kMajorityWeight * votes.weight();
 }
 
-bool EvacuationController::Case::isBad() const {
+bool EvacuationController::ZoneContext::isBad() const {
   return !input.isAlone && votes.badProxies() >= required() &&
-         votes.badWeight() >= kMajority * votes.weight();
+         votes.badWeight() >= kMajorityWeight * votes.weight();
 }
 
-bool EvacuationController::Case::isEvacuatedElsewhere() const {
+bool EvacuationController::ZoneContext::isEvacuatedByPeers() const {
   return !input.isAlone && votes.evacuated >= required() &&
          votes.evacuated >= kFollowMajority * votes.statuses();
 }
 
-bool EvacuationController::Case::isRecoveringElsewhere() const {
+bool EvacuationController::ZoneContext::isRecoveringByPeers() const {
   return votes.recovering >= required() && votes.recovering >= kFollowMajority * votes.statuses();
 }
 
@@ -103,7 +103,8 @@
   std::vector<Candidate> candidates;
   for (const auto& [zone, stores] : input.storesByZone)
     candidates.push_back({zone, collectVotes(zone, ownZone_, input, policy_.lookback)});
-  // The worst zone first: where only some may be evacuated, all proxies choose the same.
+  // The worst zone is decided first, so that all proxies choose the same zone when not all bad ones
+  // may be evacuated.
   std::stable_sort(
       candidates.begin(), candidates.end(),
       [](const Candidate& a, const Candidate& b) { return a.badness() > b.badness(); });
@@ -111,7 +112,7 @@
     decideZone(candidate.zone, candidate.votes, input, now);
 }
 
-// Keeps states for the zones of the endpoint list and no others.
+// Adds state for new zones of the endpoint list and removes that of zones no longer in it.
 void EvacuationController::syncZones(const std::map<std::string, int>& storesByZone,
                                      TimePoint now) {
   auto isUnlisted = [&](const auto& item) { return !storesByZone.contains(item.first); };
@@ -136,7 +137,7 @@
                      isTurnToProbe(zone, input.liveProxiesInZone, now);
     return;
   }
-  Case current{zone, state, timers_[zone], votes, input, now};
+  ZoneContext current{zone, state, timers_[zone], votes, input, now};
   switch (state.status) {
     case ZoneStatus::active:
     case ZoneStatus::suspect:
@@ -150,7 +151,7 @@
 
 // ---- active and suspect ----
 
-void EvacuationController::decideInUse(Case& zone) {
+void EvacuationController::decideInUse(ZoneContext& zone) {
   ZoneState& state = zone.state;
   Command command = state.command.command;
   state.mayProbe = true;
@@ -160,9 +161,10 @@
   }
   trackBadVerdict(zone);
   bool isConfirmed = isConfirmedBad(zone);
-  // A proxy that has just started, or observes too little itself, follows the others of its zone.
-  bool hasReason = isConfirmed || zone.isEvacuatedElsewhere();
-  if (hasReason && !zone.input.isDegraded && command != Command::restore && mayEvacuate(zone.name))
+  // A proxy that has just started, or has too few observations, follows the others of its zone.
+  bool shouldEvacuate = isConfirmed || zone.isEvacuatedByPeers();
+  if (shouldEvacuate && !zone.input.isDegraded && command != Command::restore &&
+      mayEvacuate(zone.name))
     return evacuate(zone, isConfirmed);
   updateSuspicion(zone);
   bool isStable = state.status == ZoneStatus::active &&
@@ -170,7 +172,7 @@
   if (isStable) state.failedRecoveries = 0;
 }
 
-void EvacuationController::trackBadVerdict(Case& zone) const {
+void EvacuationController::trackBadVerdict(ZoneContext& zone) const {
   TimePoint& badSince = zone.timers.badSince;
   if (!zone.isBad())
     badSince = kNever;
@@ -178,35 +180,35 @@
     badSince = zone.now;
 }
 
-// The zone has been bad for long enough to act on it.
-bool EvacuationController::isConfirmedBad(const Case& zone) const {
+// The zone has been bad for at least EvacuationPolicy::confirmFor.
+bool EvacuationController::isConfirmedBad(const ZoneContext& zone) const {
   return zone.isBad() && zone.now - zone.timers.badSince >= policy_.confirmFor;
 }
 
-void EvacuationController::evacuate(Case& zone, bool isConfirmed) {
+void EvacuationController::evacuate(ZoneContext& zone, bool isConfirmed) {
   ZoneState& state = zone.state;
   if (!zone.votes.failedRecoveries.empty())
     state.failedRecoveries = std::max(state.failedRecoveries,
                                       medianOf(zone.votes.failedRecoveries));
-  bool isWhole = zone.isGone() || (zone.isEvacuatedElsewhere() && !zone.isBad());
-  double share = isWhole ? 0 : 1 - movableShare(zone.name, zone.input);
-  if (share > 1 - kSmallestShare) {
-    // The other zones can't take any of its traffic.
+  bool isFullEvacuation = zone.isGone() || (zone.isEvacuatedByPeers() && !zone.isBad());
+  double share = isFullEvacuation ? 0 : 1 - movableShare(zone.name, zone.input);
+  if (share > 1 - kMinShare) {
+    // The other zones have no capacity for its traffic.
     enter(zone, ZoneStatus::suspect, Cause::grey, 1);
     return;
   }
-  zone.timers.answersSince = kNever;
+  zone.timers.answeringSince = kNever;
   enter(zone, ZoneStatus::evacuated, evacuationCause(zone, isConfirmed),
-        share < kSmallestShare ? 0 : share);
+        share < kMinShare ? 0 : share);
 }
 
-Cause EvacuationController::evacuationCause(const Case& zone, bool isConfirmed) const {
+Cause EvacuationController::evacuationCause(const ZoneContext& zone, bool isConfirmed) const {
   if (!isConfirmed) return Cause::followed;
   if (!zone.isGone()) return Cause::grey;
   return isReachedFromOtherZones(zone) ? Cause::cutOff : Cause::gone;
 }
 
-bool EvacuationController::isReachedFromOtherZones(const Case& zone) const {
+bool EvacuationController::isReachedFromOtherZones(const ZoneContext& zone) const {
   const auto& others = zone.input.others;
   return std::any_of(others.begin(), others.end(), [&](const AgedReport* other) {
     const ZoneReport& report = other->report;
@@ -215,11 +217,11 @@
   });
 }
 
-void EvacuationController::updateSuspicion(Case& zone) {
+void EvacuationController::updateSuspicion(ZoneContext& zone) {
   bool isSuspect = zone.isBad() || zone.isSuspicious();
   if (zone.state.status == ZoneStatus::active && isSuspect) {
-    bool isRatherGone = zone.votes.gone.proxies >= zone.votes.grey.proxies;
-    enter(zone, ZoneStatus::suspect, isRatherGone ? Cause::gone : Cause::grey, 1);
+    bool isMostlyGone = zone.votes.gone.proxies >= zone.votes.grey.proxies;
+    enter(zone, ZoneStatus::suspect, isMostlyGone ? Cause::gone : Cause::grey, 1);
   } else if (zone.state.status == ZoneStatus::suspect && !isSuspect) {
     enter(zone, ZoneStatus::active, Cause::recovered, 1);
     zone.timers.activeSince = zone.now;
@@ -228,43 +230,44 @@
 
 // ---- evacuated ----
 
-void EvacuationController::decideEvacuated(Case& zone) {
+void EvacuationController::decideEvacuated(ZoneContext& zone) {
   Command command = zone.state.command.command;
   zone.state.mayProbe = isTurnToProbe(zone.name, zone.input.liveProxiesInZone, zone.now);
   if (command == Command::evacuate) return;
   trackAnswers(zone);
   bool hasRecovered = hasAnsweredLongEnough(zone);
-  bool isFollowing = zone.isRecoveringElsewhere() && !zone.isBad();
+  bool isFollowing = zone.isRecoveringByPeers() && !zone.isBad();
   if (command != Command::restore && !hasRecovered && !isFollowing) return;
   zone.state.mayProbe = true;
   zone.timers.badSince = kNever;
   enter(zone, ZoneStatus::recovering,
         command == Command::restore ? Cause::commanded : Cause::recovered,
-        std::max(zone.state.share, kFirstShare));
+        std::max(zone.state.share, kInitialRecoveryShare));
 }
 
-// By what the proxies observe that probe it, or send the share that remains. A proxy alone relies
-// on itself.
-bool EvacuationController::doesAnswer(const Case& zone) const {
+// Relies on the proxies that probe the zone or still send it a share of its traffic. A proxy
+// without peers relies on its own observations and, if it has none, on the time since the
+// evacuation.
+bool EvacuationController::isAnswering(const ZoneContext& zone) const {
   const ZoneVotes& votes = zone.votes;
   if (!zone.input.isAlone)
-    return votes.healthy.proxies >= 1 && votes.healthy.weight >= kMajority * votes.weight();
+    return votes.healthy.proxies >= 1 && votes.healthy.weight >= kMajorityWeight * votes.weight();
   if (votes.proxies() > 0) return votes.healthy.proxies > 0;
   return zone.now - zone.state.since >= recoverAfter(zone.state.failedRecoveries);
 }
 
-// A round without any opinion interrupts nothing.
-void EvacuationController::trackAnswers(Case& zone) const {
-  TimePoint& answersSince = zone.timers.answersSince;
-  bool answers = doesAnswer(zone);
-  if (!answers && zone.votes.weight() > 0) answersSince = kNever;
-  if (answers && answersSince == kNever) answersSince = zone.now;
+// A round in which no proxy has an opinion doesn't interrupt the period of answers.
+void EvacuationController::trackAnswers(ZoneContext& zone) const {
+  TimePoint& answeringSince = zone.timers.answeringSince;
+  bool answers = isAnswering(zone);
+  if (!answers && zone.votes.weight() > 0) answeringSince = kNever;
+  if (answers && answeringSince == kNever) answeringSince = zone.now;
 }
 
-bool EvacuationController::hasAnsweredLongEnough(const Case& zone) const {
-  TimePoint answersSince = zone.timers.answersSince;
-  return answersSince > kNever &&
-         zone.now - answersSince >= recoverAfter(zone.state.failedRecoveries);
+bool EvacuationController::hasAnsweredLongEnough(const ZoneContext& zone) const {
+  TimePoint answeringSince = zone.timers.answeringSince;
+  return answeringSince > kNever &&
+         zone.now - answeringSince >= recoverAfter(zone.state.failedRecoveries);
 }
 
 Duration EvacuationController::recoverAfter(int failedRecoveries) const {
@@ -272,7 +275,8 @@
   return std::min(policy_.maxRecoverAfter, policy_.recoverAfter * factor);
 }
 
-// A few proxies probe during one turn, and others during the next, without talking to each other.
+// Selects about EvacuationPolicy::probers proxies for each turn by hash, so that the choice needs
+// no communication and changes from turn to turn.
 bool EvacuationController::isTurnToProbe(const std::string& zone, std::size_t proxies,
                                          TimePoint now) const {
   std::uint64_t hash = hashOf(proxyName_, zone, now.us / kProbeTurn.us);
@@ -281,7 +285,7 @@
 
 // ---- recovering ----
 
-void EvacuationController::decideRecovering(Case& zone) {
+void EvacuationController::decideRecovering(ZoneContext& zone) {
   ZoneState& state = zone.state;
   state.mayProbe = true;
   if (state.command.command == Command::evacuate) {
@@ -290,7 +294,7 @@
   }
   if (hasRelapsed(zone) && !zone.input.isDegraded) {
     ++state.failedRecoveries;
-    zone.timers.answersSince = kNever;
+    zone.timers.answeringSince = kNever;
     enter(zone, ZoneStatus::evacuated, Cause::relapsed, 0);
     return;
   }
@@ -300,18 +304,19 @@
     enter(zone, ZoneStatus::active, Cause::recovered, 1);
     return;
   }
-  double share = kFirstShare * std::pow(1 / kFirstShare, std::clamp(progress, 0.0, 1.0));
+  double share = kInitialRecoveryShare *
+                 std::pow(1 / kInitialRecoveryShare, std::clamp(progress, 0.0, 1.0));
   if (share > state.share) enter(zone, ZoneStatus::recovering, state.cause, share);
 }
 
-bool EvacuationController::hasRelapsed(const Case& zone) const {
+bool EvacuationController::hasRelapsed(const ZoneContext& zone) const {
   const ZoneVotes& votes = zone.votes;
   if (zone.input.isAlone) return votes.gone.proxies > 0;
   return votes.badProxies() >= std::min(kRelapseProxies, zone.required()) &&
          votes.badWeight() >= kRelapseWeight * votes.weight();
 }
 
-// ---- what the other zones can take ----
+// ---- capacity of the other zones ----
 
 double EvacuationController::meanHeadroom(const RoundInput& input) const {
   double sum = 0;
@@ -328,8 +333,8 @@
   return reports == 0 ? 0 : sum / reports;
 }
 
-// The part of a zone's traffic that the other zones have capacity for, by the number of their
-// stores.
+// The fraction of a zone's traffic that the other zones have capacity for, estimated from the
+// number of their stores.
 double EvacuationController::movableShare(const std::string& zone, const RoundInput& input) const {
   double storesHere = 0;
   double storesElsewhere = 0;
@@ -342,7 +347,7 @@
   }
   if (storesHere <= 0) return 1;
   double headroom = meanHeadroom(input);
-  double used = std::max(kMinUsedPart, 1 - headroom);
+  double used = std::max(kMinUsedFraction, 1 - headroom);
   return std::clamp(storesElsewhere * headroom * kUsableHeadroom / (storesHere * used), 0.0, 1.0);
 }
 
@@ -351,15 +356,16 @@
   int remaining = 0;
   for (const auto& [name, state] : zones_) {
     if (name == zone) continue;
-    bool isOut = state.status == ZoneStatus::evacuated || state.status == ZoneStatus::recovering;
-    ++(isOut ? evacuated : remaining);
+    bool countsAsEvacuated = state.status == ZoneStatus::evacuated ||
+                             state.status == ZoneStatus::recovering;
+    ++(countsAsEvacuated ? evacuated : remaining);
   }
   return remaining > 0 && evacuated < policy_.maxEvacuated;
 }
 
 // ---- results ----
 
-void EvacuationController::enter(Case& zone, ZoneStatus status, Cause cause, double share) {
+void EvacuationController::enter(ZoneContext& zone, ZoneStatus status, Cause cause, double share) {
   ZoneState& state = zone.state;
   ZoneStatus previous = state.status;
   bool isReported = previous != status || std::abs(state.share - share) >= kReportedShareStep;
@@ -376,17 +382,17 @@
                                    std::string& why) {
   auto found = zones_.find(zone);
   if (found == zones_.end()) {
-    why = "no store of the list stands in this zone";
+    why = "no store of the endpoint list is in this zone";
     return false;
   }
   ZoneState& state = found->second;
   if (!overrides(record, state.command)) {
-    why = "a later command stands: generation " + std::to_string(state.command.generation);
+    why = "a later command is in force: generation " + std::to_string(state.command.generation);
     return false;
   }
   if (record.command == Command::evacuate && state.status != ZoneStatus::evacuated &&
       !mayEvacuate(zone)) {
-    why = "the zones that would remain are too few";
+    why = "too few zones would remain in use";
     return false;
   }
   state.command = std::move(record);
--- a/src/zones/evacuation_policy.cpp
+++ b/src/zones/evacuation_policy.cpp
@@ -18,7 +18,7 @@
 bool overrides(const CommandRecord& a, const CommandRecord& b) {
   if (a.generation != b.generation) return a.generation > b.generation;
   if (a.command != b.command) return a.command > b.command;
-  return a.by > b.by;
+  return a.issuedBy > b.issuedBy;
 }
 
 }  // namespace reedchute::zones
--- a/src/zones/evacuation_policy.h
+++ b/src/zones/evacuation_policy.h
@@ -1,4 +1,4 @@
-// What operators set and order about the evacuation of zones.
+// The operators' settings and commands for the evacuation of zones.
 #pragma once
 
 #include <cstdint>
@@ -9,31 +9,31 @@
 namespace reedchute::zones {
 
 struct EvacuationPolicy {
-  int maxEvacuated = 1;              // zones that may be evacuated or recovering at once
-  Duration lookback{2'000'000};      // of observations, and how old a report may be
-  Duration confirmFor{300'000};      // that a verdict must hold before it is acted on
-  Duration recoverAfter{2'000'000};  // that an evacuated zone must answer; doubles with each failed
-                                     // recovery
+  int maxEvacuated = 1;              // zones that may be evacuated or recovering at the same time
+  Duration lookback{2'000'000};      // age limit of observations and reports
+  Duration confirmFor{300'000};      // how long a verdict must hold before it is acted on
+  Duration recoverAfter{2'000'000};  // how long an evacuated zone must answer before its recovery
+                                     // begins; doubles with each failed recovery
   Duration maxRecoverAfter{120'000'000};
-  Duration ramp{8'000'000};          // from a recovering zone's first share to the whole
-  Duration stableAfter{60'000'000};  // in use, after which failed recoveries are forgotten
-  int probers = 3;                   // proxies that probe an evacuated zone at a time
+  Duration ramp{8'000'000};          // from a recovering zone's first share to its full share
+  Duration stableAfter{60'000'000};  // active time after which failed recoveries are reset to 0
+  int probers = 3;                   // proxies that probe an evacuated zone at the same time
 };
 
-// An operator's command for one zone. A later one, and among equals the more careful one, has the
-// higher value.
+// An operator's command for one zone. The values are in order of precedence: among commands of the
+// same generation, the higher, more cautious one wins.
 enum class Command { none, restore, evacuate, freeze };
-// The name in the log.
+// The name used in logs.
 const char* nameOf(Command command);
 
 struct CommandRecord {
   Command command = Command::none;
-  std::uint64_t generation = 0;  // rises with each command; the highest counts
-  std::string by;
-  Duration age;  // since it was given
+  std::uint64_t generation = 0;  // increases with each command; the highest one is in force
+  std::string issuedBy;
+  Duration age;  // since it was issued
 };
 
-// Whether `a` overrides `b`. The same on all proxies, in whatever order the commands arrive.
+// Whether `a` overrides `b`. A total order, so all proxies agree whatever the order of arrival.
 bool overrides(const CommandRecord& a, const CommandRecord& b);
 
 }  // namespace reedchute::zones
--- a/src/zones/zone_coordinator.cpp
+++ b/src/zones/zone_coordinator.cpp
@@ -7,7 +7,7 @@
 
 constexpr double kRoundsPerLookback = 20;
 constexpr double kReportsPerLookback = 8;
-constexpr double kRateSmoothing = 0.3;  // weight of the newest rate
+constexpr double kRateSmoothing = 0.3;  // weight of the newest measurement
 
 }  // namespace
 
@@ -20,12 +20,12 @@
       controller_(policy, std::move(proxyName), ownZone) {}
 
 double ZoneCoordinator::statementsPerSecond() const {
-  double sum = own_.statementsPerSecond;
+  double sum = ownReport_.statementsPerSecond;
   for (const auto& [name, peer] : peers_) sum += peer.report.report.statementsPerSecond;
   return sum;
 }
 
-void ZoneCoordinator::round(TimePoint now) {
+void ZoneCoordinator::runRound(TimePoint now) {
   if (now < dueAt_) return;
   dueAt_ = now + policy_.lookback * (1 / kRoundsPerLookback);
   makeOwnReport(now);
@@ -34,9 +34,9 @@
   if (now - publishedAt_ >= policy_.lookback * (1 / kReportsPerLookback)) publish(now);
 }
 
-// The smoothed rate of statements.
+// Returns the exponentially smoothed rate of statements per second.
 double ZoneCoordinator::measureRate(TimePoint now) {
-  double rate = own_.statementsPerSecond;
+  double rate = ownReport_.statementsPerSecond;
   if (rateMeasuredAt_ == kNever) rateMeasuredAt_ = now;
   Duration elapsed = now - rateMeasuredAt_;
   if (elapsed < policy_.lookback * (1 / kReportsPerLookback)) return rate;
@@ -48,12 +48,12 @@
 
 void ZoneCoordinator::makeOwnReport(TimePoint now) {
   double rate = measureRate(now);
-  own_ = ZoneReport{.zone = ownZone_,
-                    .isDegraded = gossip_.membership().isLocallyDegraded(now),
-                    .statementsPerSecond = rate,
-                    .headroom = headroom_,
-                    .zones = observer_.counters(now)};
-  controller_.addStatusTo(own_, now);
+  ownReport_ = ZoneReport{.zone = ownZone_,
+                          .isDegraded = gossip_.membership().isLocallyDegraded(now),
+                          .statementsPerSecond = rate,
+                          .headroom = headroom_,
+                          .zones = observer_.counters(now)};
+  controller_.addStatusTo(ownReport_, now);
 }
 
 void ZoneCoordinator::readPeerReports(TimePoint now) {
@@ -71,7 +71,7 @@
   peer.incarnation = state.incarnation;
   peer.version = state.version;
   if (decodeReport(state.payload, peer.report.report)) return;
-  // An older report must not stand in the place of one that can't be read.
+  // A report that can't be decoded must not leave the previous one in force.
   peer.report.report = ZoneReport{};
   ++unreadableReports_;
 }
@@ -83,10 +83,10 @@
   for (const auto& [name, member] : membership.members())
     if (member.isCountedLive() && member.latest.zone == ownZone_) ++input.liveProxiesInZone;
   input.isAlone = peers_.empty();
-  input.isDegraded = own_.isDegraded;
-  input.own = &own_;
+  input.isDegraded = ownReport_.isDegraded;
+  input.own = &ownReport_;
   for (const auto& [name, peer] : peers_) input.others.push_back(&peer.report);
-  for (const auto& [zone, counters] : own_.zones) {
+  for (const auto& [zone, counters] : ownReport_.zones) {
     int stores = observer_.storesIn(zone);
     if (stores > 0) input.storesByZone[zone] = stores;
   }
@@ -95,8 +95,8 @@
 
 void ZoneCoordinator::publish(TimePoint now) {
   publishedAt_ = now;
-  controller_.addStatusTo(own_, now);
-  gossip_.states().publish(kZoneReportTopic, encodeReport(own_), now);
+  controller_.addStatusTo(ownReport_, now);
+  gossip_.states().publish(kZoneReportTopic, encodeReport(ownReport_), now);
 }
 
 }  // namespace reedchute::zones
--- a/src/zones/zone_coordinator.h
+++ b/src/zones/zone_coordinator.h
@@ -1,5 +1,6 @@
 // One proxy's part in the fleet's decisions about zones: publishes its own report by gossip, reads
-// those of the others, and decides. Without I/O and clock; not thread-safe.
+// the reports of the other proxies and runs the EvacuationController. Performs no I/O and reads no
+// clock; not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -12,15 +13,15 @@
 
 namespace reedchute::zones {
 
-inline constexpr int kZoneReportTopic = 0;  // of the gossip
+inline constexpr int kZoneReportTopic = 0;  // gossip topic of the reports
 
 class ZoneCoordinator {
  public:
-  // `gossip` must outlive it.
+  // `gossip` must outlive the coordinator.
   ZoneCoordinator(EvacuationPolicy policy, std::string proxyName, const std::string& ownZone,
                   membership::Gossip& gossip);
 
-  // A store of the endpoint list; with an empty zone it is removed.
+  // Adds or updates a store of the endpoint list; an empty zone removes it.
   void setStore(int store, const std::string& zone, int group) {
     observer_.setStore(store, zone, group);
   }
@@ -28,19 +29,20 @@
     observer_.observe(store, observation, now);
   }
   void countStatement() { ++statements_; }
-  // The unused part of what this proxy may send.
+  // Sets the unused fraction of this proxy's capacity, 0 to 1.
   void setHeadroom(double headroom) { headroom_ = headroom; }
 
-  // Does what is due: observes, reads, decides, publishes. Returns at once when nothing is due.
-  void round(TimePoint now);
+  // Updates the own report, reads those of the peers, decides, and publishes if due. Does nothing
+  // before dueAt().
+  void runRound(TimePoint now);
   TimePoint dueAt() const { return dueAt_; }
 
   EvacuationController& controller() { return controller_; }
   const EvacuationController& controller() const { return controller_; }
-  const ZoneReport& ownReport() const { return own_; }
-  // Other proxies whose reports count now.
+  const ZoneReport& ownReport() const { return ownReport_; }
+  // Number of other proxies with a current report.
   std::size_t peerCount() const { return peers_.size(); }
-  // Of those and this one together.
+  // Sum over this proxy and those peers.
   double statementsPerSecond() const;
   std::uint64_t unreadableReports() const { return unreadableReports_; }
 
@@ -63,7 +65,7 @@
   membership::Gossip& gossip_;
   ZoneObserver observer_;
   EvacuationController controller_;
-  ZoneReport own_;
+  ZoneReport ownReport_;
   std::map<std::string, Peer> peers_;  // by name
   std::uint64_t statements_ = 0;
   std::uint64_t statementsAtLastRate_ = 0;
--- a/src/zones/zone_observer.cpp
+++ b/src/zones/zone_observer.cpp
@@ -31,7 +31,7 @@
   failures = hasFailed ? std::min(failures + 1, kMaxCount) : 0;
 }
 
-void ZoneObserver::sumUp(const Store& store, TimePoint now, ZoneCounters& counters) const {
+void ZoneObserver::addCounts(const Store& store, TimePoint now, ZoneCounters& counters) const {
   std::int64_t oldest = bucketNumber(now) - kBuckets + 1;
   for (const Bucket& bucket : store.buckets) {
     if (bucket.number < oldest) continue;
@@ -51,7 +51,7 @@
   for (const Store& store : stores_) {
     if (store.zone.empty()) continue;
     ZoneCounters& counters = zones[store.zone];
-    sumUp(store, now, counters);
+    addCounts(store, now, counters);
     if (now - store.lastObserved > lookback_) continue;
     ++(store.isUnhealthy ? counters.unhealthy : counters.healthy);
     Groups& groups = groupsByZone[store.zone];
--- a/src/zones/zone_observer.h
+++ b/src/zones/zone_observer.h
@@ -1,4 +1,5 @@
-// Counts what one proxy observes of the stores, and sums it up by zone. Without I/O and clock.
+// Counts the outcomes that one proxy observes at the stores, and aggregates them by zone. Performs
+// no I/O and reads no clock.
 #pragma once
 
 #include <cstdint>
@@ -17,18 +18,19 @@
 
   explicit ZoneObserver(Duration lookback) : lookback_(lookback) {}
 
-  // A store of the endpoint list. Its group and zone may change; with an empty zone it is removed.
+  // Adds or updates a store of the endpoint list. Its group and zone may change; a change of zone
+  // clears its counts. An empty zone removes the store.
   void setStore(int store, const std::string& zone, int group);
   void observe(int store, Observation observation, TimePoint now);
-  // The counters of each zone that has stores in the endpoint list.
+  // The counters within the lookback, for each zone that has stores in the endpoint list.
   std::map<std::string, ZoneCounters> counters(TimePoint now);
   int storesIn(const std::string& zone) const;
 
  private:
-  // The lookback is divided into buckets, so that old counts expire bucket by bucket.
+  // Buckets per lookback. Old counts expire bucket by bucket.
   static constexpr int kBuckets = 4;
   struct Bucket {
-    std::int64_t number = -1;  // since the epoch of the clock
+    std::int64_t number = -1;  // buckets since the clock's epoch
     int answers = 0;
     int late = 0;
     int failed = 0;
@@ -42,7 +44,7 @@
   };
 
   std::int64_t bucketNumber(TimePoint now) const { return now.us * kBuckets / lookback_.us; }
-  void sumUp(const Store& store, TimePoint now, ZoneCounters& counters) const;
+  void addCounts(const Store& store, TimePoint now, ZoneCounters& counters) const;
 
   Duration lookback_;
   std::vector<Store> stores_;
--- a/src/zones/zone_report.cpp
+++ b/src/zones/zone_report.cpp
@@ -10,10 +10,10 @@
 namespace reedchute::zones {
 namespace {
 
-constexpr int kMaxZones = 16;  // in a report
+constexpr int kMaxZones = 16;  // per report
 constexpr std::size_t kMaxNameBytes = 64;
-constexpr double kFractionScale = 255;  // what 1.0 is on the wire
-constexpr double kMaxRate = 1e8;        // statements a second
+constexpr double kFractionScale = 255;  // encoding of 1.0 on the wire
+constexpr double kMaxRate = 1e8;        // statements per second
 
 std::uint32_t encodeCount(int count) {
   return static_cast<std::uint32_t>(std::clamp(count, 0, kMaxCount));
@@ -47,11 +47,11 @@
   to.set_in_status_ms(encodeMilliseconds(counters.timeInStatus));
 }
 
-bool isName(const std::string& name) {
+bool isValidName(const std::string& name) {
   return !name.empty() && name.size() <= kMaxNameBytes;
 }
 
-bool hasSoundCounts(const wire::ZoneCounters& from) {
+bool hasConsistentCounts(const wire::ZoneCounters& from) {
   for (std::uint32_t count : {from.answers(), from.late(), from.failed(), from.healthy(),
                               from.unhealthy(), from.unhealthy_groups(), from.groups(),
                               from.failed_recoveries(), from.consecutive_failures()})
@@ -61,9 +61,9 @@
 
 std::optional<ZoneCounters> decode(const wire::ZoneCounters& from) {
   constexpr auto kLastStatus = static_cast<std::uint32_t>(ZoneStatus::recovering);
-  if (!isName(from.name()) || from.status() > kLastStatus || from.share() > kFractionScale)
+  if (!isValidName(from.name()) || from.status() > kLastStatus || from.share() > kFractionScale)
     return std::nullopt;
-  if (!hasSoundCounts(from)) return std::nullopt;
+  if (!hasConsistentCounts(from)) return std::nullopt;
   return ZoneCounters{.answers = static_cast<int>(from.answers()),
                       .late = static_cast<int>(from.late()),
                       .failed = static_cast<int>(from.failed()),
--- a/src/zones/zone_report.h
+++ b/src/zones/zone_report.h
@@ -1,5 +1,5 @@
-// What a proxy reports of each zone to the others: small counts, and how it uses the zone. All
-// decisions about zones rest on these reports.
+// The report that a proxy sends to the others: counters for each zone and how it uses the zone. All
+// decisions about zones are based on these reports.
 #pragma once
 
 #include <map>
@@ -9,35 +9,38 @@
 
 namespace reedchute::zones {
 
-// How a proxy uses a zone: as usual, as usual though it seems to fail, less or not at all, and more
-// and more again.
+// How a proxy uses a zone. The values are those on the wire.
+// - active: the usual share of traffic.
+// - suspect: the usual share, though the zone seems to fail.
+// - evacuated: a reduced share or none.
+// - recovering: a share that grows back to the usual one.
 enum class ZoneStatus { active = 0, suspect = 1, evacuated = 2, recovering = 3 };
-// The name in the log.
+// The name used in logs.
 const char* nameOf(ZoneStatus status);
 
-inline constexpr int kMaxCount = 1 << 20;  // in any counter of a report
+inline constexpr int kMaxCount = 1 << 20;  // limit of each counter of a report
 
-// One zone, within EvacuationPolicy::lookback.
+// Counters of one zone, over EvacuationPolicy::lookback.
 struct ZoneCounters {
   int answers = 0;
-  int late = 0;                 // of the answers
-  int failed = 0;               // connects that failed, missing answers, broken connections
-  int consecutiveFailures = 0;  // since any store of the zone has answered
-  int healthy = 0;              // stores, by the last observation of each
-  int unhealthy = 0;
-  int unhealthyGroups = 0;  // replica groups with an unhealthy store
-  int groups = 0;           // replica groups that were observed
+  int late = 0;                 // answers that were late
+  int failed = 0;               // failed connects, missing answers and broken connections
+  int consecutiveFailures = 0;  // since the last answer of any store of the zone
+  int healthy = 0;              // stores whose last observation was an answer
+  int unhealthy = 0;            // stores whose last observation was a failure
+  int unhealthyGroups = 0;      // replica groups with an unhealthy store
+  int groups = 0;               // replica groups that were observed
   ZoneStatus status = ZoneStatus::active;
   Duration timeInStatus{};
-  double share = 1;          // of the usual traffic that the proxy sends there
+  double share = 1;          // of the usual traffic that the proxy sends to the zone
   int failedRecoveries = 0;  // since the zone was last stable
 };
 
 struct ZoneReport {
-  std::string zone;         // that the proxy runs in
-  bool isDegraded = false;  // by its own word: it was paused, or can't keep up
+  std::string zone;         // the zone that the proxy runs in
+  bool isDegraded = false;  // the proxy was paused or is overloaded, by its own local health
   double statementsPerSecond = 0;
-  double headroom = 1;  // unused part of what it may send
+  double headroom = 1;  // unused fraction of the proxy's capacity
   std::map<std::string, ZoneCounters> zones;
 };
 
@@ -47,8 +50,8 @@
 };
 
 std::string encodeReport(const ZoneReport& report);
-// False, and `into` unchanged, where the bytes can't be decoded or the counts contradict each
-// other.
+// Returns false and leaves `into` unchanged if the bytes can't be decoded or the counts are
+// inconsistent.
 bool decodeReport(const std::string& bytes, ZoneReport& into);
 
 }  // namespace reedchute::zones
--- a/src/zones/zone_votes.cpp
+++ b/src/zones/zone_votes.cpp
@@ -5,44 +5,45 @@
 namespace reedchute::zones {
 namespace {
 
-constexpr int kMinObservations = 3;             // from which a proxy has an opinion of a zone
-constexpr double kFullWeightObservations = 12;  // from which its vote has its whole weight
-constexpr double kGoneUnhealthyPart = 0.6;      // of a zone's stores that failed when last tried
-constexpr int kGoneFailures = 3;  // consecutive ones, and unhealthy stores, of a zone that is gone
-constexpr double kGreyBadPart = 0.4;        // of what was tried that failed or came late
-constexpr double kSystemicBadPart = 0.5;    // of a zone's bad part that the others have, too
-constexpr int kQuorum = 3;                  // proxies, or all where fewer are live
-constexpr std::size_t kSmallestQuorum = 2;  // proxies
+constexpr int kMinObservations = 3;             // needed for an opinion of a zone
+constexpr double kFullWeightObservations = 12;  // that give a vote its full weight
+constexpr double kGoneUnhealthyFraction = 0.6;  // of the stores, if the zone is gone
+constexpr int kGoneFailures = 3;  // consecutive failures, and unhealthy stores, of such a zone
+constexpr double kGreyBadFraction = 0.4;   // of the observations of a grey zone, failed or late
+constexpr double kSystemicBadRatio = 0.5;  // mean bad fraction of other zones to the zone's own
+constexpr int kQuorum = 3;                 // proxies, or all if fewer are live
+constexpr std::size_t kMinQuorum = 2;      // proxies
 
 int observationsOf(const ZoneCounters& counters) {
   return counters.answers + counters.failed;
 }
 
-double badPartOf(const ZoneCounters& counters) {
+double badFractionOf(const ZoneCounters& counters) {
   int observations = observationsOf(counters);
   return observations == 0 ? 0
                            : static_cast<double>(counters.late + counters.failed) / observations;
 }
 
-// An overload looks like a failing zone to whoever looks at that zone alone, and a proxy that is
-// cut off or starved finds all zones failing. Where the others are as bad, no zone is the cause.
-bool isSystemic(const ZoneReport& report, const std::string& zone, double badPart) {
+// Whether the other zones fail to a similar degree, in which case no zone is the cause: an overload
+// looks like a failing zone if only that zone is considered, and a proxy that is partitioned from
+// the network or short of CPU observes all zones failing.
+bool isSystemic(const ZoneReport& report, const std::string& zone, double badFraction) {
   int otherZones = 0;
-  double otherBadParts = 0;
+  double otherBadFractions = 0;
   for (const auto& [name, counters] : report.zones) {
     if (name == zone || observationsOf(counters) < kMinObservations) continue;
-    otherBadParts += badPartOf(counters);
+    otherBadFractions += badFractionOf(counters);
     ++otherZones;
   }
-  return otherZones > 0 && otherBadParts / otherZones > badPart * kSystemicBadPart;
+  return otherZones > 0 && otherBadFractions / otherZones > badFraction * kSystemicBadRatio;
 }
 
-// Consecutive failures are required, as answers from before a zone was lost would otherwise speak
-// for it during the whole lookback.
+// Requires consecutive failures, as answers from before the zone was lost would otherwise count in
+// its favor for the whole lookback.
 bool isGone(const ZoneCounters& counters) {
   int stores = counters.healthy + counters.unhealthy;
   return counters.consecutiveFailures >= kGoneFailures && counters.unhealthy >= kGoneFailures &&
-         counters.unhealthy >= kGoneUnhealthyPart * stores;
+         counters.unhealthy >= kGoneUnhealthyFraction * stores;
 }
 
 void countStatus(const ZoneCounters& counters, ZoneVotes& votes) {
@@ -58,16 +59,16 @@
 void countOpinion(const ZoneReport& report, const std::string& zone, ZoneVotes& votes) {
   Opinion opinion = opinionOf(report, zone);
   if (opinion == Opinion::unknown) return;
-  Ballot& ballot = opinion == Opinion::gone   ? votes.gone
-                   : opinion == Opinion::grey ? votes.grey
-                                              : votes.healthy;
+  VoteTally& tally = opinion == Opinion::gone   ? votes.gone
+                     : opinion == Opinion::grey ? votes.grey
+                                                : votes.healthy;
   int observations = observationsOf(report.zones.at(zone));
-  ballot.weight += std::min(1.0, observations / kFullWeightObservations);
-  ++ballot.proxies;
+  tally.weight += std::min(1.0, observations / kFullWeightObservations);
+  ++tally.proxies;
 }
 
-// Whether proxies of all zones vote: where too few run in this zone, unless this proxy itself finds
-// the zone healthy.
+// Whether proxies of all zones vote. They do if too few run in this proxy's zone, unless this proxy
+// itself finds `zone` healthy.
 bool doAllZonesVote(const std::string& zone, const RoundInput& input) {
   if (static_cast<int>(input.liveProxiesInZone) >= kQuorum) return false;
   bool findsHealthy = input.own && !input.isDegraded &&
@@ -82,13 +83,13 @@
   if (found == report.zones.end()) return Opinion::unknown;
   const ZoneCounters& counters = found->second;
   if (observationsOf(counters) < kMinObservations) return Opinion::unknown;
-  double badPart = badPartOf(counters);
-  if (isSystemic(report, zone, badPart)) return Opinion::unknown;
-  // Failures of one replica group, in whatever zones, are that group's.
+  double badFraction = badFractionOf(counters);
+  if (isSystemic(report, zone, badFraction)) return Opinion::unknown;
+  // Failures that are confined to one replica group are attributed to the group, not to the zone.
   bool isOneGroup = counters.groups > 1 && counters.unhealthyGroups <= 1;
   if (isGone(counters)) return isOneGroup ? Opinion::unknown : Opinion::gone;
   if (counters.consecutiveFailures > 0) return Opinion::unknown;
-  if (badPart < kGreyBadPart) return Opinion::healthy;
+  if (badFraction < kGreyBadFraction) return Opinion::healthy;
   return isOneGroup && counters.late == 0 ? Opinion::unknown : Opinion::grey;
 }
 
@@ -96,7 +97,7 @@
                        Duration maxAge) {
   ZoneVotes votes;
   bool doAllVote = doAllZonesVote(zone, input);
-  // Only proxies in a zone know how other zones are reached from there.
+  // Only proxies in the own zone observe whether `zone` is reachable from there.
   auto mayVote = [&](const ZoneReport& report) { return doAllVote || report.zone == ownZone; };
   if (input.own && !input.isDegraded && mayVote(*input.own) && !input.own->isDegraded)
     countOpinion(*input.own, zone, votes);
@@ -111,7 +112,7 @@
 }
 
 int requiredVotes(std::size_t liveProxies) {
-  return static_cast<int>(std::min<std::size_t>(kQuorum, std::max(kSmallestQuorum, liveProxies)));
+  return static_cast<int>(std::min<std::size_t>(kQuorum, std::max(kMinQuorum, liveProxies)));
 }
 
 }  // namespace reedchute::zones
--- a/src/zones/zone_votes.h
+++ b/src/zones/zone_votes.h
@@ -1,4 +1,4 @@
-// What the reports of many proxies say of one zone. Pure functions.
+// Aggregates the reports of many proxies into votes on one zone. Pure functions.
 #pragma once
 
 #include <cstddef>
@@ -11,37 +11,40 @@
 
 namespace reedchute::zones {
 
-// What one round of decisions rests on.
+// The input of one round of decisions.
 struct RoundInput {
   std::size_t liveProxies = 1;
-  std::size_t liveProxiesInZone = 1;  // in this proxy's zone, itself included
-  bool isAlone = true;                // no other proxy's report is known
+  std::size_t liveProxiesInZone = 1;  // in this proxy's zone, including itself
+  bool isAlone = true;                // no report of another proxy is known
   bool isDegraded = false;            // this proxy is locally degraded
   const ZoneReport* own = nullptr;
   std::vector<const AgedReport*> others;
-  std::map<std::string, int> storesByZone;  // of the endpoint list
+  std::map<std::string, int> storesByZone;  // number of stores in the endpoint list
 };
 
-// `grey`: a gray failure, where the zone answers, but badly.
+// - unknown: too few observations, or failures that this zone doesn't explain.
+// - healthy: the zone answers.
+// - gone: most of the zone's stores fail.
+// - grey: a gray failure; the zone answers, but late or with errors.
 enum class Opinion { unknown, healthy, gone, grey };
 
-// What one proxy's counters say of a zone.
+// The opinion of a zone that follows from the counters of one proxy.
 Opinion opinionOf(const ZoneReport& report, const std::string& zone);
 
-struct Ballot {
-  double weight = 0;  // of the proxies' observations
+struct VoteTally {
+  double weight = 0;  // up to 1 per proxy, by its number of observations
   int proxies = 0;
 };
 
 struct ZoneVotes {
-  Ballot gone;
-  Ballot grey;
-  Ballot healthy;
-  // How the other proxies use the zone.
+  VoteTally gone;
+  VoteTally grey;
+  VoteTally healthy;
+  // Number of other proxies by how they use the zone.
   int evacuated = 0;
   int recovering = 0;
   int inUse = 0;
-  std::vector<int> failedRecoveries;  // as the other proxies count them
+  std::vector<int> failedRecoveries;  // as counted by each of the other proxies
 
   double weight() const { return gone.weight + grey.weight + healthy.weight; }
   double badWeight() const { return gone.weight + grey.weight; }
@@ -50,12 +53,12 @@
   int statuses() const { return evacuated + recovering + inUse; }
 };
 
-// The votes of those who can tell how `zone` is reached from `ownZone`. Reports older than `maxAge`
-// don't count.
+// Collects the votes of the proxies in `ownZone` on `zone`, or of all proxies if too few run in
+// `ownZone`. Reports older than `maxAge` are ignored.
 ZoneVotes collectVotes(const std::string& zone, const std::string& ownZone, const RoundInput& input,
                        Duration maxAge);
 
-// How many proxies must agree.
+// The number of proxies that must agree on a verdict.
 int requiredVotes(std::size_t liveProxies);
 
 }  // namespace reedchute::zones
--- a/tests/zones/zones_fleet_test.cpp
+++ b/tests/zones/zones_fleet_test.cpp
@@ -162,7 +162,7 @@
   void step(int k) {
     Front& f = fleet[static_cast<std::size_t>(k)];
     if (together_) {
-      f.quorum->round(now);
+      f.quorum->runRound(now);
       for (const auto& [zone, z] : f.quorum->controller().zones()) {
         double before = shareOf(f, zone);
         f.share[zone] = z.share;
