--- a/src/membership/failure_detector.cpp
+++ b/src/membership/failure_detector.cpp
@@ -6,8 +6,8 @@
 namespace reedchute::membership {
 namespace {
 
-constexpr double kIndirectAfter = 0.34;  // periods without an ack
-constexpr double kFailsAfter = 0.9;      // periods without any ack, indirect ones included
+constexpr double kIndirectAfter = 0.34;  // periods without an ack to send indirect probes
+constexpr double kFailsAfter = 0.9;      // periods without any ack, direct or indirect, to fail
 constexpr std::size_t kMaxProbes = 256;
 constexpr std::size_t kMaxForwards = 256;
 
@@ -38,8 +38,8 @@
   const std::string& name = member.latest.name;
   std::uint64_t nonce = nextNonce();
   Packet ping = outbox_.compose(name, Ping{.nonce = nonce});
-  // A suspect must hear that it is suspected, to refute it.
-  if (member.latest.state == MemberState::suspect) putFirst(ping, member.latest);
+  // A suspect must be notified of the suspicion so that it can refute it.
+  if (member.latest.state == MemberState::suspect) prependUpdate(ping, member.latest);
   Duration period = health_.scaledPeriod();
   probes_.push_back({.target = name,
                      .nonce = nonce,
@@ -107,7 +107,7 @@
   std::erase_if(forwards_, [&](const Forward& forward) { return now >= forward.expiresAt; });
 }
 
-void FailureDetector::forgetAll() {
+void FailureDetector::discardPending() {
   probes_.clear();
   forwards_.clear();
 }
--- a/src/membership/failure_detector.h
+++ b/src/membership/failure_detector.h
@@ -1,6 +1,7 @@
-// SWIM's failure detector: pings one member a period, each once in a randomly ordered round, and
-// asks others to ping it where it doesn't answer. It also pings for others. It says which members
-// failed to answer; what follows from that is Membership's decision.
+// SWIM's failure detector. Pings one member per period, each member once in a randomly ordered
+// round, and requests indirect pings from other members if it doesn't answer. Also serves the ping
+// requests of others. Reports which members failed to answer; Membership decides what follows from
+// that.
 #pragma once
 
 #include <cstddef>
@@ -17,7 +18,7 @@
 
 class FailureDetector {
  public:
-  // The references must outlive it.
+  // The references must outlive the detector.
   FailureDetector(const Parameters& parameters, const MemberTable& members,
                   const LocalHealth& health, Outbox& outbox, Random& random,
                   std::uint64_t firstNonce)
@@ -31,23 +32,25 @@
   std::uint64_t nextNonce() { return ++lastNonce_; }
   bool hasCapacity() const;
 
-  // Pings the next member of the round, if there is any.
+  // Pings the next member of the round, if any.
   void probeNext(TimePoint now);
   void probe(const Member& member, TimePoint now);
-  // The probed member's name where the nonce is that of an open probe, which is closed; else empty.
+  // Closes the open probe with this nonce and returns the probed member's name; returns an empty
+  // string if there is no such probe.
   std::string onAck(std::uint64_t nonce);
-  // Passes an ack on to the member that asked for it, if any did.
+  // Forwards an ack to the member that requested the ping, if any.
   void forwardAck(std::uint64_t nonce);
   void onPingRequest(const PingRequest& request, const std::string& requester, TimePoint now);
 
-  // Asks other members to ping those that haven't answered, and closes the probes whose time is
-  // over. The names of the members that didn't answer.
+  // Requests indirect pings of members that haven't answered, and closes the probes that have timed
+  // out. Returns the names of the members of the closed probes.
   std::vector<std::string> expireProbes(TimePoint now);
   void expireForwards(TimePoint now);
-  // The process was paused: unanswered probes say nothing.
-  void forgetAll();
+  // Discards open probes and forwards. Used after a pause of this process, when an unanswered probe
+  // is no evidence of a failure.
+  void discardPending();
 
-  // When expireProbes() has something to do.
+  // When expireProbes() is due next.
   TimePoint dueAt() const;
 
  private:
@@ -56,10 +59,10 @@
     std::uint64_t nonce = 0;
     TimePoint indirectAt = kNever;
     TimePoint failsAt = kNever;
-    bool isIndirect = false;  // others were asked
+    bool isIndirect = false;  // indirect pings were requested
   };
   struct Forward {
-    std::uint64_t nonce = 0;           // of the ping sent here
+    std::uint64_t nonce = 0;           // of the ping that this process sent
     std::uint64_t requesterNonce = 0;  // of the PingRequest
     std::string requester;
     TimePoint expiresAt = kNever;
@@ -74,7 +77,7 @@
   Outbox& outbox_;
   Random& random_;
   std::uint64_t lastNonce_;
-  std::vector<std::string> round_;  // the members that are still to be probed, the last first
+  std::vector<std::string> round_;  // members still to be probed; the last one is next
   std::vector<Probe> probes_;
   std::vector<Forward> forwards_;
 };
--- a/src/membership/gossip.cpp
+++ b/src/membership/gossip.cpp
@@ -26,7 +26,8 @@
     if (!isOutdated(state)) states_.merge(state, Duration{}, now);
 }
 
-// A state of an earlier incarnation would stand for what the restarted process knows better.
+// Whether a state is from an earlier incarnation of its origin, which a process restart has made
+// obsolete.
 bool Gossip::isOutdated(const GossipState& state) const {
   const Member* origin = membership_.find(state.origin);
   return origin && state.incarnation < origin->latest.incarnation;
@@ -35,7 +36,7 @@
 std::vector<OutgoingDatagram> Gossip::takeDatagrams(TimePoint now) {
   std::vector<OutgoingDatagram> datagrams;
   for (OutgoingPacket& outgoing : membership_.takePackets()) {
-    // A page is filled with members already.
+    // A page is already filled with members.
     bool isPage = std::holds_alternative<SyncPage>(outgoing.packet.message);
     if (!isPage) states_.appendTo(outgoing.packet.states, now);
     std::optional<std::string> bytes = encodeDatagram(std::move(outgoing.packet), keys_);
--- a/src/membership/gossip.h
+++ b/src/membership/gossip.h
@@ -1,5 +1,5 @@
-// Membership and gossiped states behind datagrams: all of the protocol but the socket
-// (transport.h). Without I/O and clock; not thread-safe.
+// Membership and gossiped states on top of datagrams: the whole protocol except for the socket
+// (transport.h). Performs no I/O and reads no clock; not thread-safe.
 #pragma once
 
 #include <array>
@@ -26,7 +26,7 @@
     std::uint64_t packetsOut = 0;
     std::uint64_t bytesIn = 0;
     std::uint64_t bytesOut = 0;
-    std::uint64_t unsendable = 0;
+    std::uint64_t unsendable = 0;             // packets too long for a datagram
     std::array<std::uint64_t, 5> rejected{};  // by PacketError
   };
 
@@ -38,7 +38,7 @@
   void leave() { membership_.leave(); }
   // When tick() is due next.
   TimePoint dueAt() const { return membership_.dueAt(); }
-  // What is to be sent now, with the states that travel on it.
+  // Removes and returns the datagrams to send, with gossiped states added to them.
   std::vector<OutgoingDatagram> takeDatagrams(TimePoint now);
 
   Membership& membership() { return membership_; }
--- a/src/membership/gossip_state_table.cpp
+++ b/src/membership/gossip_state_table.cpp
@@ -36,7 +36,7 @@
   for (const auto& [topic, own] : own_) {
     if (now - own.publishedAt > limits_.maxAge) continue;
     states.push_back(toState(origin_, topic, own, now));
-    // It may have been published before this process had to raise its incarnation.
+    // The state may have been published before this process raised its incarnation.
     states.back().incarnation = incarnation_;
   }
 }
@@ -66,9 +66,9 @@
          state.topic >= 0 && state.topic < kMaxTopics;
 }
 
-// Of too many origins a random one gives way. The oldest state would always be that of the members
-// which are most hops away.
-void GossipStateTable::makeRoom(ByOrigin& states, TimePoint now) {
+// Evicts the state of a random origin if there are too many. Evicting the oldest state would always
+// remove members that are the most hops away.
+void GossipStateTable::evictIfFull(ByOrigin& states, TimePoint now) {
   if (states.size() < limits_.originsPerTopic) return;
   dropExpired(states, now);
   if (states.size() < limits_.originsPerTopic) return;
@@ -82,22 +82,23 @@
     return false;
   }
   if (state.origin == origin_ || state.origin.empty()) return false;
-  // A state ages on its way from member to member; otherwise it would circulate for ever.
+  // The age accumulates from hop to hop; otherwise a state would circulate forever.
   TimePoint publishedAt = now - state.age - transit;
   if (now - publishedAt > limits_.maxAge) return false;
   Entry entry{state.incarnation, state.version, publishedAt, state.payload};
   ByOrigin& states = others_[state.topic];
   auto known = states.find(state.origin);
   if (known == states.end()) {
-    makeRoom(states, now);
+    evictIfFull(states, now);
     states.emplace(state.origin, std::move(entry));
     return true;
   }
-  Entry& held = known->second;
-  bool isNewer = entry.incarnation != held.incarnation ? entry.incarnation > held.incarnation
-                                                       : entry.version > held.version;
+  Entry& existing = known->second;
+  bool isNewer = entry.incarnation != existing.incarnation
+                     ? entry.incarnation > existing.incarnation
+                     : entry.version > existing.version;
   if (!isNewer) return false;
-  held = std::move(entry);
+  existing = std::move(entry);
   return true;
 }
 
--- a/src/membership/gossip_state_table.h
+++ b/src/membership/gossip_state_table.h
@@ -1,6 +1,7 @@
-// What members publish to all others, by topic: a bounded sample of the newest states, passed on
-// with their ages. Without I/O and clock. What is held and sent stays the same however large the
-// fleet is; in a larger one each member knows the states of fewer others, chosen at random.
+// The states that members publish to all others, by topic: a bounded sample of the newest states,
+// forwarded with their ages. Performs no I/O and reads no clock. The amount stored and sent doesn't
+// depend on the size of the fleet; in a larger fleet each member knows the states of a smaller,
+// randomly chosen part of the others.
 #pragma once
 
 #include <cstddef>
@@ -20,13 +21,13 @@
   struct Limits {
     std::size_t originsPerTopic = 64;
     std::size_t othersPerPacket = 6;    // states of other members
-    std::size_t maxPayloadBytes = 900;  // a larger one is dropped; a packet has 1,400
+    std::size_t maxPayloadBytes = 900;  // larger ones are dropped; a datagram holds 1,400
     Duration maxAge{2'000'000};         // older states are dropped
   };
   struct Entry {
     std::uint64_t incarnation = 0;
     std::uint32_t version = 0;
-    TimePoint publishedAt = kNever;  // by this process's clock, from the age that it came with
+    TimePoint publishedAt = kNever;  // by this process's clock, computed from the received age
     std::string payload;
   };
   using ByOrigin = std::map<std::string, Entry>;
@@ -39,12 +40,12 @@
         random_(static_cast<std::uint32_t>(randomSeed)) {}
 
   void setIncarnation(std::uint64_t incarnation) { incarnation_ = incarnation; }
-  // This process's own state on a topic from now on.
+  // Replaces this process's own state on a topic.
   void publish(int topic, std::string payload, TimePoint now);
-  // Adds what a packet carries: all of this process's own states, and some of others.
+  // Adds the states for one packet: all unexpired ones of this process, and a random few of others.
   void appendTo(std::vector<GossipState>& states, TimePoint now);
-  // Takes what a packet brought. `transit`: the least time that the packet took. False where it is
-  // nothing new.
+  // Stores a received state. `transit` is the minimum time that the packet was in transit. Returns
+  // false if the state is malformed, expired, this process's own, or not newer than the stored one.
   bool merge(const GossipState& state, Duration transit, TimePoint now);
   // The states of others that are no older than Limits::maxAge.
   const ByOrigin& statesOf(int topic, TimePoint now);
@@ -53,7 +54,7 @@
  private:
   bool isWellFormed(const GossipState& state) const;
   void dropExpired(ByOrigin& states, TimePoint now) const;
-  void makeRoom(ByOrigin& states, TimePoint now);
+  void evictIfFull(ByOrigin& states, TimePoint now);
   void appendOwn(std::vector<GossipState>& states, TimePoint now) const;
 
   std::string origin_;
--- a/src/membership/local_health.cpp
+++ b/src/membership/local_health.cpp
@@ -6,9 +6,9 @@
 namespace {
 
 constexpr int kMaxScore = 8;
-constexpr int kDegradedScore = 3;           // from which the process is degraded
-constexpr double kSlowdownPerPoint = 0.25;  // of the period
-constexpr double kPausedFor = 4;            // periods that a process is degraded after a pause
+constexpr int kDegradedScore = 3;            // lowest score of a degraded process
+constexpr double kSlowdownPerPoint = 0.25;   // fraction of the period
+constexpr double kPauseDegradedPeriods = 4;  // during which a process is degraded after a pause
 
 }  // namespace
 
@@ -31,7 +31,7 @@
 
 void LocalHealth::onPaused(TimePoint now) {
   raiseScore();
-  degradedUntil_ = now + period_ * kPausedFor;
+  degradedUntil_ = now + period_ * kPauseDegradedPeriods;
 }
 
 bool LocalHealth::isDegraded(TimePoint now) const {
--- a/src/membership/local_health.h
+++ b/src/membership/local_health.h
@@ -1,5 +1,5 @@
-// Lifeguard's local health: how far this process may believe what it finds out about others. A
-// process that is slow or was paused finds everybody else silent.
+// Lifeguard's local health: how reliable this process's own failure detection is. To a process that
+// is slow or was paused, all other members appear unresponsive.
 #pragma once
 
 #include "base/time.h"
@@ -12,14 +12,14 @@
 
   void onProbeAnswered();
   void onProbeFailed();
-  // Others suspect this process, or have declared it dead.
+  // Other members suspect this process or have declared it dead.
   void onSuspected(TimePoint now);
-  // The process itself stood still.
+  // This process was paused.
   void onPaused(TimePoint now);
 
-  int score() const { return score_; }  // 0: healthy; each point makes probes slower
+  int score() const { return score_; }  // 0: healthy; each point slows down probing
   bool isDegraded(TimePoint now) const;
-  // The protocol period and the probe timeouts of a process in this state.
+  // The protocol period at the current score; probe timeouts are multiples of it.
   Duration scaledPeriod() const;
 
  private:
--- a/src/membership/member_table.cpp
+++ b/src/membership/member_table.cpp
@@ -47,36 +47,36 @@
 void MemberTable::erase(const std::string& name) {
   auto it = members_.find(name);
   if (it == members_.end()) return;
-  countOut(it->second);
+  removeFromCounts(it->second);
   members_.erase(it);
 }
 
 void MemberTable::setLatest(Member& member, const MemberUpdate& update, TimePoint now) {
-  countOut(member);
+  removeFromCounts(member);
   member.latest = update;
   member.stateSince = now;
-  countIn(member);
+  addToCounts(member);
 }
 
 void MemberTable::setVerified(Member& member) {
-  countOut(member);
+  removeFromCounts(member);
   member.isVerified = true;
-  countIn(member);
+  addToCounts(member);
 }
 
-void MemberTable::forgetGone(Duration after, TimePoint now) {
+void MemberTable::removeGone(Duration after, TimePoint now) {
   std::erase_if(members_, [&](const auto& entry) {
     const Member& member = entry.second;
     return member.isGone() && now - member.stateSince > after;
   });
 }
 
-void MemberTable::countIn(const Member& member) {
+void MemberTable::addToCounts(const Member& member) {
   if (member.isCountedLive()) ++liveOthers_;
   if (member.latest.state == MemberState::suspect) ++suspects_;
 }
 
-void MemberTable::countOut(const Member& member) {
+void MemberTable::removeFromCounts(const Member& member) {
   if (member.isCountedLive()) --liveOthers_;
   if (member.latest.state == MemberState::suspect) --suspects_;
 }
--- a/src/membership/member_table.h
+++ b/src/membership/member_table.h
@@ -1,5 +1,5 @@
-// The other members of the fleet as this process knows them, by name, and how many of them live.
-// Iteration is in the order of names, so nothing that is decided depends on hashing.
+// The other members of the fleet as known to this process, by name, and the number of live ones.
+// Iteration is in the order of names, so that no decision depends on hashing.
 #pragma once
 
 #include <cstddef>
@@ -14,15 +14,15 @@
 namespace reedchute::membership {
 
 struct Member {
-  MemberUpdate latest;  // the last update of it that was accepted
+  MemberUpdate latest;  // the last accepted update
   TimePoint stateSince = kNever;
-  TimePoint lastHeard = kNever;  // a packet of its own, or an ack that was passed on for it
+  TimePoint lastReceived = kNever;  // a packet from it, or an ack forwarded for it
   ReplayWindow replayWindow;
   Suspicion suspicion;
-  // It has answered a nonce of ours, or another member told of it.
+  // It has answered a nonce of this process, or another member has reported it.
   bool isVerified = false;
 
-  // Alive or suspect: it is probed.
+  // Alive or suspect, so that it is probed.
   bool isActive() const;
   // Left or dead.
   bool isGone() const { return !isActive(); }
@@ -37,17 +37,17 @@
   std::map<std::string, Member>& all() { return members_; }
   const Member* find(const std::string& name) const;
   Member* find(const std::string& name);
-  // A member that is alive and not in `except`, at random; none where there is none.
+  // A random verified member that is alive and not named `except`; null if there is none.
   const Member* randomAlive(Random& random, const std::string& except = "") const;
 
-  // Null where the table is full. The name must not be in it.
+  // Adds a member and returns it; null if the table is full. The name must not be in the table.
   Member* add(const std::string& name);
   void erase(const std::string& name);
-  // The only ways to change what is counted.
+  // Member::latest and Member::isVerified are changed only by these, which keep the counts correct.
   void setLatest(Member& member, const MemberUpdate& update, TimePoint now);
   void setVerified(Member& member);
-  // Drops those that have been gone for longer than that.
-  void forgetGone(Duration after, TimePoint now);
+  // Removes members that have been gone for longer than `after`.
+  void removeGone(Duration after, TimePoint now);
 
   // Live members, this process included.
   std::size_t liveCount() const { return static_cast<std::size_t>(liveOthers_) + 1; }
@@ -55,9 +55,10 @@
   bool hasSuspects() const { return suspects_ > 0; }
 
  private:
-  // Counting as states change keeps the start of a large fleet linear in its size.
-  void countIn(const Member& member);
-  void countOut(const Member& member);
+  // Counts are updated with each change of state, which keeps the start of a large fleet linear in
+  // its size.
+  void addToCounts(const Member& member);
+  void removeFromCounts(const Member& member);
 
   std::size_t maxMembers_;
   std::map<std::string, Member> members_;
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -8,18 +8,19 @@
 namespace reedchute::membership {
 namespace {
 
-constexpr double kPauseAfter = 2;     // periods between two ticks, from which it was a pause
-constexpr double kForgetAfter = 200;  // periods, of those that left or died
-constexpr double kSeedInterval = 20;  // periods
-constexpr int kMaxOutbids = 3;        // of another process's incarnation, before yielding the name
-constexpr int kFarewells = 2;         // members told of leaving, beside Parameters::indirectProbes
+constexpr double kPauseThreshold = 2;        // periods; a longer time between two ticks is a pause
+constexpr double kGoneRetention = 200;       // periods until left and dead members are removed
+constexpr double kSeedInterval = 20;         // periods
+constexpr int kMaxIncarnationConflicts = 3;  // tolerated before yielding the name
+constexpr int kExtraLeaveNotices = 2;        // sent on leaving, beyond Parameters::indirectProbes
 
 std::vector<Address> withoutSelf(std::vector<Address> seeds, const Address& self) {
   std::erase(seeds, self);
   return seeds;
 }
 
-// Processes that start together must not ping in the same instant for as long as they run.
+// A random offset within the first period, so that processes that start together don't ping in the
+// same instant for as long as they run.
 TimePoint firstProbeAt(TimePoint now, Duration period, Random& random) {
   return now + period * (static_cast<double>(random() % 1000) / 1000);
 }
@@ -93,15 +94,16 @@
   return true;
 }
 
-// Unless the packet is a recorded one, its sender must hear that its name has a later incarnation.
+// Unless the packet is a replayed one, its sender must be notified that its name has a later
+// incarnation.
 void Membership::answerOldIncarnation(const Packet& packet, Address source, const Member& known) {
   Packet answer = outbox_.compose(packet.from.name, Ack{});
-  putFirst(answer, known.latest);
+  prependUpdate(answer, known.latest);
   outbox_.send(packet.from.address.port ? packet.from.address : source, std::move(answer));
 }
 
-// The packet's sender, brought up to date by what it says of itself; null where the packet is a
-// repeated one, or the table is full.
+// Returns the packet's sender, updated with `own`, its update on itself. Returns null if the packet
+// is a replay or the table is full.
 Member* Membership::acceptSender(const Packet& packet, const MemberUpdate& own, TimePoint now) {
   Member* sender = members_.find(own.name);
   bool isNewIncarnation = !sender || own.incarnation > sender->latest.incarnation;
@@ -118,17 +120,17 @@
     ++dropped_.replayed;
     return nullptr;
   }
-  sender->lastHeard = now;
+  sender->lastReceived = now;
   sender->latest.address = own.address;
   if (!isNewIncarnation) apply(own, own.name, now);
-  // A packet that was recorded long ago may name a process that is no more. One that no other
-  // member has told of counts once it has answered a nonce of ours.
+  // The packet may be a recorded one of a process that no longer exists. So a sender that no other
+  // member has reported is counted only after it has answered a nonce of this process.
   if (!sender->isVerified && detector_.hasCapacity()) detector_.probe(*sender, now);
   return sender;
 }
 
 void Membership::handle(const Message& message, const Packet& packet, Member& sender,
-                        bool broughtNews, TimePoint now) {
+                        bool hasNewUpdates, TimePoint now) {
   const std::string& from = packet.from.name;
   std::visit(
       [&](const auto& body) {
@@ -137,27 +139,28 @@
         if constexpr (std::is_same_v<Body, Ack>) onAck(body, from, now);
         if constexpr (std::is_same_v<Body, PingRequest>) detector_.onPingRequest(body, from, now);
         if constexpr (std::is_same_v<Body, SyncRequest>) sync_.onRequest(body, sender);
-        if constexpr (std::is_same_v<Body, SyncPage>) sync_.onPage(body, broughtNews);
+        if constexpr (std::is_same_v<Body, SyncPage>) sync_.onPage(body, hasNewUpdates);
       },
       message);
 }
 
 void Membership::onPing(const Ping& ping, const Packet& packet, const Member& sender) {
   Packet answer = outbox_.compose(packet.from.name, Ack{.nonce = ping.nonce});
-  // A member that lives must hear that others take it for suspect or gone, to refute it.
+  // A live member must be notified that others hold it as suspect, left or dead, so that it can
+  // refute.
   bool isContested = sender.latest.state != MemberState::alive;
-  if (isContested && packet.from.state == MemberState::alive) putFirst(answer, sender.latest);
+  if (isContested && packet.from.state == MemberState::alive) prependUpdate(answer, sender.latest);
   outbox_.send(sender, std::move(answer));
 }
 
-// The ack comes from the probed member, or is passed on by one that pinged it for us.
+// The ack is from the probed member, or was forwarded by a member that pinged it for this process.
 void Membership::onAck(const Ack& ack, const std::string& from, TimePoint now) {
   std::string probed = detector_.onAck(ack.nonce);
   if (!probed.empty()) {
     if (Member* member = members_.find(probed)) {
       bool isDirect = probed == from;
       if (isDirect && !member->isVerified) verify(*member, from);
-      if (!isDirect) member->lastHeard = now;
+      if (!isDirect) member->lastReceived = now;
     }
     health_.onProbeAnswered();
   }
@@ -176,18 +179,19 @@
     setState(*member, update, source, Novelty::newIncarnation, now);
     return;
   }
-  bool isOwnWord = source == update.name;
-  if (!member->isVerified && !isOwnWord) verify(*member, source);
+  bool isSelfReported = source == update.name;
+  if (!member->isVerified && !isSelfReported) verify(*member, source);
   if (update.state == MemberState::suspect) addAccuser(update, source, *member);
   if (!supersedes(update, *member, now)) return;
   MemberUpdate accepted = update;
-  // Only a member itself knows its new address.
-  if (!isOwnWord && member->latest.address != Address{}) accepted.address = member->latest.address;
+  // Only the member itself knows its current address.
+  if (!isSelfReported && member->latest.address != Address{})
+    accepted.address = member->latest.address;
   setState(*member, accepted, source, Novelty::knownIncarnation, now);
 }
 
 void Membership::addMember(const MemberUpdate& update, const std::string& source, TimePoint now) {
-  // That a member is gone which was never heard of is no news.
+  // That an unknown member is gone changes nothing.
   if (update.state == MemberState::left || update.state == MemberState::dead) return;
   Member* member = members_.add(update.name);
   if (!member) {
@@ -197,25 +201,28 @@
   setState(*member, update, source, Novelty::newIncarnation, now);
 }
 
-// SWIM's order of updates about one incarnation: a higher number of refutations comes first, and
-// with the same one gone is stronger than suspect, and suspect than alive.
+// SWIM's precedence of updates about one incarnation: the higher number of refutations wins; for
+// equal numbers, left and dead override suspect, and suspect overrides alive. A member that is gone
+// stays so until it refutes.
 bool Membership::supersedes(const MemberUpdate& update, Member& member, TimePoint now) {
   const MemberUpdate& latest = member.latest;
   if (update.state == MemberState::alive) return update.refutations > latest.refutations;
   if (member.isGone() || update.refutations < latest.refutations) return false;
   if (update.state == MemberState::suspect)
     return update.refutations > latest.refutations || latest.state == MemberState::alive;
-  // Where many datagrams are lost, some members give up one that others still hear. Whoever hears
-  // it keeps it, and tells it.
+  // Under heavy datagram loss, some members declare one dead from which others still receive
+  // packets. A process that still receives packets from it keeps it, and notifies it so that it can
+  // refute.
   Duration timeout = shortestSuspicionTimeout(members_.liveCount(), parameters_.period);
-  bool wasHeardLately = now - member.lastHeard < timeout;
-  if (update.state == MemberState::dead && wasHeardLately) {
-    contradict(update, member);
+  bool wasReceivedRecently = now - member.lastReceived < timeout;
+  if (update.state == MemberState::dead && wasReceivedRecently) {
+    requestRefutation(update, member);
     return false;
   }
   return true;
 }
 
+// Records a further member that reports the same suspicion, which shortens the suspect's timeout.
 void Membership::addAccuser(const MemberUpdate& update, const std::string& accuser,
                             Member& member) {
   bool isSameSuspicion = member.latest.state == MemberState::suspect &&
@@ -226,29 +233,30 @@
   outbox_.announce(update);
 }
 
-void Membership::contradict(const MemberUpdate& update, const Member& member) {
+// Sends the update to the member that it is about, so that it can refute it.
+void Membership::requestRefutation(const MemberUpdate& update, const Member& member) {
   Packet ping = outbox_.compose(update.name, Ping{.nonce = detector_.nextNonce()});
-  putFirst(ping, update);
+  prependUpdate(ping, update);
   outbox_.send(member, std::move(ping));
 }
 
-// A process that was only paused hears that it is suspected or dead. It refutes that, and takes it
-// as a sign of being slow.
+// Refutes that this process is suspected or gone, which happens for example after a pause, and
+// records it in the local health as a sign of being slow.
 void Membership::onUpdateOfSelf(const MemberUpdate& update, TimePoint now) {
   if (isLeaving_ || update.incarnation < self_.incarnation) return;
-  if (update.incarnation > self_.incarnation) return outbid(update.incarnation);
+  if (update.incarnation > self_.incarnation) return resolveIncarnationConflict(update.incarnation);
   if (update.state == MemberState::alive || update.refutations < self_.refutations) return;
   self_.refutations = update.refutations + 1;
   health_.onSuspected(now);
   outbox_.announce(self_);
 }
 
-// A higher incarnation under this name is one from before the clock was set back, or belongs to
-// another process. Two processes must not speak under one name for long, so this one yields in the
-// end.
-void Membership::outbid(std::uint64_t incarnation) {
-  ++outbids_;
-  if (outbids_ > kMaxOutbids) {
+// A higher incarnation under this name is either from before the clock was set back, or belongs to
+// another process. In the first case a still higher incarnation resolves it. Two processes must not
+// use one name for long, so after kMaxIncarnationConflicts this one stops sending.
+void Membership::resolveIncarnationConflict(std::uint64_t incarnation) {
+  ++incarnationConflicts_;
+  if (incarnationConflicts_ > kMaxIncarnationConflicts) {
     hasNameConflict_ = true;
     return;
   }
@@ -283,7 +291,7 @@
 void Membership::suspect(const std::string& name, TimePoint now) {
   const Member* member = members_.find(name);
   if (!member) return;
-  // It never answered, and no other member told of it.
+  // It never answered, and no other member has reported it.
   if (!member->isVerified) return members_.erase(name);
   MemberUpdate update = member->latest;
   update.state = MemberState::suspect;
@@ -306,16 +314,17 @@
   if (now >= seedAt_) {
     seedAt_ = now + parameters_.period * kSeedInterval;
     contactSeed();
-    members_.forgetGone(parameters_.period * kForgetAfter, now);
+    members_.removeGone(parameters_.period * kGoneRetention, now);
   }
 }
 
-// A process that was paused finds all its pings unanswered and all suspects overdue, and would
-// declare the whole fleet dead. Timeouts that ran out in the meantime say nothing.
+// After a pause all pings are unanswered and all suspicions have expired, so the process would
+// declare the whole fleet dead. Timeouts that expired during the pause are no evidence, so they are
+// discarded or extended.
 void Membership::detectPause(TimePoint now) {
   Duration sinceTick = now - std::exchange(tickedAt_, now);
-  if (sinceTick <= parameters_.period * kPauseAfter) return;
-  detector_.forgetAll();
+  if (sinceTick <= parameters_.period * kPauseThreshold) return;
+  detector_.discardPending();
   for (auto& [name, member] : members_.all()) member.suspicion.extendBy(sinceTick);
   health_.onPaused(now);
 }
@@ -323,7 +332,7 @@
 void Membership::suspectUnanswered(TimePoint now) {
   for (const std::string& name : detector_.expireProbes(now)) {
     health_.onProbeFailed();
-    // Where none of the probes is answered, this process is the likelier cause.
+    // If none of the probes is answered, this process is the more likely cause.
     if (!isLocallyDegraded(now)) suspect(name, now);
   }
 }
@@ -340,7 +349,8 @@
   }
 }
 
-// A seed may run again, or the fleet may have split into parts that know nothing of each other.
+// Pings a random seed and a random dead member: a seed may have restarted, or the fleet may have
+// split into parts that don't know each other.
 void Membership::contactSeed() {
   if (seeds_.empty()) return;
   Address seed = seeds_[random_() % seeds_.size()];
@@ -354,14 +364,14 @@
     if (member.latest.state == MemberState::dead) dead.push_back(&member);
   if (dead.empty()) return;
   const Member& member = *dead[random_() % dead.size()];
-  contradict(member.latest, member);
+  requestRefutation(member.latest, member);
 }
 
 void Membership::leave() {
   if (hasNameConflict_ || isLeaving_) return;
   isLeaving_ = true;
   self_.state = MemberState::left;
-  for (int count = 0; count < parameters_.indirectProbes + kFarewells; ++count) {
+  for (int count = 0; count < parameters_.indirectProbes + kExtraLeaveNotices; ++count) {
     const Member* member = members_.randomAlive(random_);
     if (!member) return;
     outbox_.send(*member, outbox_.compose(member->latest.name, Ping{}));
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -1,10 +1,10 @@
-// Who is alive: the SWIM protocol with suspicion, and Lifeguard's local health. docs/zones.md says
-// what else was weighed.
+// Group membership: the SWIM protocol with suspicion, and Lifeguard's local health. docs/zones.md
+// describes the alternatives considered.
 //
-// Without I/O and clock: it is given packets and the time, and gives packets to send, the same ones
-// for the same seed and events. Not thread-safe. A process sends one ping a period whatever the
-// size of the fleet; updates travel on pings and acks. It holds one entry a member, up to
-// Parameters::maxMembers.
+// Performs no I/O and reads no clock: the caller passes in packets and the time, and takes the
+// packets to send. These are the same for the same seed and events. Not thread-safe. A process
+// sends one ping per period whatever the size of the fleet; updates are piggybacked on pings and
+// acks. It stores one entry per member, up to Parameters::maxMembers.
 #pragma once
 
 #include <cstddef>
@@ -26,10 +26,10 @@
 // A change of state for the log.
 struct MembershipChange {
   std::string name;
-  std::string source;  // the member whose word it rests on
+  std::string source;  // the member that reported it
   MemberState state = MemberState::alive;
   std::uint64_t incarnation = 0;
-  bool isNewIncarnation = false;  // the first that is heard of it
+  bool isNewIncarnation = false;  // the first update on this incarnation
 };
 
 class Membership {
@@ -48,13 +48,13 @@
   Membership(const Membership&) = delete;
   Membership& operator=(const Membership&) = delete;
 
-  // `source`: where the packet came from, used where it names no address itself. False where it was
-  // dropped.
+  // Handles a packet. `source` is the address that it was received from, used if the packet names
+  // no address. Returns false if the packet was dropped.
   bool receive(const Packet& packet, Address source, TimePoint now);
   void tick(TimePoint now);
   // When tick() is due next.
   TimePoint dueAt() const;
-  // The process shuts down: tells some members at once. Afterwards tick() does nothing.
+  // Notifies some members at once that this process shuts down. Afterwards tick() does nothing.
   void leave();
 
   std::vector<OutgoingPacket> takePackets() { return outbox_.takePackets(); }
@@ -66,10 +66,11 @@
   const Member* find(const std::string& name) const { return members_.find(name); }
   const MemberUpdate& self() const { return self_; }
   const Dropped& dropped() const { return dropped_; }
-  // It was paused, or its own probes fail: what it believes of others is doubtful.
+  // This process was paused, is suspected by others, has failing probes, or has a name conflict, so
+  // that its view of other members is unreliable.
   bool isLocallyDegraded(TimePoint now) const;
   int localHealthScore() const { return health_.score(); }  // 0: healthy
-  // Another process has its name: it sends nothing any more.
+  // Another process uses the same name; this one has stopped sending.
   bool hasNameConflict() const { return hasNameConflict_; }
 
  private:
@@ -78,7 +79,7 @@
   bool isForSelf(const Packet& packet);
   void answerOldIncarnation(const Packet& packet, Address source, const Member& known);
   Member* acceptSender(const Packet& packet, const MemberUpdate& own, TimePoint now);
-  void handle(const Message& message, const Packet& packet, Member& sender, bool broughtNews,
+  void handle(const Message& message, const Packet& packet, Member& sender, bool hasNewUpdates,
               TimePoint now);
   void onPing(const Ping& ping, const Packet& packet, const Member& sender);
   void onAck(const Ack& ack, const std::string& from, TimePoint now);
@@ -87,9 +88,9 @@
   void addMember(const MemberUpdate& update, const std::string& source, TimePoint now);
   bool supersedes(const MemberUpdate& update, Member& member, TimePoint now);
   void addAccuser(const MemberUpdate& update, const std::string& accuser, Member& member);
-  void contradict(const MemberUpdate& update, const Member& member);
+  void requestRefutation(const MemberUpdate& update, const Member& member);
   void onUpdateOfSelf(const MemberUpdate& update, TimePoint now);
-  void outbid(std::uint64_t incarnation);
+  void resolveIncarnationConflict(std::uint64_t incarnation);
   void setState(Member& member, const MemberUpdate& update, const std::string& source,
                 Novelty novelty, TimePoint now);
   void verify(Member& member, const std::string& source);
@@ -110,11 +111,11 @@
   LocalHealth health_;
   Outbox outbox_;
   FailureDetector detector_;
-  TimePoint probeAt_;  // drawn before the other times
+  TimePoint probeAt_;  // initialized with the first draw from random_
   StateSync sync_;
   TimePoint tickedAt_;
   TimePoint seedAt_;
-  int outbids_ = 0;
+  int incarnationConflicts_ = 0;
   bool hasNameConflict_ = false;
   bool isLeaving_ = false;
   std::vector<MembershipChange> changes_;
--- a/src/membership/outbox.cpp
+++ b/src/membership/outbox.cpp
@@ -17,7 +17,7 @@
   outgoing_.push_back({to, std::move(packet)});
 }
 
-void putFirst(Packet& packet, const MemberUpdate& update) {
+void prependUpdate(Packet& packet, const MemberUpdate& update) {
   packet.updates.insert(packet.updates.begin(), update);
 }
 
--- a/src/membership/outbox.h
+++ b/src/membership/outbox.h
@@ -1,5 +1,5 @@
-// Makes the packets of one process: what all of them carry (the sender, its packet numbers, the
-// queued updates) is added here. They wait until the caller takes them to its socket.
+// Builds the packets of one process. Adds what all of them carry: the sender, its packet number and
+// the queued updates. Packets are queued until the caller takes them to send.
 #pragma once
 
 #include <cstddef>
@@ -16,7 +16,7 @@
 
 class Outbox {
  public:
-  // `self` and `members` must outlive it.
+  // `self` and `members` must outlive the outbox.
   Outbox(std::string fleet, const MemberUpdate& self, const MemberTable& members,
          std::size_t updatesPerPacket)
       : fleet_(std::move(fleet)),
@@ -24,13 +24,14 @@
         members_(members),
         updatesPerPacket_(updatesPerPacket) {}
 
-  // A packet to a member by name, or to whoever listens (""), with the updates whose turn it is.
+  // Builds a packet with the next queued updates. `to` is the receiver's name, or empty if only its
+  // address is known.
   Packet compose(const std::string& to, Message message);
   void send(Address to, Packet packet);
   void send(const Member& to, Packet packet) { send(to.latest.address, std::move(packet)); }
   // Queues an update for the next packets.
   void announce(const MemberUpdate& update) { updates_.push(update); }
-  // A new incarnation counts its packets from the start.
+  // Restarts the packet numbers, for a new incarnation.
   void restartNumbering() { lastNumber_ = 0; }
 
   std::vector<OutgoingPacket> takePackets() { return std::exchange(outgoing_, {}); }
@@ -45,7 +46,7 @@
   std::vector<OutgoingPacket> outgoing_;
 };
 
-// Puts an update before all others that the packet carries.
-void putFirst(Packet& packet, const MemberUpdate& update);
+// Inserts an update before all others of the packet.
+void prependUpdate(Packet& packet, const MemberUpdate& update);
 
 }  // namespace reedchute::membership
--- a/src/membership/packet_codec.cpp
+++ b/src/membership/packet_codec.cpp
@@ -15,7 +15,7 @@
 constexpr std::uint8_t kVersion = 1;
 constexpr std::uint8_t kPacketKind = 1;
 constexpr std::size_t kHeaderBytes = 2;  // version and kind
-constexpr int kMaxItems = 64;            // updates, or states, in a packet that is accepted
+constexpr int kMaxItems = 64;            // updates, or states, in an accepted packet
 constexpr std::uint32_t kMaxPort = 65535;
 constexpr std::uint32_t kTopicMask = 0xffff;
 
@@ -48,7 +48,7 @@
   to.set_state(static_cast<std::uint32_t>(update.state));
 }
 
-// Rounded up: rounding down at each hop would keep a state young.
+// Rounds up: rounding down at each hop would understate the age.
 std::uint32_t ageInMilliseconds(Duration age) {
   return static_cast<std::uint32_t>(std::clamp<std::int64_t>((age.us + 999) / 1000, 0, INT32_MAX));
 }
@@ -104,13 +104,13 @@
 
 // ---- decoding ----
 
-bool isName(const std::string& name) {
+bool isValidName(const std::string& name) {
   return !name.empty() && name.size() <= kMaxNameBytes;
 }
 
 std::optional<MemberUpdate> decode(const wire::MemberUpdate& from) {
   constexpr auto kLastState = static_cast<std::uint32_t>(MemberState::dead);
-  if (!isName(from.name()) || from.zone().size() > kMaxNameBytes) return std::nullopt;
+  if (!isValidName(from.name()) || from.zone().size() > kMaxNameBytes) return std::nullopt;
   if (from.port() > kMaxPort || from.state() > kLastState) return std::nullopt;
   return MemberUpdate{.name = from.name(),
                       .zone = from.zone(),
@@ -121,7 +121,7 @@
 }
 
 std::optional<GossipState> decode(const wire::GossipState& from) {
-  if (!isName(from.origin())) return std::nullopt;
+  if (!isValidName(from.origin())) return std::nullopt;
   return GossipState{.origin = from.origin(),
                      .incarnation = from.incarnation(),
                      .version = from.version(),
@@ -155,7 +155,7 @@
   return true;
 }
 
-// Appends what each item of `from` decodes to; false where one doesn't.
+// Decodes each item of `from` and appends it to `into`. Returns false if one is invalid.
 template <typename WireItems, typename Item>
 bool decodeAll(const WireItems& from, std::vector<Item>& into) {
   for (const auto& wireItem : from) {
--- a/src/membership/packet_codec.h
+++ b/src/membership/packet_codec.h
@@ -1,5 +1,5 @@
-// Packets as datagrams: protobuf behind a keyed MAC. What is truncated, too long or signed by an
-// unknown key is rejected, with the reason.
+// Encodes packets as datagrams: protobuf authenticated with a keyed MAC. Datagrams that are
+// truncated, too long, malformed or signed with an unknown key are rejected with the reason.
 #pragma once
 
 #include <cstddef>
@@ -13,15 +13,15 @@
 
 namespace reedchute::membership {
 
-// No larger datagram is sent, or accepted. It fits the MTU of usual networks.
+// The limit of sent and accepted datagrams. Fits the MTU of common networks.
 inline constexpr std::size_t kMaxDatagramBytes = 1400;
 inline constexpr std::size_t kMacBytes = 16;  // of HMAC-SHA256, truncated
 inline constexpr std::size_t kMaxNameBytes = 64;
 
-// The first key signs, and all are accepted: two are listed while one is being replaced.
+// The first key signs, and all keys are accepted. Two are listed during a key rotation.
 using Keys = std::vector<std::string>;
 
-// Why a datagram was rejected.
+// Why a datagram was rejected. `form`: authentic, but malformed.
 enum class PacketError { none, size, version, key, form };
 const char* nameOf(PacketError error);
 
@@ -31,16 +31,16 @@
 };
 
 struct OpenedEnvelope {
-  std::optional<std::string_view> body;  // within the bytes that were opened
+  std::optional<std::string_view> body;  // refers to the bytes passed to unseal()
   PacketError error = PacketError::none;
 };
 
-// States and then updates that don't fit are left out, the last first. Nothing where the packet is
-// too long even without them.
+// Omits states and then updates that don't fit, from the last one on. Returns nothing if the packet
+// is too long even without them.
 std::optional<std::string> encodeDatagram(Packet packet, const Keys& keys);
 DecodedPacket decodeDatagram(std::string_view bytes, const Keys& keys);
 
-// The same envelope around bytes of another kind, for commands. The MAC covers `kind`.
+// The same envelope for bodies of another kind, such as commands. The MAC covers `kind`.
 std::string seal(std::uint8_t kind, std::string_view body, const Keys& keys);
 OpenedEnvelope unseal(std::uint8_t kind, std::string_view bytes, const Keys& keys);
 
--- a/src/membership/replay_window.h
+++ b/src/membership/replay_window.h
@@ -1,5 +1,5 @@
-// Tells packets of one sender that came before from new ones, by their numbers. A recorded packet
-// that is sent again would otherwise renew a state that is long over.
+// Detects replayed packets of one sender by their numbers. A recorded packet that is sent again
+// could otherwise restore an outdated state.
 #pragma once
 
 #include <cstdint>
@@ -8,17 +8,17 @@
 
 class ReplayWindow {
  public:
-  // True the first time that a number is given. Numbers that lie too far behind the highest one,
-  // and zero, are never accepted.
+  // Returns true the first time that a number is passed. Zero, and numbers more than 64 behind the
+  // highest one, are never accepted.
   bool accept(std::uint64_t number);
-  // The sender has begun a new incarnation and counts from the start.
+  // For a new incarnation of the sender, whose numbers start again.
   void reset();
 
  private:
   void advanceTo(std::uint64_t number);
 
   std::uint64_t highest_ = 0;
-  std::uint64_t accepted_ = 0;  // bit k: the number `highest_ - k - 1`
+  std::uint64_t accepted_ = 0;  // bit k: number `highest_ - k - 1` was accepted
 };
 
 }  // namespace reedchute::membership
--- a/src/membership/state_sync.cpp
+++ b/src/membership/state_sync.cpp
@@ -5,10 +5,10 @@
 namespace reedchute::membership {
 namespace {
 
-constexpr double kIncompleteInterval = 0.5;       // periods between pages while they bring news
-constexpr double kCompleteInterval = 10;          // periods between pages afterwards
-constexpr std::size_t kMaxPageBytes = 900;        // of members, which leaves room for the rest
-constexpr std::size_t kUpdateOverheadBytes = 32;  // of an update without its names
+constexpr double kIncompleteInterval = 0.5;  // periods between pages while they have new updates
+constexpr double kCompleteInterval = 10;     // periods between pages afterwards
+constexpr std::size_t kMaxPageBytes = 900;   // of members; leaves space for the other fields
+constexpr std::size_t kUpdateOverheadBytes = 32;  // size of an update without its names
 
 }  // namespace
 
@@ -26,8 +26,8 @@
   requestAt_ = now + parameters_.period * (interval + jitter);
 }
 
-// What doesn't fit into the datagram is cut off its end, and the cursor would have passed it. So a
-// page ends before it grows too long.
+// Updates that don't fit into the datagram are removed from its end, although the cursor would be
+// past them. So a page ends before it exceeds the datagram.
 void StateSync::onRequest(const SyncRequest& request, const Member& requester) {
   const std::string& name = requester.latest.name;
   Packet page = outbox_.compose(name, SyncPage{});
@@ -49,12 +49,12 @@
   outbox_.send(requester, std::move(page));
 }
 
-void StateSync::onPage(const SyncPage& page, bool broughtNews) {
+void StateSync::onPage(const SyncPage& page, bool hasNewUpdates) {
   cursor_ = page.cursor;
-  hasSeenNews_ = hasSeenNews_ || broughtNews;
+  hasSeenNewUpdates_ = hasSeenNewUpdates_ || hasNewUpdates;
   if (!cursor_.empty()) return;
-  isComplete_ = !hasSeenNews_;
-  hasSeenNews_ = false;
+  isComplete_ = !hasSeenNewUpdates_;
+  hasSeenNewUpdates_ = false;
 }
 
 }  // namespace reedchute::membership
--- a/src/membership/state_sync.h
+++ b/src/membership/state_sync.h
@@ -1,5 +1,6 @@
-// Learns the whole member list page by page, which gossip alone spreads slowly to one that has just
-// started: asks a random member for the next page, and answers others' requests.
+// Transfers the whole member list page by page, as gossip alone spreads it slowly to a process that
+// has just started. Requests the next page from a random member, and answers the requests of
+// others.
 #pragma once
 
 #include <cstddef>
@@ -14,7 +15,7 @@
 
 class StateSync {
  public:
-  // The references must outlive it.
+  // The references must outlive this object.
   StateSync(const Parameters& parameters, const std::vector<Address>& seeds,
             const MemberTable& members, Outbox& outbox, Random& random, TimePoint now)
       : parameters_(parameters),
@@ -26,11 +27,11 @@
 
   void requestPage(TimePoint now);
   void onRequest(const SyncRequest& request, const Member& requester);
-  // `broughtNews`: some update on the page was news.
-  void onPage(const SyncPage& page, bool broughtNews);
-  // When the next page is to be requested.
+  // `hasNewUpdates`: an update of the page changed the member table.
+  void onPage(const SyncPage& page, bool hasNewUpdates);
+  // When the next page request is due.
   TimePoint requestAt() const { return requestAt_; }
-  // As long as the list isn't known to be complete, pages are requested even from seeds.
+  // Until the list is known to be complete, pages are requested even from seeds.
   bool isComplete() const { return isComplete_; }
 
  private:
@@ -39,9 +40,9 @@
   const MemberTable& members_;
   Outbox& outbox_;
   Random& random_;
-  std::string cursor_;        // the name after which the next page begins
-  bool hasSeenNews_ = false;  // on any page since the list's beginning
-  bool isComplete_ = false;   // the last walk over the list brought no news
+  std::string cursor_;              // the next page begins after this name
+  bool hasSeenNewUpdates_ = false;  // on any page since the start of the list
+  bool isComplete_ = false;         // the last pass over the list had no new updates
   TimePoint requestAt_;
 };
 
--- a/src/membership/suspicion.cpp
+++ b/src/membership/suspicion.cpp
@@ -7,9 +7,9 @@
 namespace {
 
 constexpr double kShortestTimeout = 6;    // periods, times the logarithm of the live members
-constexpr double kSoleAccuserFactor = 3;  // longer where a single member accuses
-constexpr double kEnoughAccusers = 3;     // from which the timeout is the shortest
-constexpr std::size_t kMaxAccusers = 8;   // that are remembered
+constexpr double kSoleAccuserFactor = 3;  // longer if there is a single accuser
+constexpr double kEnoughAccusers = 3;     // number that gives the shortest timeout
+constexpr std::size_t kMaxAccusers = 8;   // stored per suspect
 
 }  // namespace
 
--- a/src/membership/suspicion.h
+++ b/src/membership/suspicion.h
@@ -1,5 +1,5 @@
-// How long one suspected member has to refute before it is declared dead: SWIM's suspicion with
-// Lifeguard's timeout, which shrinks with each further member that accuses it.
+// The time that a suspected member has to refute before it is declared dead: SWIM's suspicion with
+// Lifeguard's timeout, which shrinks with each further accuser (member that reports the suspicion).
 #pragma once
 
 #include <cstddef>
@@ -10,21 +10,21 @@
 
 namespace reedchute::membership {
 
-// The time that a suspect has with this many accusers, in a fleet of so many live members.
+// The timeout of a suspect with `accusers` accusers, in a fleet of `liveMembers` live members.
 Duration suspicionTimeout(std::size_t accusers, std::size_t liveMembers, Duration period);
 
-// The shortest of these times: that of a suspect which enough members accuse.
+// The shortest such timeout, which applies once there are enough accusers.
 Duration shortestSuspicionTimeout(std::size_t liveMembers, Duration period);
 
 class Suspicion {
  public:
   void start(const std::string& accuser, TimePoint now, Duration timeout);
   void clear();
-  // False where it has accused already, or enough accusers are known.
+  // Returns false if the accuser is already known or the maximum number of accusers is reached.
   bool addAccuser(const std::string& accuser);
-  // The timeout counts from when the suspicion began; it is never lengthened.
+  // `timeout` is counted from the start of the suspicion; this never extends the deadline.
   void shortenTo(Duration timeout);
-  // This process stood still for so long, so the suspect couldn't be heard.
+  // Extends the deadline by a pause of this process, during which no refutation could be received.
   void extendBy(Duration pause);
 
   std::size_t accuserCount() const { return accusers_.size(); }
--- a/src/membership/transport.cpp
+++ b/src/membership/transport.cpp
@@ -11,7 +11,7 @@
 namespace reedchute::membership {
 namespace {
 
-constexpr int kMaxReadsAtOnce = 64;  // datagrams read before other tasks have their turn
+constexpr int kMaxReadsAtOnce = 64;  // datagrams read before yielding to other tasks
 
 int bindDatagramSocket(const sockaddr_in& address) {
   int fd = socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
@@ -57,7 +57,7 @@
   if (!answer.empty()) send(answer, from, 0);
 }
 
-// How many datagrams were read, up to kMaxReadsAtOnce.
+// Returns the number of datagrams read, up to kMaxReadsAtOnce.
 int Transport::readSome() {
   std::array<char, kMaxDatagramBytes + 1> bytes;
   int count = 0;
@@ -67,7 +67,7 @@
     ssize_t received = recvfrom(socket_.fd(), bytes.data(), bytes.size(), 0,
                                 reinterpret_cast<sockaddr*>(&from), &size);
     if (received < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) break;
-    // Any other error belongs to an earlier datagram that couldn't be delivered.
+    // Any other error is a pending one of an earlier datagram that couldn't be delivered.
     if (received < 0) continue;
     dispatch({bytes.data(), static_cast<std::size_t>(received)}, from);
   }
--- a/src/membership/transport.h
+++ b/src/membership/transport.h
@@ -1,5 +1,5 @@
-// The gossip's UDP socket: gives received datagrams to Gossip and sends what it has ready. Runs on
-// the scheduler's thread.
+// The UDP socket for gossip: passes received datagrams to Gossip and sends those that it has
+// queued. Runs on the scheduler's thread.
 #pragma once
 
 #include <netinet/in.h>
@@ -18,22 +18,22 @@
 
 class Transport {
  public:
-  // Handles datagrams of another kind than packets; what it returns is sent back.
+  // Handles datagrams of a kind other than packets. A non-empty result is sent back as the answer.
   using DatagramHandler = std::function<std::string(std::string_view bytes, Address from)>;
 
-  // Throws std::runtime_error where the address can't be bound.
+  // Throws std::runtime_error if the address can't be bound.
   Transport(runtime::Scheduler& scheduler, Gossip& gossip, const sockaddr_in& listen);
 
-  // Hands datagrams of this kind to the handler instead of the gossip.
+  // Passes datagrams of this kind to the handler instead of to Gossip.
   void setHandler(std::uint8_t kind, DatagramHandler handler) {
     handledKind_ = kind;
     handler_ = std::move(handler);
   }
-  // Both run as long as the process does.
+  // Both run for the lifetime of the process.
   runtime::Task<> read();
   runtime::Task<> tick();
-  // Sends what the gossip has ready. A datagram that the kernel doesn't take now is lost like one
-  // on its way, which the protocol bears.
+  // Sends the queued datagrams. One that the kernel doesn't accept at once is dropped, which the
+  // protocol tolerates like a loss in the network.
   void flush();
   int port() const { return runtime::localPort(socket_.fd()); }
   std::uint64_t unsent() const { return unsent_; }
--- a/src/membership/update_queue.cpp
+++ b/src/membership/update_queue.cpp
@@ -22,8 +22,8 @@
   queue_.insert(queue_.begin(), Queued{std::make_unique<const MemberUpdate>(update), 0});
 }
 
-// The entries sent with the last packet are in order, and so are the others. Merging such runs
-// costs less than sorting.
+// The entries sent with the last packet are in order, and so are the others. Merging these sorted
+// runs costs less than sorting the queue.
 void UpdateQueue::sortByTransmits() {
   auto less = [](const Queued& a, const Queued& b) { return a.transmits < b.transmits; };
   auto run = std::is_sorted_until(queue_.begin(), queue_.end(), less);
@@ -34,11 +34,11 @@
   }
 }
 
-std::vector<MemberUpdate> UpdateQueue::take(std::size_t most, int transmitLimit) {
+std::vector<MemberUpdate> UpdateQueue::take(std::size_t maxUpdates, int transmitLimit) {
   sortByTransmits();
   std::vector<MemberUpdate> taken;
   for (Queued& queued : queue_) {
-    if (taken.size() >= most) break;
+    if (taken.size() >= maxUpdates) break;
     taken.push_back(*queued.update);
     ++queued.transmits;
   }
--- a/src/membership/update_queue.h
+++ b/src/membership/update_queue.h
@@ -1,5 +1,5 @@
-// SWIM's dissemination: updates wait here to travel on pings and acks, each on a bounded number of
-// packets. Of each member only the newest update is queued.
+// SWIM's dissemination: queues updates to piggyback on packets, each on a bounded number of them.
+// Only the newest update of each member is queued.
 #pragma once
 
 #include <cstddef>
@@ -13,9 +13,9 @@
 class UpdateQueue {
  public:
   void push(const MemberUpdate& update);
-  // What the next packet carries: those first that were sent the least. An update that has been
-  // sent `transmitLimit` times leaves the queue.
-  std::vector<MemberUpdate> take(std::size_t most, int transmitLimit);
+  // Returns up to `maxUpdates` updates for the next packet, those sent the fewest times first. An
+  // update that has been sent `transmitLimit` times is removed from the queue.
+  std::vector<MemberUpdate> take(std::size_t maxUpdates, int transmitLimit);
 
  private:
   struct Queued {
@@ -28,7 +28,7 @@
   std::vector<Queued> queue_;
 };
 
-// How many packets carry an update in a fleet of so many live members.
+// The number of packets that carry an update in a fleet of `liveMembers` live members.
 int transmitLimit(std::size_t liveMembers);
 
 }  // namespace reedchute::membership
