--- a/src/zones/evacuation_policy.h
+++ b/src/zones/evacuation_policy.h
@@ -33,7 +33,8 @@
   Duration age;  // since it was issued
 };
 
-// Whether `a` overrides `b`. A total order, so all proxies agree whatever the order of arrival.
+// Whether `a` overrides `b`. All proxies agree on this, whatever the order in which commands
+// arrive.
 bool overrides(const CommandRecord& a, const CommandRecord& b);
 
 }  // namespace reedchute::zones
