--- a/src/protocols/cassandra/prepared_statements.cpp
+++ b/src/protocols/cassandra/prepared_statements.cpp
@@ -7,7 +7,7 @@
 namespace reedchute::protocols::cassandra {
 namespace {
 
-constexpr std::size_t kEntryBytes = 512;  // beside the entry's texts
+constexpr std::size_t kEntryBytes = 512;  // of an entry, beside its strings
 constexpr double kFailureFactor = 0.5;
 
 }  // namespace
@@ -25,7 +25,7 @@
 PreparedRef PreparedTexts::find(std::string_view id) {
   auto it = byId_.find(id);
   if (it == byId_.end()) return nullptr;
-  byUse_.splice(byUse_.begin(), byUse_, it->second);
+  recentlyUsed_.splice(recentlyUsed_.begin(), recentlyUsed_, it->second);
   return *it->second;
 }
 
@@ -33,13 +33,13 @@
   if (PreparedRef known = find(text.id)) return known;
   auto inserted = std::make_shared<PreparedText>(std::move(text));
   bytes_ += costOf(*inserted);
-  byUse_.push_front(inserted);
-  byId_.emplace(inserted->id, byUse_.begin());
+  recentlyUsed_.push_front(inserted);
+  byId_.emplace(inserted->id, recentlyUsed_.begin());
   evictLeastRecentlyUsed(inserted);
   return inserted;
 }
 
-void PreparedTexts::onGrown(const PreparedRef& text, std::size_t costBefore) {
+void PreparedTexts::updateCost(const PreparedRef& text, std::size_t costBefore) {
   auto it = byId_.find(text->id);
   if (it == byId_.end() || *it->second != text) return;  // evicted meanwhile
   bytes_ = bytes_ - costBefore + costOf(*text);
@@ -47,15 +47,15 @@
 }
 
 void PreparedTexts::evictLeastRecentlyUsed(const PreparedRef& except) {
-  while (bytes_ > maxBytes_ && byUse_.back() != except) {
-    bytes_ -= costOf(*byUse_.back());
-    byId_.erase(byUse_.back()->id);
-    byUse_.pop_back();
+  while (bytes_ > maxBytes_ && recentlyUsed_.back() != except) {
+    bytes_ -= costOf(*recentlyUsed_.back());
+    byId_.erase(recentlyUsed_.back()->id);
+    recentlyUsed_.pop_back();
   }
 }
 
 void PreparedTexts::onSchemaChanged() {
-  for (const PreparedRef& text : byUse_) {
+  for (const PreparedRef& text : recentlyUsed_) {
     bytes_ -= costOf(*text);
     for (std::string& body : text->resultBodies) {
       body.clear();
@@ -65,36 +65,36 @@
   }
 }
 
-const StorePrepared::StoreIds* StorePrepared::find(const std::string& id) {
+const StorePreparedIds::StoreIds* StorePreparedIds::find(const std::string& id) {
   auto it = byId_.find(id);
   if (it == byId_.end()) return nullptr;
-  room_.byUse_.splice(room_.byUse_.begin(), room_.byUse_, it->second);
+  lru_.recentlyUsed_.splice(lru_.recentlyUsed_.begin(), lru_.recentlyUsed_, it->second);
   return &it->second->storeIds;
 }
 
-void StorePrepared::record(const std::string& id, StoreIds storeIds) {
+void StorePreparedIds::record(const std::string& id, StoreIds storeIds) {
   forget(id);
-  std::list<Entry>& entries = room_.byUse_;
+  std::list<Entry>& entries = lru_.recentlyUsed_;
   entries.push_front({this, id, std::move(storeIds)});
   byId_.emplace(id, entries.begin());
-  if (entries.size() <= room_.maxEntries_) return;
+  if (entries.size() <= lru_.maxEntries_) return;
   entries.back().owner->byId_.erase(entries.back().id);
   entries.pop_back();
 }
 
-void StorePrepared::forget(const std::string& id) {
+void StorePreparedIds::forget(const std::string& id) {
   auto it = byId_.find(id);
   if (it == byId_.end()) return;
-  room_.byUse_.erase(it->second);
+  lru_.recentlyUsed_.erase(it->second);
   byId_.erase(it);
 }
 
-void StorePrepared::forgetAll() {
-  for (const auto& [id, entry] : byId_) room_.byUse_.erase(entry);
+void StorePreparedIds::forgetAll() {
+  for (const auto& [id, entry] : byId_) lru_.recentlyUsed_.erase(entry);
   byId_.clear();
 }
 
-void PreparePace::onEnded(bool isPrepared) {
+void PreparationLimiter::onEnded(bool isPrepared) {
   --inFlight_;
   limit_ = isPrepared ? std::min(maxLimit_, limit_ + 1) : std::max(1.0, limit_ * kFailureFactor);
 }
--- a/src/protocols/cassandra/prepared_statements.h
+++ b/src/protocols/cassandra/prepared_statements.h
@@ -1,6 +1,7 @@
-// Prepared statements: what clients know by an id of the proxy's, and what each store knows by ids
-// of its own. No I/O. Memory is bounded: what was least recently used goes first, and its clients
-// are told to prepare it again.
+// Caches of prepared statements: the texts that clients have prepared, by the proxy's own ids, and
+// the ids that each store has assigned to them. Memory is bounded: the least recently used entries
+// are evicted first, and a client that uses an evicted text receives the error Unprepared and
+// prepares it again. No I/O.
 #pragma once
 
 #include <array>
@@ -16,81 +17,83 @@
 
 namespace reedchute::protocols::cassandra {
 
-// One text, as stores are given it.
+// One statement text, in the form that is sent to stores.
 struct PreparedText {
-  std::string id;    // that clients know; the same at every proxy, as it follows from the text
-  std::string text;  // with all names in full
+  std::string id;    // sent to clients; a hash of the text, so all proxies use the same one
+  std::string text;  // with keyspace-qualified names
   reedchute::cql::TextRead read;
-  // The body of RESULT that clients get, with `id` in it, by version; empty: not known yet.
+  // Body of the RESULT for clients, which contains `id`: one for version 4, one for version 5.
+  // Empty: not yet known.
   std::array<std::string, 2> resultBodies;
 };
 
 using PreparedRef = std::shared_ptr<PreparedText>;
 
-// The id of a text: 16 bytes of a hash.
+// The id of a text: its 128-bit hash, 16 bytes.
 std::string preparedId(std::string_view text);
 
-// The texts that clients have prepared.
+// LRU cache of the texts that clients have prepared.
 class PreparedTexts {
  public:
   explicit PreparedTexts(std::size_t maxBytes) : maxBytes_(maxBytes) {}
 
-  // None where it is not known, or was evicted.
+  // Null if the text is unknown or was evicted. Marks it as most recently used.
   PreparedRef find(std::string_view id);
-  // Adds a text, or returns the one that is known already. Others may be evicted for it.
+  // Adds a text, or returns the cached one with the same id. May evict other texts.
   PreparedRef insert(PreparedText text);
-  // What clients were told of columns may be wrong from now on.
+  // Discards the RESULT bodies, as their column descriptions may be outdated.
   void onSchemaChanged();
   std::size_t size() const { return byId_.size(); }
   std::size_t bytes() const { return bytes_; }
-  // Counts a text's size anew, as the body for its clients came. `costBefore`: its costOf() then.
-  void onGrown(const PreparedRef& text, std::size_t costBefore);
-  static std::size_t costOf(const PreparedText& text);  // bytes
+  // Accounts for a RESULT body that was set in `text`. `costBefore`: its costOf() before that.
+  void updateCost(const PreparedRef& text, std::size_t costBefore);
+  static std::size_t costOf(const PreparedText& text);  // bytes of memory
 
  private:
   void evictLeastRecentlyUsed(const PreparedRef& except);
 
   std::size_t maxBytes_, bytes_ = 0;
-  std::list<PreparedRef> byUse_;  // the most recently used one in front
+  std::list<PreparedRef> recentlyUsed_;  // most recently used first
   std::unordered_map<std::string_view, std::list<PreparedRef>::iterator> byId_;
 };
 
-// What one store has prepared, by the proxy's ids. With hundreds of stores, what each may have
-// prepared would take all memory, so all of them share one room, in which the least recently used
-// entry goes first.
-class StorePrepared {
+// The texts that one store has prepared, by the proxy's ids. With hundreds of stores, a separate
+// cache for each could exhaust the memory, so all of them share one SharedLru, which evicts the
+// least recently used entry of any store.
+class StorePreparedIds {
  public:
-  // The ids that the store gave.
+  // The ids that the store has assigned.
   struct StoreIds {
     std::string id, resultId;
   };
 
  private:
   struct Entry {
-    StorePrepared* owner;
+    StorePreparedIds* owner;
     std::string id;
     StoreIds storeIds;
   };
 
  public:
-  class Room {
+  // The entries of all stores. Must outlive the StorePreparedIds that use it.
+  class SharedLru {
    public:
-    explicit Room(std::size_t maxBytes) : maxEntries_(maxBytes / kEntryBytes) {}
-    std::size_t size() const { return byUse_.size(); }
+    explicit SharedLru(std::size_t maxBytes) : maxEntries_(maxBytes / kEntryBytes) {}
+    std::size_t size() const { return recentlyUsed_.size(); }
 
    private:
-    friend class StorePrepared;
-    static constexpr std::size_t kEntryBytes = 336;  // its ids of 16 bytes among them
+    friend class StorePreparedIds;
+    static constexpr std::size_t kEntryBytes = 336;  // with its ids of 16 bytes
     std::size_t maxEntries_;
-    std::list<Entry> byUse_;  // the most recently used one in front
+    std::list<Entry> recentlyUsed_;  // most recently used first
   };
 
-  explicit StorePrepared(Room& room) : room_(room) {}
-  ~StorePrepared() { forgetAll(); }
-  StorePrepared(const StorePrepared&) = delete;
-  StorePrepared& operator=(const StorePrepared&) = delete;
+  explicit StorePreparedIds(SharedLru& lru) : lru_(lru) {}
+  ~StorePreparedIds() { forgetAll(); }
+  StorePreparedIds(const StorePreparedIds&) = delete;
+  StorePreparedIds& operator=(const StorePreparedIds&) = delete;
 
-  // None where the store hasn't prepared it, as far as is known.
+  // Null if the store is not known to have prepared the text. Marks it as most recently used.
   const StoreIds* find(const std::string& id);
   void record(const std::string& id, StoreIds storeIds);
   void forget(const std::string& id);
@@ -98,18 +101,18 @@
   std::size_t size() const { return byId_.size(); }
 
  private:
-  Room& room_;
+  SharedLru& lru_;
   std::unordered_map<std::string, std::list<Entry>::iterator> byId_;
 };
 
-// How many texts may be in preparation at a store at once: one more after each success, half after
-// a failure. A store that comes back knows none of them, and all that are in use would be prepared
-// there in one moment, while it is cold.
-class PreparePace {
+// Limits how many texts a store prepares concurrently: the limit grows by one after each success
+// and is halved after each failure. Without it, a store that has restarted and lost its prepared
+// texts would have to prepare all texts in use at the same time, while it is cold.
+class PreparationLimiter {
  public:
-  explicit PreparePace(double maxLimit) : maxLimit_(maxLimit) {}
-  bool mayBegin() const { return inFlight_ < static_cast<int>(limit_); }
-  void onBegun() { ++inFlight_; }
+  explicit PreparationLimiter(double maxLimit) : maxLimit_(maxLimit) {}
+  bool hasCapacity() const { return inFlight_ < static_cast<int>(limit_); }
+  void onStarted() { ++inFlight_; }
   void onEnded(bool isPrepared);
   double limit() const { return limit_; }
 
--- a/src/protocols/cassandra/response_rewriter.cpp
+++ b/src/protocols/cassandra/response_rewriter.cpp
@@ -5,8 +5,8 @@
 namespace reedchute::protocols::cassandra {
 namespace {
 
-constexpr std::size_t kResultKindBytes = 4;   // at the start of a RESULT
-constexpr std::size_t kShortLengthBytes = 2;  // before an id
+constexpr std::size_t kResultKindBytes = 4;   // at the start of the body
+constexpr std::size_t kShortLengthBytes = 2;  // length field of a [short bytes] id
 
 std::string replaceSpan(const std::string& bytes, std::size_t at, std::size_t span,
                         const std::string& replacement) {
@@ -22,7 +22,7 @@
   frame.opcode = cql::Opcode::result;
   frame.body = result.body;
   cql::Reply reply;
-  // The upstream connection has read the body before, so this doesn't fail.
+  // The upstream connection has already parsed the body, so this doesn't fail.
   if (!cql::readReply(frame, reply)) return std::move(result.body);
   if (reply.kind == cql::ResultKind::rows && reply.pageState)
     return withProxyPagingState(result, reply);
@@ -57,13 +57,13 @@
   }
   auto versionIndex = static_cast<std::size_t>(result.version - cql::kLowest);
   prepared->resultBodies[versionIndex] = body.substr(reply.bodyAt);
-  protocol_.texts().onGrown(prepared, costBefore);
+  protocol_.texts().updateCost(prepared, costBefore);
   return body;
 }
 
 void ResponseRewriter::announceSchemaChange(const StoreResult& result,
                                             const cql::Reply& reply) const {
-  // After its kind, a RESULT of this kind has the layout of the event.
+  // Behind the result kind, a Schema_change RESULT has the same layout as the event.
   std::string event;
   cql::addString(event, "SCHEMA_CHANGE");
   event += std::string_view(result.body).substr(reply.bodyAt + kResultKindBytes);
--- a/src/protocols/cassandra/response_rewriter.h
+++ b/src/protocols/cassandra/response_rewriter.h
@@ -1,5 +1,6 @@
-// Turns a store's RESULT into the one that the client gets: paging states and the ids of prepared
-// statements become the proxy's own, and changes of the schema are passed on. No I/O.
+// Rewrites a store's RESULT for the client: replaces paging states and the ids of prepared
+// statements by the proxy's own, and announces schema changes to the sessions that registered
+// for them. No I/O.
 #pragma once
 
 #include <optional>
@@ -10,11 +11,12 @@
 
 namespace reedchute::protocols::cassandra {
 
+// The RESULT of a store, without its frame header.
 struct StoreResult {
   int version = 0;
   std::uint8_t flags = 0;
   std::string body;
-  int store = 0;                     // that gave it
+  int store = 0;                     // index of the store that sent it
   std::optional<WallTime> position;  // replication position that the store reported with it
 };
 
@@ -22,7 +24,7 @@
  public:
   explicit ResponseRewriter(ClientProtocol& protocol) : protocol_(protocol) {}
 
-  // Returns the body for the client. Takes over `pending.preparing` where a statement was prepared.
+  // Returns the body for the client. Moves from `pending.preparing` if a statement was prepared.
   std::string rewrite(StoreResult result, Pending& pending) const;
 
  private:
--- a/src/protocols/cassandra/streams.cpp
+++ b/src/protocols/cassandra/streams.cpp
@@ -6,22 +6,22 @@
   for (std::size_t k = 0; k < capacity; ++k) free_.push_back(static_cast<int>(k));
 }
 
-int Streams::begin(request::UpstreamRequest* request) {
+int Streams::assign(request::UpstreamRequest* request) {
   int stream = free_.front();
   free_.pop_front();
   at(stream) = {};
   at(stream).state = State::parked;
   at(stream).request = request;
-  ++requests_;
+  ++requestCount_;
   return stream;
 }
 
-void Streams::end(int stream, bool responseMayCome) {
-  Stream& here = at(stream);
-  if (here.state == State::preparing) endPreparing(stream);
-  here.request = nullptr;
-  --requests_;
-  here.state = responseMayCome ? State::orphan : State::free;
+void Streams::endRequest(int stream, bool responseMayCome) {
+  Stream& entry = at(stream);
+  if (entry.state == State::preparing) endPreparing(stream);
+  entry.request = nullptr;
+  --requestCount_;
+  entry.state = responseMayCome ? State::orphan : State::free;
   if (!responseMayCome) free_.push_back(stream);
 }
 
@@ -30,14 +30,14 @@
   free_.push_back(stream);
 }
 
-std::vector<int> Streams::withRequest() const {
+std::vector<int> Streams::streamsWithRequest() const {
   std::vector<int> all;
   for (std::size_t k = 0; k < streams_.size(); ++k)
     if (streams_[k].request) all.push_back(static_cast<int>(k));
   return all;
 }
 
-std::vector<int> Streams::parked() const {
+std::vector<int> Streams::parkedStreams() const {
   std::vector<int> all;
   for (std::size_t k = 0; k < streams_.size(); ++k)
     if (streams_[k].state == State::parked) all.push_back(static_cast<int>(k));
@@ -45,17 +45,17 @@
 }
 
 void Streams::beginPreparing(int stream, const std::string& id) {
-  Stream& here = at(stream);
-  here.state = State::preparing;
-  here.preparingId = id;
+  Stream& entry = at(stream);
+  entry.state = State::preparing;
+  entry.preparingId = id;
   preparing_.insert(id);
 }
 
 void Streams::endPreparing(int stream) {
-  Stream& here = at(stream);
-  preparing_.erase(here.preparingId);
-  here.preparingId.clear();
-  here.state = State::parked;
+  Stream& entry = at(stream);
+  preparing_.erase(entry.preparingId);
+  entry.preparingId.clear();
+  entry.state = State::parked;
 }
 
 }  // namespace reedchute::protocols::cassandra
--- a/src/protocols/cassandra/upstream_connection.cpp
+++ b/src/protocols/cassandra/upstream_connection.cpp
@@ -22,13 +22,13 @@
 
 namespace {
 
-constexpr std::size_t kMaxReadAtOnce = 64 * 1024;  // bytes, before they are parsed
-constexpr double kPreparationShare = 1.0 / 8;      // of the requests that a connection carries
-constexpr double kParkedCheckInterval = 0.02;      // connect time-outs
-constexpr int kMaxRepreparations = 2;              // of what a store has lost, by one attempt
-constexpr int kMaxFramesInARow = 32;               // of one store before others have their turn
-constexpr std::size_t kMaxOrphanShare = 2;         // one in so many streams
-constexpr Duration kTurnForOthers{1};              // microseconds
+constexpr std::size_t kMaxReadBytes = 64 * 1024;  // read at once, before parsing
+constexpr double kPreparationShare = 1.0 / 8;     // of a connection's streams
+constexpr double kParkedCheckFraction = 0.02;     // of the connect timeout
+constexpr int kMaxRepreparations = 2;            // by one attempt, of texts that the store has lost
+constexpr int kMaxFramesPerTurn = 32;            // of one connection
+constexpr std::size_t kMinStreamsPerOrphan = 2;  // with fewer, the connection drains
+constexpr Duration kYieldDuration{1};            // microseconds; lets other connections run
 
 std::string startupBody(const Config& config) {
   std::string body;
@@ -42,7 +42,8 @@
   return body;
 }
 
-// SASL PLAIN: an identity to act for, the user and the password, set apart by zero bytes.
+// SASL PLAIN (RFC 4616): authorization identity (empty), user and password, separated by zero
+// bytes.
 std::string credentialsBody(const Config& config) {
   std::string token(1, '\0');
   token += config.storeUser;
@@ -68,11 +69,11 @@
     incoming_.push_back(request);
     socket_.readable.set();
   }
-  // The decision engine may be asking, so nothing ends before this connection's own turn.
+  // The caller may be the decision engine, so the request is ended later, in serve().
   void cancel(UpstreamRequest*) override { socket_.readable.set(); }
   void close() override { socket_.close(); }
   void drain() override;
-  std::size_t requestCount() const override { return streams_.takenCount() + incoming_.size(); }
+  std::size_t requestCount() const override { return streams_.usedCount() + incoming_.size(); }
   std::size_t bufferedBytes() const override {
     return in_.capacity() + out_.capacity() + beingWritten_.capacity() + framing_.held();
   }
@@ -85,14 +86,16 @@
   UpstreamProtocol::StoreState& storeState() { return protocol_.storeState(store); }
   WallTime newestPosition();
   bool isIdle() const { return streams_.requestCount() == 0 && incoming_.empty(); }
-  bool failProtocol(const char* what);
+  // Logs the error and marks the connection as broken, as the bytes that follow can't be trusted.
+  // Returns false.
+  bool onProtocolError(const char* what);
 
   runtime::Task<bool> exchangeHandshake(Frame& reply, TimePoint until);
   runtime::Task<bool> readFrame(Frame& frame, TimePoint until);
 
   bool readFrames(TimePoint now);
   bool readMore(TimePoint now, bool& hasMore);
-  bool exceedsMemory();
+  bool exceedsMemoryLimit();
   bool onFrame(const Frame& frame);
   bool onMalformedFrame(int stream);
   void onPrepared(int stream, const Frame& frame, const cql::Reply& reply);
@@ -100,21 +103,22 @@
   bool mayPrepareAgain(const Streams::Stream& stream, const Frame& frame,
                        const cql::Reply& reply) const;
 
-  void begin(int stream);
-  void beginNew();
-  void beginParked();
+  void startRequest(int stream);
+  void startNewRequests();
+  void resumeParkedRequests();
   void prepare(int stream, const PreparedRef& text);
   void send(int stream, const Statement* statement);
-  void put(int stream, std::uint8_t flags, Opcode opcode, std::string_view body);
+  void queueFrame(int stream, std::uint8_t flags, Opcode opcode, std::string_view body);
   bool writeQueued(TimePoint now);
   runtime::Task<> writeRest();
 
-  void endUnwanted(TimePoint now);
+  void endExpiredOrCancelled(TimePoint now);
   void complete(int stream, AttemptOutcome outcome, bool responseMayCome);
   void completeAll();
-  AttemptOutcome outcomeAtEnd(const Streams::Stream& stream) const;
-  bool isUsedUp(TimePoint now) const;
+  AttemptOutcome outcomeAtClose(const Streams::Stream& stream) const;
+  bool shouldClose(TimePoint now) const;
   TimePoint idleLimit() const;
+  // After drain(), queued bytes may be written for one more connect timeout.
   TimePoint drainLimit() const { return drainedAt_ + pools.limits().connectTimeout; }
   TimePoint nextDeadline() const;
   TimePoint nextWakeUp(TimePoint now) const;
@@ -124,17 +128,17 @@
   runtime::Event writerEnded_;
   cql::Framing framing_;
   Streams streams_;
-  std::deque<UpstreamRequest*> incoming_;  // accepted, without a stream yet
-  std::string in_;
-  std::size_t parsedSize_ = 0;                        // of `in_`
-  std::string out_;                                   // to be written
-  std::string beingWritten_;                          // when the kernel takes no more at once
-  std::uint64_t queuedBytes_ = 0, writtenBytes_ = 0;  // since the connection began
-  TimePoint partSince_ = kNever;                      // since when a part of a frame stands in in_
+  std::deque<UpstreamRequest*> incoming_;  // accepted, not yet assigned to a stream
+  std::string in_;                         // received bytes
+  std::size_t parsedSize_ = 0;             // bytes at the start of `in_` that were parsed
+  std::string out_;                        // queued for writing
+  std::string beingWritten_;               // by writeRest(), while the socket buffer is full
+  std::uint64_t queuedBytes_ = 0, writtenBytes_ = 0;  // since the connection was created
+  TimePoint partialFrameSince_ = kNever;  // since when `in_` ends in an incomplete frame
   TimePoint lastReadAt_ = kNever;
   TimePoint drainedAt_ = kNever;
   bool isDraining_ = false, isWriting_ = false, isBroken_ = false;
-  bool mayHaveMore_ = false;  // more than one turn's frames may have come
+  bool mayHaveMoreFrames_ = false;  // the last turn ended at kMaxFramesPerTurn
 };
 
 void Connection::drain() {
@@ -149,33 +153,32 @@
   return scheduler().wallClock().toWall(scheduler().now()) + pools.limits().connectTimeout;
 }
 
-void Connection::put(int stream, std::uint8_t flags, Opcode opcode, std::string_view body) {
+void Connection::queueFrame(int stream, std::uint8_t flags, Opcode opcode, std::string_view body) {
   std::size_t before = out_.size();
   framing_.put(out_, false, protocol_.version(), flags, static_cast<std::int16_t>(stream), opcode,
                body);
   queuedBytes_ += out_.size() - before;
 }
 
-// Nothing that follows can be believed.
-bool Connection::failProtocol(const char* what) {
+bool Connection::onProtocolError(const char* what) {
   log::line("upstream_protocol_error", "store=%d what=\"%s\"", store, what);
   isBroken_ = true;
   return false;
 }
 
-// Writes what the kernel didn't take at once.
+// Writes the bytes that didn't fit into the socket buffer, as it becomes writable.
 runtime::Task<> Connection::writeRest() {
   while (!out_.empty() && !isBroken_) {
     beingWritten_ = std::exchange(out_, {});
     std::string_view rest = beingWritten_;
     while (!rest.empty() && !isBroken_) {
-      std::optional<std::string_view> left = socket_.write(rest);
-      if (!left) {
+      std::optional<std::string_view> unwritten = socket_.write(rest);
+      if (!unwritten) {
         isBroken_ = true;
         break;
       }
-      writtenBytes_ += rest.size() - left->size();
-      rest = *left;
+      writtenBytes_ += rest.size() - unwritten->size();
+      rest = *unwritten;
       if (rest.empty()) break;
       bool isWritable =
           co_await socket_.writable.wait(scheduler().now() + pools.limits().keepalive);
@@ -195,16 +198,16 @@
     Framed framed = framing_.next(in_, used, frame);
     parsedSize_ = used;
     if (framed == Framed::whole) co_return true;
-    if (framed == Framed::bad) co_return failProtocol(framing_.why());
-    runtime::Socket::ReadStatus got = socket_.read(in_, in_.size() + kMaxReadAtOnce);
-    if (got == runtime::Socket::ReadStatus::data) continue;
-    if (got == runtime::Socket::ReadStatus::closed) co_return false;
+    if (framed == Framed::bad) co_return onProtocolError(framing_.why());
+    runtime::Socket::ReadStatus status = socket_.read(in_, in_.size() + kMaxReadBytes);
+    if (status == runtime::Socket::ReadStatus::data) continue;
+    if (status == runtime::Socket::ReadStatus::closed) co_return false;
     bool isSet = co_await socket_.readable.wait(until);
     if (!isSet) co_return false;
   }
 }
 
-// Writes what is queued and reads the reply to it; false where there is none or it is an error.
+// Writes the queued frame and reads the reply; false if none arrives by `until` or it is an error.
 runtime::Task<bool> Connection::exchangeHandshake(Frame& reply, TimePoint until) {
   std::string bytes = std::exchange(out_, {});
   writtenBytes_ += bytes.size();
@@ -220,18 +223,18 @@
 }
 
 runtime::Task<bool> Connection::connect(TimePoint until) {
-  bool isUp = co_await runtime::awaitConnected(socket_, until);
-  if (!isUp) co_return false;
+  bool isConnected = co_await runtime::awaitConnected(socket_, until);
+  if (!isConnected) co_return false;
   const Config& config = protocol_.config();
-  put(0, 0, Opcode::startup, startupBody(config));
+  queueFrame(0, 0, Opcode::startup, startupBody(config));
   Frame reply;
   bool hasReply = co_await exchangeHandshake(reply, until);
   if (!hasReply) co_return false;
-  // Both hold from the first reply on.
+  // Compression and segments both apply after the first reply.
   if (config.storeCompression) framing_.compress();
   if (protocol_.version() >= 5) framing_.segments();
   if (reply.opcode == Opcode::authenticate) {
-    put(0, 0, Opcode::authResponse, credentialsBody(config));
+    queueFrame(0, 0, Opcode::authResponse, credentialsBody(config));
     hasReply = co_await exchangeHandshake(reply, until);
     if (!hasReply) co_return false;
   }
@@ -240,18 +243,21 @@
 }
 
 void Connection::complete(int stream, AttemptOutcome outcome, bool responseMayCome) {
-  Streams::Stream& here = streams_.at(stream);
-  UpstreamRequest* request = here.request;
-  if (std::exchange(here.isPaced, false)) storeState().pace.onEnded(false);
-  streams_.end(stream, responseMayCome);
+  Streams::Stream& entry = streams_.at(stream);
+  UpstreamRequest* request = entry.request;
+  if (std::exchange(entry.holdsPreparationSlot, false))
+    storeState().preparationLimiter.onEnded(false);
+  streams_.endRequest(stream, responseMayCome);
   pools.complete(request, outcome);
 }
 
-// What an attempt needs is prepared first, one text after the other and on its own stream; what
-// another request of this connection is preparing is waited for.
-void Connection::begin(int stream) {
+// Prepares the texts that the request needs, one after the other on the request's stream, then
+// sends the request. It stays parked while another request of this connection prepares the same
+// text, or while the preparation limit of the store is reached.
+void Connection::startRequest(int stream) {
   UpstreamRequest& request = *streams_.at(stream).request;
-  // What waited here may be written too late, for nobody, or to a store that drains by now.
+  // While the request waited, its deadline may have passed, it may have been cancelled, or the
+  // connection may have begun to drain.
   if (isDraining_ || !pools.isStillWanted(request))
     return complete(stream, AttemptOutcome::neverSent, false);
   const auto* statement = static_cast<const Statement*>(request.payload);
@@ -259,7 +265,8 @@
   UpstreamProtocol::StoreState& state = storeState();
   for (const PreparedRef& text : statement->requiredTexts) {
     if (state.prepared.find(text->id)) continue;
-    if (!streams_.isPreparing(text->id) && state.pace.mayBegin()) prepare(stream, text);
+    if (!streams_.isPreparing(text->id) && state.preparationLimiter.hasCapacity())
+      prepare(stream, text);
     return;
   }
   send(stream, statement);
@@ -270,33 +277,33 @@
   cql::addLongString(body, text->text);
   if (protocol_.version() >= 5) cql::addInt(body, 0);
   streams_.beginPreparing(stream, text->id);
-  streams_.at(stream).isPaced = true;
-  storeState().pace.onBegun();
-  put(stream, 0, Opcode::prepare, body);
+  streams_.at(stream).holdsPreparationSlot = true;
+  storeState().preparationLimiter.onStarted();
+  queueFrame(stream, 0, Opcode::prepare, body);
 }
 
 void Connection::send(int stream, const Statement* statement) {
-  Streams::Stream& here = streams_.at(stream);
-  UpstreamRequest& request = *here.request;
+  Streams::Stream& entry = streams_.at(stream);
+  UpstreamRequest& request = *entry.request;
   if (!pools.maySend(request)) return complete(stream, AttemptOutcome::neverSent, false);
-  here.state = Streams::State::sent;
+  entry.state = Streams::State::sent;
   if (statement) {
     std::vector<std::string> ids;
     for (const PreparedRef& text : statement->requiredTexts)
       ids.push_back(storeState().prepared.find(text->id)->id);
     request.announcedTimeoutMs = request.remainingMs(scheduler().steadyNow());
-    put(stream, statement->flags, statement->opcode,
-        encodeBody(*statement, request.announcedTimeoutMs, ids));
+    queueFrame(stream, statement->flags, statement->opcode,
+               encodeBody(*statement, request.announcedTimeoutMs, ids));
   } else {
-    put(stream, 0, Opcode::options, {});
+    queueFrame(stream, 0, Opcode::options, {});
   }
-  here.sentAtByte = queuedBytes_;
+  entry.endOffset = queuedBytes_;
 }
 
-// Behind what the kernel doesn't take a request would be written long after its time, so it waits
-// unwritten.
-void Connection::beginNew() {
-  while (!isWriting_ && out_.size() < kMaxReadAtOnce && !streams_.isFull() && !isDraining_) {
+// No request is started while the socket buffer is full: queued behind unwritten bytes, it could be
+// written long after its deadline.
+void Connection::startNewRequests() {
+  while (!isWriting_ && out_.size() < kMaxReadBytes && !streams_.isFull() && !isDraining_) {
     UpstreamRequest* request = nullptr;
     if (incoming_.empty()) {
       request = pools.nextRequest(*this);
@@ -305,54 +312,59 @@
       incoming_.pop_front();
     }
     if (!request) return;
-    begin(streams_.begin(request));
+    startRequest(streams_.assign(request));
   }
 }
 
-void Connection::beginParked() {
+void Connection::resumeParkedRequests() {
   if (isWriting_) return;
-  for (int stream : streams_.parked()) begin(stream);
+  for (int stream : streams_.parkedStreams()) startRequest(stream);
 }
 
 TimePoint Connection::nextDeadline() const {
   TimePoint next = kForever;
-  for (int stream : streams_.withRequest())
+  for (int stream : streams_.streamsWithRequest())
     next = std::min(next, streams_.at(stream).request->deadline);
   return next;
 }
 
-// Ends the requests whose time is up or that are not wanted any more.
-void Connection::endUnwanted(TimePoint now) {
-  for (int stream : streams_.withRequest()) {
-    const Streams::Stream& here = streams_.at(stream);
-    const UpstreamRequest& request = *here.request;
+// Completes requests whose deadline has passed or that were cancelled.
+void Connection::endExpiredOrCancelled(TimePoint now) {
+  for (int stream : streams_.streamsWithRequest()) {
+    const Streams::Stream& entry = streams_.at(stream);
+    const UpstreamRequest& request = *entry.request;
     if (!request.isCancelled && request.deadline > now) continue;
-    // What waits for the kernel to take it counts as sent: it can't be taken back. What was only
-    // prepared never ran, and a time-out would say that it may have.
-    bool isSent = here.state == Streams::State::sent;
-    bool isOut = isSent || here.state == Streams::State::preparing;
-    AttemptOutcome ifCancelled = isSent ? AttemptOutcome::cancelled : AttemptOutcome::neverSent;
-    AttemptOutcome ifLate = isSent ? AttemptOutcome::timeout : AttemptOutcome::connectFailed;
-    // A connection on which nothing comes is likely dead, and each request given to it loses its
-    // time.
-    if (!request.isCancelled && isOut && lastReadAt_ < request.startedAt) drain();
-    complete(stream, request.isCancelled ? ifCancelled : ifLate, isOut);
+    // A request that is queued for writing counts as sent, as it can't be withdrawn. A request
+    // whose text was only being prepared never ran, so it must not end as a timeout, which means
+    // that it may have run.
+    bool isSent = entry.state == Streams::State::sent;
+    bool mayReceiveResponse = isSent || entry.state == Streams::State::preparing;
+    AttemptOutcome outcomeIfCancelled = isSent ? AttemptOutcome::cancelled
+                                               : AttemptOutcome::neverSent;
+    AttemptOutcome outcomeIfExpired = isSent ? AttemptOutcome::timeout
+                                             : AttemptOutcome::connectFailed;
+    // If nothing was received since the request started, the connection has likely failed, and
+    // further requests on it would also time out.
+    if (!request.isCancelled && mayReceiveResponse && lastReadAt_ < request.startedAt) drain();
+    complete(stream, request.isCancelled ? outcomeIfCancelled : outcomeIfExpired,
+             mayReceiveResponse);
   }
-  // Responses that never come would use up the streams one by one.
-  if (streams_.orphanCount() * kMaxOrphanShare > protocol_.config().storeStreams) drain();
+  // If responses never arrive, orphaned streams would exhaust the connection's streams.
+  if (streams_.orphanCount() * kMinStreamsPerOrphan > protocol_.config().storeStreams) drain();
 }
 
-// What was written may have run, and nothing else has.
-AttemptOutcome Connection::outcomeAtEnd(const Streams::Stream& stream) const {
-  bool isWritten = stream.state == Streams::State::sent && stream.sentAtByte <= writtenBytes_;
+// The outcome of a request as the connection closes. Only a request that was written completely may
+// have run.
+AttemptOutcome Connection::outcomeAtClose(const Streams::Stream& stream) const {
+  bool isWritten = stream.state == Streams::State::sent && stream.endOffset <= writtenBytes_;
   if (stream.request->isCancelled)
     return isWritten ? AttemptOutcome::cancelled : AttemptOutcome::neverSent;
   return isWritten ? AttemptOutcome::reset : AttemptOutcome::connectFailed;
 }
 
 void Connection::completeAll() {
-  for (int stream : streams_.withRequest())
-    complete(stream, outcomeAtEnd(streams_.at(stream)), false);
+  for (int stream : streams_.streamsWithRequest())
+    complete(stream, outcomeAtClose(streams_.at(stream)), false);
   while (!incoming_.empty()) {
     UpstreamRequest* request = incoming_.back();
     incoming_.pop_back();
@@ -364,17 +376,18 @@
 }
 
 void Connection::onPrepared(int stream, const Frame& frame, const cql::Reply& reply) {
-  Streams::Stream& here = streams_.at(stream);
+  Streams::Stream& entry = streams_.at(stream);
   UpstreamProtocol::StoreState& state = storeState();
   bool isPrepared = frame.opcode == Opcode::result && reply.kind == cql::ResultKind::prepared;
-  if (std::exchange(here.isPaced, false)) state.pace.onEnded(isPrepared);
+  if (std::exchange(entry.holdsPreparationSlot, false))
+    state.preparationLimiter.onEnded(isPrepared);
   if (isPrepared) {
-    state.prepared.record(here.preparingId, {std::string(reply.id), std::string(reply.resultId)});
+    state.prepared.record(entry.preparingId, {std::string(reply.id), std::string(reply.resultId)});
     streams_.endPreparing(stream);
-    return begin(stream);
+    return startRequest(stream);
   }
   AttemptOutcome outcome = outcomeOfPreparation(frame, reply);
-  if (outcome == AttemptOutcome::invalid) setResponse(*here.request, frame, frame.flags);
+  if (outcome == AttemptOutcome::invalid) setResponse(*entry.request, frame, frame.flags);
   complete(stream, outcome, false);
 }
 
@@ -386,15 +399,16 @@
 }
 
 void Connection::onResponse(int stream, const Frame& frame, const cql::Reply& reply) {
-  Streams::Stream& here = streams_.at(stream);
-  UpstreamRequest& request = *here.request;
+  Streams::Stream& entry = streams_.at(stream);
+  UpstreamRequest& request = *entry.request;
   readStoreState(reply.payload, request, newestPosition());
-  if (mayPrepareAgain(here, frame, reply)) {
-    // The store has lost its texts, likely all of them, as it was started again. Nothing ran.
-    ++here.repreparations;
+  if (mayPrepareAgain(entry, frame, reply)) {
+    // The store has lost its prepared texts, likely all of them in a restart. The statement did
+    // not run.
+    ++entry.repreparations;
     storeState().prepared.forgetAll();
-    here.state = Streams::State::parked;
-    return begin(stream);
+    entry.state = Streams::State::parked;
+    return startRequest(stream);
   }
   const auto* statement = static_cast<const Statement*>(request.payload);
   AttemptOutcome outcome = statement ? outcomeOfStatement(frame, reply, *statement, store)
@@ -411,27 +425,27 @@
   complete(stream, request.isCancelled ? AttemptOutcome::cancelled : outcome, false);
 }
 
-// Nothing of a malformed response is to be believed, least of all that the statement never ran.
+// No part of a malformed response can be trusted, so a statement that was sent may have run.
 bool Connection::onMalformedFrame(int stream) {
-  const Streams::Stream& here = streams_.at(stream);
-  bool mayHaveRun = here.state == Streams::State::sent;
+  const Streams::Stream& entry = streams_.at(stream);
+  bool mayHaveRun = entry.state == Streams::State::sent;
   AttemptOutcome outcome = mayHaveRun ? AttemptOutcome::malformedResponse
                                       : AttemptOutcome::connectFailed;
-  if (here.request->isCancelled) outcome = AttemptOutcome::cancelled;
+  if (entry.request->isCancelled) outcome = AttemptOutcome::cancelled;
   complete(stream, outcome, false);
-  return failProtocol("answer");
+  return onProtocolError("answer");
 }
 
-// False where nothing that follows can be believed.
+// Handles one frame; false on a protocol error, after which the connection must be closed.
 bool Connection::onFrame(const Frame& frame) {
-  if (!frame.answer || frame.version != protocol_.version()) return failProtocol("version");
-  if (frame.opcode == Opcode::event) return true;  // none was asked for
-  if (!streams_.isValid(frame.stream)) return failProtocol("stream");
+  if (!frame.answer || frame.version != protocol_.version()) return onProtocolError("version");
+  if (frame.opcode == Opcode::event) return true;  // not registered for any; ignored
+  if (!streams_.isValid(frame.stream)) return onProtocolError("stream");
   Streams::State state = streams_.at(frame.stream).state;
-  // A response that nobody asked for, or a second one, could pass for the next request's on that
-  // stream.
+  // An unsolicited or duplicate response could be mistaken for the response to the next request on
+  // that stream.
   if (state == Streams::State::free || state == Streams::State::parked)
-    return failProtocol("unasked");
+    return onProtocolError("unasked");
   if (state == Streams::State::orphan) {
     streams_.release(frame.stream);
     return true;
@@ -448,47 +462,50 @@
   return true;
 }
 
-// Responses that all stores send at once would together take all memory there is.
-bool Connection::exceedsMemory() {
-  if (in_.size() <= kMaxReadAtOnce) return false;
+// Checks the limit on bytes buffered over all connections, since many stores that send large
+// responses at once could exhaust the memory. Marks the connection as broken if it is exceeded.
+bool Connection::exceedsMemoryLimit() {
+  if (in_.size() <= kMaxReadBytes) return false;
   if (pools.bufferedBytes() <= pools.limits().maxBufferedBytes) return false;
   log::line("upstream_memory_limit", "store=%d bytes=%zu", store, pools.bufferedBytes());
   isBroken_ = true;
   return true;
 }
 
-// Reads what has come; false where the connection has ended.
+// Reads received bytes into `in_`; false if the connection is closed or must be closed.
 bool Connection::readMore(TimePoint now, bool& hasMore) {
   in_.erase(0, std::exchange(parsedSize_, 0));
-  if (in_.empty() && in_.capacity() > kMaxReadAtOnce) in_.shrink_to_fit();
-  if (exceedsMemory()) return false;
-  runtime::Socket::ReadStatus got = socket_.read(in_, in_.size() + kMaxReadAtOnce);
-  hasMore = got == runtime::Socket::ReadStatus::data;
-  if (got == runtime::Socket::ReadStatus::closed) return false;
+  if (in_.empty() && in_.capacity() > kMaxReadBytes) in_.shrink_to_fit();
+  if (exceedsMemoryLimit()) return false;
+  runtime::Socket::ReadStatus status = socket_.read(in_, in_.size() + kMaxReadBytes);
+  hasMore = status == runtime::Socket::ReadStatus::data;
+  if (status == runtime::Socket::ReadStatus::closed) return false;
   if (hasMore) {
     lastReadAt_ = now;
-    partSince_ = kNever;
+    partialFrameSince_ = kNever;
     return true;
   }
-  if (in_.empty()) partSince_ = kNever;
-  // A length that promises more than ever comes would hold all requests behind it.
-  if (!in_.empty() && partSince_ == kNever) partSince_ = now;
-  if (partSince_ != kNever && now - partSince_ >= pools.limits().connectTimeout)
-    return failProtocol("stalled");
+  if (in_.empty()) partialFrameSince_ = kNever;
+  // A frame whose length field exceeds the bytes that ever arrive would block all requests behind
+  // it, so an incomplete frame may stall for one connect timeout at most.
+  if (!in_.empty() && partialFrameSince_ == kNever) partialFrameSince_ = now;
+  if (partialFrameSince_ != kNever && now - partialFrameSince_ >= pools.limits().connectTimeout)
+    return onProtocolError("stalled");
   return true;
 }
 
-// All frames that have come, as far as one turn goes; false where the connection has ended.
+// Handles received frames, kMaxFramesPerTurn at most; false if the connection is closed or must be
+// closed.
 bool Connection::readFrames(TimePoint now) {
-  for (int frames = 0; frames < kMaxFramesInARow;) {
+  for (int frames = 0; frames < kMaxFramesPerTurn;) {
     std::size_t used = 0;
     Frame frame;
     Framed framed = framing_.next(std::string_view(in_).substr(parsedSize_), used, frame);
     parsedSize_ += used;
-    if (framed == Framed::bad) return failProtocol(framing_.why());
+    if (framed == Framed::bad) return onProtocolError(framing_.why());
     if (framed == Framed::whole) {
       ++frames;
-      partSince_ = kNever;
+      partialFrameSince_ = kNever;
       if (!onFrame(frame)) return false;
       continue;
     }
@@ -496,22 +513,22 @@
     if (!readMore(now, hasMore)) return false;
     if (!hasMore) return true;
   }
-  mayHaveMore_ = true;
+  mayHaveMoreFrames_ = true;
   return true;
 }
 
-// Writes what is queued; false where the connection has ended.
+// Writes queued bytes; false if the connection is closed.
 bool Connection::writeQueued(TimePoint now) {
   if (out_.empty() || isWriting_) return true;
   std::optional<std::string_view> rest = socket_.write(out_);
   if (!rest) {
-    readFrames(now);  // what came right before the end is a response
+    readFrames(now);  // responses that arrived before the close
     return false;
   }
   writtenBytes_ += out_.size() - rest->size();
   if (rest->empty()) {
     out_.clear();
-    if (out_.capacity() > kMaxReadAtOnce) out_.shrink_to_fit();
+    if (out_.capacity() > kMaxReadBytes) out_.shrink_to_fit();
     return true;
   }
   out_.erase(0, out_.size() - rest->size());
@@ -520,14 +537,16 @@
   return true;
 }
 
-// The store's machine closes what has been idle for the stated time, and a request that is written
-// just then is lost: a connection is given up a connect time-out earlier.
+// The store's host closes connections that were idle for the `keepalive` time, and a request that
+// is written at that moment is lost. So the proxy closes an idle connection one connect timeout
+// earlier.
 TimePoint Connection::idleLimit() const {
   return idleSince + pools.limits().keepalive - pools.limits().connectTimeout;
 }
 
-// After a drain's grace nothing new may reach the store, nor what the kernel hasn't taken by then.
-bool Connection::isUsedUp(TimePoint now) const {
+// Once drainLimit() has passed, nothing more may be sent to the store, including queued bytes that
+// the kernel hasn't accepted yet.
+bool Connection::shouldClose(TimePoint now) const {
   if (isIdle() && (isDraining_ || idleLimit() <= now)) return true;
   return isDraining_ && isWriting_ && drainLimit() <= now;
 }
@@ -536,10 +555,10 @@
   TimePoint next = isIdle() ? idleLimit() : nextDeadline();
   Duration connectTimeout = pools.limits().connectTimeout;
   if (isDraining_ && isWriting_) next = std::min(next, drainLimit());
-  // Texts may be prepared by another connection meanwhile.
-  if (!streams_.parked().empty())
-    next = std::min(next, now + connectTimeout * kParkedCheckInterval);
-  if (partSince_ != kNever) next = std::min(next, partSince_ + connectTimeout);
+  // Another connection may prepare the texts that parked requests wait for; this is polled.
+  if (!streams_.parkedStreams().empty())
+    next = std::min(next, now + connectTimeout * kParkedCheckFraction);
+  if (partialFrameSince_ != kNever) next = std::min(next, partialFrameSince_ + connectTimeout);
   return next;
 }
 
@@ -550,21 +569,21 @@
     TimePoint now = scheduler().now();
     bool hadRequests = streams_.requestCount() > 0;
     if (!readFrames(now) || isBroken_) break;
-    endUnwanted(now);
-    beginParked();
-    beginNew();
+    endExpiredOrCancelled(now);
+    resumeParkedRequests();
+    startNewRequests();
     if (!writeQueued(now)) break;
     if (!isDraining_ && requestCount() < protocol_.config().storeStreams)
       pools.markReady(*this);
     else
       pools.markBusy(*this);
     if (hadRequests && streams_.requestCount() == 0) idleSince = now;
-    if (isUsedUp(now)) break;
+    if (shouldClose(now)) break;
     TimePoint until = nextWakeUp(now);
-    // Frames without end, as fast as they can be read, would have this thread for themselves (test
-    // endlessFrames).
-    if (std::exchange(mayHaveMore_, false))
-      co_await runtime::sleepUntil(scheduler(), now + kTurnForOthers);
+    // A store that sends frames as fast as they can be read would otherwise monopolize this thread
+    // (test endlessFrames).
+    if (std::exchange(mayHaveMoreFrames_, false))
+      co_await runtime::sleepUntil(scheduler(), now + kYieldDuration);
     else
       co_await socket_.readable.wait(until);
   }
@@ -583,7 +602,7 @@
 UpstreamProtocol::StoreState& UpstreamProtocol::storeState(int store) {
   double streams = static_cast<double>(config_.storeStreams);
   double maxPreparations = std::max(1.0, streams * kPreparationShare);
-  return stores_.try_emplace(store, room_, maxPreparations).first->second;
+  return stores_.try_emplace(store, lru_, maxPreparations).first->second;
 }
 
 std::unique_ptr<upstream::UpstreamConnection> UpstreamProtocol::createConnection(
--- a/src/protocols/cassandra/upstream_connection.h
+++ b/src/protocols/cassandra/upstream_connection.h
@@ -1,5 +1,5 @@
-// The Cassandra protocol towards the stores: a connection carries many requests at once, each on a
-// stream of its own.
+// Client side of the Cassandra native protocol, used to send requests to stores. A connection
+// carries many requests concurrently, each on its own stream.
 #pragma once
 
 #include <map>
@@ -12,11 +12,12 @@
 
 namespace reedchute::protocols::cassandra {
 
-// One version of the protocol, and what is known of each store over all connections to it.
+// Creates connections for one version of the protocol, and holds the state of each store that its
+// connections share. `config` and `lru` must outlive it.
 class UpstreamProtocol : public upstream::UpstreamProtocol {
  public:
-  UpstreamProtocol(const Config& config, int version, StorePrepared::Room& room)
-      : config_(config), version_(version), room_(room) {}
+  UpstreamProtocol(const Config& config, int version, StorePreparedIds::SharedLru& lru)
+      : config_(config), version_(version), lru_(lru) {}
 
   std::unique_ptr<upstream::UpstreamConnection> createConnection(upstream::ConnectionPools& pools,
                                                                  int store,
@@ -25,12 +26,14 @@
   std::size_t maxConcurrentRequests() const override { return config_.storeStreams; }
   void removeStore(int store) override { stores_.erase(store); }
 
+  // State of one store, shared by all connections to it.
   struct StoreState {
-    StoreState(StorePrepared::Room& room, double maxPreparations)
-        : prepared(room), pace(maxPreparations) {}
-    StorePrepared prepared;
-    PreparePace pace;
+    StoreState(StorePreparedIds::SharedLru& lru, double maxPreparations)
+        : prepared(lru), preparationLimiter(maxPreparations) {}
+    StorePreparedIds prepared;
+    PreparationLimiter preparationLimiter;
   };
+  // Returns the state of a store, creating it on first use.
   StoreState& storeState(int store);
   const Config& config() const { return config_; }
   int version() const { return version_; }
@@ -38,7 +41,7 @@
  private:
   const Config& config_;
   const int version_;
-  StorePrepared::Room& room_;
+  StorePreparedIds::SharedLru& lru_;
   std::map<int, StoreState> stores_;
 };
 
--- a/src/protocols/cassandra/upstream_response.cpp
+++ b/src/protocols/cassandra/upstream_response.cpp
@@ -51,9 +51,9 @@
     return outcome;
   }
   if (frame.opcode != Opcode::result) return AttemptOutcome::malformedResponse;
-  bool isOfExpectedKind = statement.opcode != Opcode::prepare ||
-                          reply.kind == cql::ResultKind::prepared;
-  return isOfExpectedKind ? AttemptOutcome::ok : AttemptOutcome::malformedResponse;
+  bool hasExpectedKind = statement.opcode != Opcode::prepare ||
+                         reply.kind == cql::ResultKind::prepared;
+  return hasExpectedKind ? AttemptOutcome::ok : AttemptOutcome::malformedResponse;
 }
 
 void setResponse(request::UpstreamRequest& request, const Frame& frame, std::uint8_t flags) {
--- a/src/protocols/cassandra/upstream_response.h
+++ b/src/protocols/cassandra/upstream_response.h
@@ -1,4 +1,5 @@
-// What a store's response says of the request that it answers, and of the store. No I/O.
+// Extracts from a store's response the outcome of the request and the reported state of the store.
+// No I/O.
 #pragma once
 
 #include "codec/cql/reply.h"
@@ -8,27 +9,28 @@
 
 namespace reedchute::protocols::cassandra {
 
-// Notes what the custom payload says of the store. `newest`: the latest position that a store may
-// truthfully report now.
+// Copies the store's role, load report and replication position from the custom payload to
+// `request`. `newest`: the latest position that a store can plausibly report now.
 void readStoreState(const reedchute::cql::BytesMap& payload, request::UpstreamRequest& request,
                     WallTime newest);
 
-// The outcome of a request whose text could not be prepared. Nothing of the statement itself was
-// ever sent.
+// The outcome of a request whose text could not be prepared, so that the statement itself was never
+// sent.
 AttemptOutcome outcomeOfPreparation(const reedchute::cql::Frame& frame,
                                     const reedchute::cql::Reply& reply);
 
-// The outcome of a probe; notes the load report that it brought.
+// The outcome of a probe. Copies the load report of the response to `request`.
 AttemptOutcome outcomeOfProbe(const reedchute::cql::Frame& frame,
                               const reedchute::cql::Reply& reply, request::UpstreamRequest& request,
                               WallTime newest);
 
-// The outcome of a statement; errors of interest are logged.
+// The outcome of a statement. Logs errors of the store, and those caused by the statement (outcomes
+// `error` and `invalid`).
 AttemptOutcome outcomeOfStatement(const reedchute::cql::Frame& frame,
                                   const reedchute::cql::Reply& reply, const Statement& statement,
                                   int store);
 
-// The response as the client's connection gets it.
+// Stores the frame's body and opcode, with `flags`, as the response for the client's connection.
 void setResponse(request::UpstreamRequest& request, const reedchute::cql::Frame& frame,
                  std::uint8_t flags);
 
--- a/src/proxy/protocols.cpp
+++ b/src/proxy/protocols.cpp
@@ -90,7 +90,7 @@
   protocols::cassandra::Config& config_;
   const IdIndex<std::string>& storeIds_;
   protocols::cassandra::PreparedTexts preparedTexts_;
-  protocols::cassandra::StorePrepared::Room storePrepared_;
+  protocols::cassandra::StorePreparedIds::SharedLru storePrepared_;
   protocols::cassandra::UpstreamProtocol upstreamV4_;
   protocols::cassandra::UpstreamProtocol upstreamV5_;
   std::vector<request::ProtocolVersion> versions_;
--- a/tests/protocols/cassandra_test.cpp
+++ b/tests/protocols/cassandra_test.cpp
@@ -177,7 +177,7 @@
   PreparedRef held = texts.find(ids[0]);
   std::size_t before = PreparedTexts::costOf(*held);
   held->resultBodies[0] = std::string(5000, 'x');
-  texts.onGrown(held, before);
+  texts.updateCost(held, before);
   std::printf("one that grew beyond all: %zu left, it %s\n", texts.size(),
               texts.find(ids[0]) ? "stays" : "went");
   texts.insert(textOf("f"));
@@ -185,18 +185,18 @@
               texts.find(ids[0]) ? "stays" : "went", held->resultBodies[0].size());
   texts.onSchemaChanged();
   std::printf("bytes after a change of the schema: %zu for %zu\n", texts.bytes(), texts.size());
-  StorePrepared::Room room(700);
-  StorePrepared known(room);
+  StorePreparedIds::SharedLru room(700);
+  StorePreparedIds known(room);
   known.record("a", {"1", ""}), known.record("b", {"2", ""}), known.find("a"),
       known.record("c", {"3", ""});
   std::printf("a store's: a %d b %d c %d\n", known.find("a") != nullptr, known.find("b") != nullptr,
               known.find("c") != nullptr);
   known.record("a", {"9", ""});
   std::printf("a is learnt anew: %s, %zu known\n", known.find("a")->id.c_str(), known.size());
-  StorePrepared::Room four(4 << 20);
-  std::vector<std::unique_ptr<StorePrepared>> stores;
+  StorePreparedIds::SharedLru four(4 << 20);
+  std::vector<std::unique_ptr<StorePreparedIds>> stores;
   for (int s = 0; s < 1024; ++s) {
-    stores.push_back(std::make_unique<StorePrepared>(four));
+    stores.push_back(std::make_unique<StorePreparedIds>(four));
     for (int t = 0; t < 200; ++t)
       stores.back()->record(preparedId(std::to_string(t)), {std::string(16, 'i'), ""});
   }
@@ -207,10 +207,10 @@
 }
 
 void pace() {
-  PreparePace p(4);
+  PreparationLimiter p(4);
   auto begun = [&] {
     int n = 0;
-    while (p.mayBegin()) p.onBegun(), ++n;
+    while (p.hasCapacity()) p.onStarted(), ++n;
     return n;
   };
   std::printf("at first %d;", begun());
@@ -229,18 +229,19 @@
 void streams() {
   Streams s(3);
   request::UpstreamRequest jobs[4];
-  int a = s.begin(&jobs[0]), b = s.begin(&jobs[1]), c = s.begin(&jobs[2]);
+  int a = s.assign(&jobs[0]), b = s.assign(&jobs[1]), c = s.assign(&jobs[2]);
   std::printf("three begun on %d %d %d, full %d\n", a, b, c, s.isFull());
   s.beginPreparing(a, "text");
-  std::printf("preparing it already: %d; parked %zu\n", s.isPreparing("text"), s.parked().size());
+  std::printf("preparing it already: %d; parked %zu\n", s.isPreparing("text"),
+              s.parkedStreams().size());
   s.endPreparing(a);
-  std::printf("prepared: %d; parked %zu\n", s.isPreparing("text"), s.parked().size());
+  std::printf("prepared: %d; parked %zu\n", s.isPreparing("text"), s.parkedStreams().size());
   s.beginPreparing(b, "other");
-  s.end(b, true);
+  s.endRequest(b, true);
   std::printf("ended while its text was prepared: preparing %d, full %d, orphans %zu, jobs %zu\n",
               s.isPreparing("other"), s.isFull(), s.orphanCount(), s.requestCount());
-  s.end(c, false);
-  std::printf("one answered: full %d, next on %d\n", s.isFull(), s.begin(&jobs[3]));
+  s.endRequest(c, false);
+  std::printf("one answered: full %d, next on %d\n", s.isFull(), s.assign(&jobs[3]));
   s.release(b);
   std::printf("the orphan's answer came: full %d, orphans %zu\n", s.isFull(), s.orphanCount());
 }
--- a/tests/protocols/postgres_upstream_test.cpp
+++ b/tests/protocols/postgres_upstream_test.cpp
@@ -177,7 +177,7 @@
 // beside them.
 void endlessFrames() {
   protocols::cassandra::Config config;
-  protocols::cassandra::StorePrepared::Room room(1 << 20);
+  protocols::cassandra::StorePreparedIds::SharedLru room(1 << 20);
   Pair p(std::make_unique<protocols::cassandra::UpstreamProtocol>(config, 4, room), true);
   p.comes("CQL_VERSION");
   p.peer->write(std::string("\x84\0\0\0\2\0\0\0\0", 9));
