--- a/src/protocols/cassandra/error_outcomes.cpp
+++ b/src/protocols/cassandra/error_outcomes.cpp
@@ -8,17 +8,17 @@
 
 AttemptOutcome outcomeOf(std::int32_t code, std::string_view reason) {
   switch (code) {
-    // Never ran. Unavailable is said before any replica is asked, and by stores that tell why they
-    // turn away.
+    // Never ran. Unavailable is returned before any replica is queried, and by stores that state
+    // their reason for a rejection in the custom payload.
     case cql::kUnavailable: {
-      bool isElsewhere = reason == "role" || reason == "behind";
-      return isElsewhere ? AttemptOutcome::notServedHere : AttemptOutcome::overloaded;
+      bool isServedElsewhere = reason == "role" || reason == "behind";
+      return isServedElsewhere ? AttemptOutcome::notServedHere : AttemptOutcome::overloaded;
     }
     case cql::kOverloaded:
     case cql::kBootstrapping:
     case cql::kUnprepared:
       return AttemptOutcome::overloaded;
-    // The statement is at fault wherever it is sent; its client is told so.
+    // The statement is invalid at every store; the error is returned to the client.
     case cql::kProtocolError:
     case cql::kSyntaxError:
     case cql::kUnauthorized:
@@ -27,9 +27,9 @@
     case cql::kAlreadyExists:
     case cql::kFunctionFailure:
       return AttemptOutcome::invalid;
-    // May have run: time-outs and failures of each write type (of BATCH_LOG too, as a part of the
-    // log may have been written and is replayed), a server's error, and whatever no specification
-    // names.
+    // May have run: timeouts and failures of all write types (also of BATCH_LOG, as a part of the
+    // log may have been written and is replayed), server errors, and codes that no specification
+    // defines.
     default:
       return AttemptOutcome::error;
   }
--- a/src/protocols/cassandra/error_outcomes.h
+++ b/src/protocols/cassandra/error_outcomes.h
@@ -1,4 +1,5 @@
-// What a store's ERROR says of an attempt: above all whether it may have run. No I/O.
+// Maps the code of a store's ERROR to the outcome of the attempt, in particular whether the
+// statement may have run. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -8,9 +9,9 @@
 
 namespace reedchute::protocols::cassandra {
 
-// `reason`: the custom payload's word for why a store turned a statement away, "role" or "behind";
-// empty where it has none. Unprepared usually doesn't come here: the text is prepared there and the
-// attempt goes on.
+// `reason`: why the store rejected the statement, as stated in the custom payload: "role",
+// "behind", or empty if the payload has none. Unprepared is usually handled before, by preparing
+// the text at the store and continuing the attempt.
 AttemptOutcome outcomeOf(std::int32_t code, std::string_view reason);
 
 }  // namespace reedchute::protocols::cassandra
--- a/src/protocols/cassandra/paging_state.cpp
+++ b/src/protocols/cassandra/paging_state.cpp
@@ -13,7 +13,7 @@
 constexpr std::uint8_t kFormat = 1;
 constexpr std::size_t kHeaderSize = 1 + 8 + 8;  // bytes: format, store, position
 constexpr std::size_t kChecksumSize = 8;        // bytes
-// Sets these hashes apart from others of the same bytes.
+// Distinguishes these checksums from other hashes of the same bytes.
 constexpr std::uint64_t kSeed = 0x7061676573746174;
 
 std::uint64_t checksumOf(std::string_view bytes) {
--- a/src/protocols/cassandra/paging_state.h
+++ b/src/protocols/cassandra/paging_state.h
@@ -1,5 +1,6 @@
-// The paging state that clients get: a store's own, bound to the store and the position that issued
-// it. The proxy keeps nothing of a read between its pages. No I/O.
+// The paging state that clients receive: the store's own paging state, together with the store that
+// issued it and its replication position. So the proxy keeps no state between the pages of a read.
+// No I/O.
 #pragma once
 
 #include <cstdint>
@@ -12,14 +13,14 @@
 namespace reedchute::protocols::cassandra {
 
 struct PagingState {
-  std::uint64_t storeHash = 0;  // of the store's id in the endpoint list
-  std::optional<WallTime> position;
-  std::string state;  // the store's
+  std::uint64_t storeHash = 0;       // hashOf() the store's id in the endpoint list
+  std::optional<WallTime> position;  // replication position of the store; none: unknown
+  std::string state;                 // the store's own paging state
 };
 
 std::uint64_t hashOf(std::string_view storeId);
 std::string encodePagingState(const PagingState& paging);
-// Nothing where it is not one that a proxy issued, whole and unchanged.
+// Nothing unless a proxy issued these bytes and they are complete and unmodified (by checksum).
 std::optional<PagingState> decodePagingState(std::string_view bytes);
 
 }  // namespace reedchute::protocols::cassandra
--- a/src/protocols/cassandra/pending_requests.h
+++ b/src/protocols/cassandra/pending_requests.h
@@ -1,4 +1,4 @@
-// The requests of one client connection that wait for their response, by stream. No I/O.
+// The requests of one client connection that await a response, by stream. No I/O.
 #pragma once
 
 #include <cstddef>
@@ -16,12 +16,12 @@
   bool contains(int stream) const { return byStream_.contains(stream); }
 
   void add(int stream, Pending pending);
-  // Records the index that the handler gave the statement. Does nothing where the statement was
-  // rejected at once or its response has been sent already.
+  // Records the index that the handler assigned to the statement. Does nothing if the statement was
+  // rejected immediately (`statement` is negative) or its response has already been sent.
   void setStatement(int stream, int statement);
-  // Removes the request, which must be pending.
+  // Removes and returns the request, which must be pending.
   Pending take(int stream);
-  // Removes all requests and returns the indexes of their statements.
+  // Removes all requests and returns the indexes of their statements, where they have one.
   std::vector<int> takeAllStatements();
 
  private:
