--- a/src/protocols/cassandra/upstream_connection.cpp
+++ b/src/protocols/cassandra/upstream_connection.cpp
@@ -26,7 +26,7 @@
 constexpr double kPreparationShare = 1.0 / 8;     // of a connection's streams
 constexpr double kParkedCheckFraction = 0.02;     // of the connect timeout
 constexpr int kMaxRepreparations = 2;            // by one attempt, of texts that the store has lost
-constexpr int kMaxFramesPerTurn = 32;            // of one connection
+constexpr int kMaxFramesPerTurn = 32;            // handled before other connections run
 constexpr std::size_t kMinStreamsPerOrphan = 2;  // with fewer, the connection drains
 constexpr Duration kYieldDuration{1};            // microseconds; lets other connections run
 
@@ -134,7 +134,8 @@
   std::string out_;                        // queued for writing
   std::string beingWritten_;               // by writeRest(), while the socket buffer is full
   std::uint64_t queuedBytes_ = 0, writtenBytes_ = 0;  // since the connection was created
-  TimePoint partialFrameSince_ = kNever;  // since when `in_` ends in an incomplete frame
+  TimePoint partialFrameSince_ =
+      kNever;  // since when an incomplete frame in `in_` has received no bytes
   TimePoint lastReadAt_ = kNever;
   TimePoint drainedAt_ = kNever;
   bool isDraining_ = false, isWriting_ = false, isBroken_ = false;
