--- a/src/protocols/cassandra/upstream_connection.cpp
+++ b/src/protocols/cassandra/upstream_connection.cpp
@@ -134,8 +134,8 @@
   std::string out_;                        // queued for writing
   std::string beingWritten_;               // by writeRest(), while the socket buffer is full
   std::uint64_t queuedBytes_ = 0, writtenBytes_ = 0;  // since the connection was created
-  TimePoint partialFrameSince_ =
-      kNever;  // since when an incomplete frame in `in_` has received no bytes
+  // Since when an incomplete frame in `in_` has received no further bytes.
+  TimePoint partialFrameSince_ = kNever;
   TimePoint lastReadAt_ = kNever;
   TimePoint drainedAt_ = kNever;
   bool isDraining_ = false, isWriting_ = false, isBroken_ = false;
