--- a/src/protocols/cassandra/response_rewriter.cpp
+++ b/src/protocols/cassandra/response_rewriter.cpp
@@ -5,7 +5,7 @@
 namespace reedchute::protocols::cassandra {
 namespace {
 
-constexpr std::size_t kResultKindBytes = 4;   // at the start of the body
+constexpr std::size_t kResultKindBytes = 4;   // kind field of a RESULT
 constexpr std::size_t kShortLengthBytes = 2;  // length field of a [short bytes] id
 
 std::string replaceSpan(const std::string& bytes, std::size_t at, std::size_t span,
