--- a/tests/codec/parsers_test.cpp
+++ b/tests/codec/parsers_test.cpp
@@ -1,4 +1,5 @@
-// The parsers on every split of good input and on damaged input; tests/traces holds what they say.
+// The parsers on valid input split at every position, and on malformed input. The expected results
+// are in tests/traces.
 #include <cstdio>
 #include <cstring>
 #include <random>
@@ -19,7 +20,7 @@
 
 namespace {
 
-std::string shown(const json::Value& v) {
+std::string describe(const json::Value& v) {
   using Kind = json::Value::Kind;
   std::string s;
   switch (v.kind) {
@@ -32,22 +33,23 @@
     case Kind::string:
       return "'" + v.text + "'";
     case Kind::array:
-      for (const json::Value& item : v.items) s += (s.empty() ? "" : " ") + shown(item);
+      for (const json::Value& item : v.items) s += (s.empty() ? "" : " ") + describe(item);
       return "[" + s + "]";
     default:
       for (const auto& [name, member] : v.members)
-        s += (s.empty() ? "" : " ") + name + ":" + shown(member);
+        s += (s.empty() ? "" : " ") + name + ":" + describe(member);
       return "{" + s + "}";
   }
 }
 
-// What a reader says of `text` when it is cut at each place; one line if that is always the same.
+// Prints the result of reading `text` whole, preceded by a line for each split position, and for
+// reading byte by byte, where the result differs.
 template <class Read>
 void everySplit(const std::string& text, Read read) {
   std::string whole = read({text});
   for (std::size_t k = 0; k <= text.size(); ++k) {
-    std::string parted = read({text.substr(0, k), text.substr(k)});
-    if (parted != whole) std::printf("  cut at %zu: %s\n", k, parted.c_str());
+    std::string splitResult = read({text.substr(0, k), text.substr(k)});
+    if (splitResult != whole) std::printf("  cut at %zu: %s\n", k, splitResult.c_str());
   }
   std::vector<std::string> bytes;
   for (char c : text) bytes.emplace_back(1, c);
@@ -60,7 +62,7 @@
   bool good = true;
   for (const std::string& part : parts) good = good && r.feed(part);
   good = good && r.finish();
-  return good ? shown(r.take()) : "bad: " + r.why();
+  return good ? describe(r.take()) : "bad: " + r.why();
 }
 
 void jsonReader() {
@@ -147,20 +149,20 @@
 }
 
 std::string readMessages(const std::vector<std::string>& parts) {
-  std::string in, said;
+  std::string in, output;
   for (const std::string& part : parts) {
     in += part;
     pg::Message m;
     for (;;) {
       pg::Framed f = pg::frame(in, 64, m);
-      if (f == pg::Framed::bad) return said + "bad length";
+      if (f == pg::Framed::bad) return output + "bad length";
       if (f == pg::Framed::partial) break;
-      said += m.type;
-      said += "(" + std::to_string(m.payload.size()) + ") ";
+      output += m.type;
+      output += "(" + std::to_string(m.payload.size()) + ") ";
       in.erase(0, m.whole.size());
     }
   }
-  return said + std::to_string(in.size()) + " left";
+  return output + std::to_string(in.size()) + " left";
 }
 
 void messages() {
@@ -169,11 +171,12 @@
   everySplit(std::string("Q\0\0\0\3xxx", 8), readMessages);
   everySplit(std::string("Q\xff\xff\xff\xff", 5), readMessages);
   everySplit(std::string("Q\0\0\0\x41", 5), readMessages);
-  std::string hello = pg::startup("web", "orders");
+  std::string startupMessage = pg::startup("web", "orders");
   std::int32_t code = 0;
   std::size_t size = 0, cut = 0;
-  while (pg::frameStartup(hello.substr(0, cut), 100, code, size) == pg::Framed::partial) ++cut;
-  std::printf("startup whole at %zu of %zu, version %d\n", cut, hello.size(), code >> 16);
+  while (pg::frameStartup(startupMessage.substr(0, cut), 100, code, size) == pg::Framed::partial)
+    ++cut;
+  std::printf("startup whole at %zu of %zu, version %d\n", cut, startupMessage.size(), code >> 16);
   std::printf("startup of length 7: %d\n",
               static_cast<int>(pg::frameStartup(std::string("\0\0\0\7", 4), 100, code, size)));
   std::string error = pg::error(true, "53300", "no", "250");
@@ -194,38 +197,38 @@
   for (const auto& [name, row] : rows) std::printf("row %s: %d\n", name, pg::oneColumn(row));
 }
 
-// As a store's bytes come one by one: from which on is it known that they are no message?
-void spoiltMessages() {
-  auto tell = [](const char* name, const std::string& bytes) {
+// Feeds a store's bytes one by one and prints at which byte they are recognized as malformed.
+void malformedMessages() {
+  auto check = [](const char* name, const std::string& bytes) {
     for (std::size_t n = 1; n <= bytes.size(); ++n) {
-      std::string_view some = std::string_view(bytes).substr(0, n);
+      std::string_view prefix = std::string_view(bytes).substr(0, n);
       pg::Message m;
-      if (!pg::storeMessageMayFollow(some, 1000))
+      if (!pg::storeMessageMayFollow(prefix, 1000))
         return std::printf("%s: known at byte %zu\n", name, n);
-      if (pg::frame(some, 1000, m) == pg::Framed::whole)
+      if (pg::frame(prefix, 1000, m) == pg::Framed::whole)
         return std::printf("%s: %s when whole\n", name, pg::wellFormed(m) ? "sound" : "known");
     }
     return std::printf("%s: not known yet\n", name);
   };
   std::string described("\0\1payload\0\0\0\0\0\0\0\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\1", 28);
-  tell("a description", pg::message('T', described));
-  tell("one of two columns", pg::message('T', "\2" + described.substr(1)));
-  tell("one with more behind it", pg::message('T', described + "x"));
-  tell("a row", pg::message('D', std::string("\0\1\0\0\0\2ab", 8)));
-  tell("a row that promises more than it has", pg::message('D', std::string("\0\1\0\0\0\3ab", 8)));
-  tell("a row of 3 GB", std::string("D\xc0\0\0\0\0\1\xbf\xff\xff\xf6", 11) + "and so on");
-  tell("a row of 1200 bytes where 1000 may be", pg::message('D', std::string(1200, 'a')));
-  tell("a negative length", std::string("Z\xff\xff\xff\xff", 5));
-  tell("an unknown type", "!$%");
-  tell("completion", pg::message('C', std::string("SELECT 1\0", 9)));
-  tell("completion without its end", pg::message('C', "SELECT 1"));
-  tell("ready", pg::ready());
-  tell("ready for what", pg::message('Z', "?"));
-  tell("an error", pg::error(false, "53300", "full"));
-  tell("an error with noise behind it", pg::message('E', std::string("C53300\0\0noise", 13)));
-  tell("an error without a code", pg::message('E', std::string("Mno\0\0", 5)));
-  tell("a parameter", pg::parameter("usage", "x0=1"));
-  tell("a parameter without a value", pg::message('S', std::string("usage\0", 6)));
+  check("a description", pg::message('T', described));
+  check("one of two columns", pg::message('T', "\2" + described.substr(1)));
+  check("one with more behind it", pg::message('T', described + "x"));
+  check("a row", pg::message('D', std::string("\0\1\0\0\0\2ab", 8)));
+  check("a row that promises more than it has", pg::message('D', std::string("\0\1\0\0\0\3ab", 8)));
+  check("a row of 3 GB", std::string("D\xc0\0\0\0\0\1\xbf\xff\xff\xf6", 11) + "and so on");
+  check("a row of 1200 bytes where 1000 may be", pg::message('D', std::string(1200, 'a')));
+  check("a negative length", std::string("Z\xff\xff\xff\xff", 5));
+  check("an unknown type", "!$%");
+  check("completion", pg::message('C', std::string("SELECT 1\0", 9)));
+  check("completion without its end", pg::message('C', "SELECT 1"));
+  check("ready", pg::ready());
+  check("ready for what", pg::message('Z', "?"));
+  check("an error", pg::error(false, "53300", "full"));
+  check("an error with noise behind it", pg::message('E', std::string("C53300\0\0noise", 13)));
+  check("an error without a code", pg::message('E', std::string("Mno\0\0", 5)));
+  check("a parameter", pg::parameter("usage", "x0=1"));
+  check("a parameter without a value", pg::message('S', std::string("usage\0", 6)));
   for (const char* text : {"x0=5,x1=1", "x0=nan,x1=1", "x0=inf", "x0=-3,x1=0", "x0=1e300",
                            "x0=11,x1=1", "noise", "x0=,=5,,"}) {
     request::StoreReport r = request::parseStoreReport(text, WallTime{10'000'000});
@@ -270,7 +273,7 @@
   }
 }
 
-void rosters() {
+void endpointLists() {
   std::string good =
       R"({"id":"a","addr":"10.1.0.1:1","zone":"z","cell":3,"state":"up","weight":2,"started_ms":5,"access":"writer"})";
   auto list = [](const std::string& entries) {
@@ -308,10 +311,10 @@
   }
 }
 
-// Input damaged at random, always in the same way: nothing is said but that every reader came to an
-// end.
-void damaged() {
-  std::ranlux24_base chance(7);
+// Corrupts input randomly with a fixed seed. Every reader must terminate; only that some input was
+// rejected is printed.
+void corruptedInput() {
+  std::ranlux24_base generator(7);
   std::string json =
       R"({"version":41,"full":true,"servers":[{"id":"s","addr":"1.2.3.4:5","x":[1.5e3,"\u00e4"]}]})";
   std::string http = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n";
@@ -319,23 +322,23 @@
   std::string wire = pg::query(text) + pg::error(false, "53300", "x") + pg::ready();
   int bad = 0;
   for (int k = 0; k < 20000; ++k) {
-    auto hurt = [&](std::string s) {
+    auto corrupt = [&](std::string s) {
       for (int n = 0; n < 3; ++n) {
-        std::size_t at = chance() % s.size();
-        if (chance() % 2)
-          s[at] = static_cast<char>(chance() & 0xff);
+        std::size_t at = generator() % s.size();
+        if (generator() % 2)
+          s[at] = static_cast<char>(generator() & 0xff);
         else
           s.erase(at, 1);
       }
       return s;
     };
-    bad += readJson({hurt(json)}).rfind("bad", 0) == 0;
-    bad += readHttp({hurt(http)}).rfind("bad", 0) == 0;
-    bad += readMessages({hurt(wire)}).find("bad") != std::string::npos;
+    bad += readJson({corrupt(json)}).rfind("bad", 0) == 0;
+    bad += readHttp({corrupt(http)}).rfind("bad", 0) == 0;
+    bad += readMessages({corrupt(wire)}).find("bad") != std::string::npos;
     pg::Fields f;
-    std::string t = hurt(text);
+    std::string t = corrupt(text);
     if (pg::readStatement(t, f) == pg::Read::good) pg::withWait(t, f.waitAt, f.waitSize, 1);
-    pg::errorField(hurt(wire), 'D'), pg::oneColumn(hurt(wire));
+    pg::errorField(corrupt(wire), 'D'), pg::oneColumn(corrupt(wire));
   }
   std::printf("some were found bad: %s\n", bad > 0 ? "yes" : "no");
 }
@@ -344,9 +347,9 @@
                        {"http", httpReader},
                        {"messages", messages},
                        {"statements", statements},
-                       {"rosters", rosters},
-                       {"damaged", damaged},
-                       {"spoiltMessages", spoiltMessages}};
+                       {"rosters", endpointLists},
+                       {"damaged", corruptedInput},
+                       {"spoiltMessages", malformedMessages}};
 
 }  // namespace
 
