--- a/example/toy_cql.cpp
+++ b/example/toy_cql.cpp
@@ -183,12 +183,12 @@
     if (!std::exchange(link->writing, true)) scheduler_.spawn(writeCql(link));
   };
   if (f.opcode == cql::Opcode::startup) {
-    cql::Start start;
-    if (!cql::readStart(f.body, start)) return link->socket->close(), false;
+    cql::StartupOptions start;
+    if (!cql::readStartup(f.body, start)) return link->socket->close(), false;
     link->version = f.version;
     put(cql::Opcode::ready, {});
-    if (start.compression == "lz4") link->framing.compress();
-    if (f.version >= 5) link->framing.segments();
+    if (start.compression == "lz4") link->framing.enableCompression();
+    if (f.version >= 5) link->framing.enableSegments();
     return true;
   }
   if (f.opcode == cql::Opcode::options) {
@@ -199,13 +199,13 @@
                                                      ",x1=" + (store.primary ? "1" : "0")}}}));
     return true;
   }
-  cql::Asked asked;
+  cql::StatementRequest asked;
   const char* why = "";
-  if (!cql::readAsked(f, 1000, asked, why)) {
+  if (!cql::readStatementRequest(f, 1000, asked, why)) {
     put(cql::Opcode::error, cql::errorBody(cql::kProtocolError, why));
     return true;
   }
-  cql::TextRead read;
+  cql::ParsedText read;
   if (f.opcode == cql::Opcode::prepare) {
     // Each store has its own id for a text.
     std::string text(asked.text),
@@ -243,26 +243,26 @@
     if (it == store.prepared.end()) return unknown(asked.id);
     first = it->second;
   }
-  for (const cql::Part& part : asked.parts) {
-    if (!part.prepared) continue;
+  for (const cql::BatchStatement& part : asked.batchStatements) {
+    if (!part.isPrepared) continue;
     auto it = store.prepared.find(std::string(part.text));
     if (it == store.prepared.end()) return unknown(part.text);
   }
   if (f.opcode == cql::Opcode::batch) {
-    const cql::Part& part = asked.parts.front();
-    first = part.prepared ? std::string_view(store.prepared.find(std::string(part.text))->second)
-                          : part.text;
+    const cql::BatchStatement& part = asked.batchStatements.front();
+    first = part.isPrepared ? std::string_view(store.prepared.find(std::string(part.text))->second)
+                            : part.text;
   }
   one.text = first;
   cql::readText(one.text, read);
   one.key = read.firstLiteral;
   if (one.key.empty()) {
     // The first bound value, behind id (or text), consistency, flags and count.
-    std::size_t at = f.opcode == cql::Opcode::execute ? asked.idAt + 2 + asked.id.size() : 0;
+    std::size_t at = f.opcode == cql::Opcode::execute ? asked.idOffset + 2 + asked.id.size() : 0;
     if (f.opcode == cql::Opcode::execute && f.version >= 5) at += 2 + asked.resultId.size();
     at += 2 + (f.version >= 5 ? 4 : 1) + 2;
     if (f.opcode == cql::Opcode::batch)
-      at = asked.parts.front().at + 2 + asked.parts.front().text.size() + 2;
+      at = asked.batchStatements.front().offset + 2 + asked.batchStatements.front().text.size() + 2;
     if (at < f.body.size()) {
       cql::Cursor c(f.body.substr(at));
       one.key = c.bytes().value_or(std::string_view{});
--- a/src/codec/cql/framing.cpp
+++ b/src/codec/cql/framing.cpp
@@ -9,17 +9,18 @@
 namespace reedchute::cql {
 namespace {
 
-constexpr std::size_t kLengthBits = 17;       // bits of a length in a segment's header
+constexpr std::size_t kLengthBits = 17;       // bits of each length field of a segment header
 constexpr std::size_t kCrc24Size = 3;         // bytes
 constexpr std::size_t kCrc32Size = 4;         // bytes
-constexpr std::size_t kPlainHeaderSize = 3;   // bytes before the CRC-24
-constexpr std::size_t kPackedHeaderSize = 5;  // bytes before the CRC-24, with LZ4
-constexpr std::size_t kMaxPlainBody = 64;     // bytes up to which a bare frame isn't compressed
-constexpr std::uint32_t kCrc24Start = 0x875060;
+constexpr std::size_t kHeaderFieldsSize = 3;  // bytes before the CRC-24, uncompressed format
+constexpr std::size_t kCompressedHeaderFieldsSize = 5;  // bytes before the CRC-24, LZ4 format
+// Bodies of bare frames up to this size, in bytes, are not compressed.
+constexpr std::size_t kMaxUncompressedBody = 64;
+constexpr std::uint32_t kCrc24Initial = 0x875060;
 constexpr std::uint32_t kCrc24Polynomial = 0x1974f0b;
 constexpr std::uint32_t kCrc24Overflow = 0x1000000;
-// An LZ4 block grows to 255 times its size at most; a length that promises more is invalid.
-constexpr std::size_t kMaxGrowth = 255;
+// The maximum expansion of an LZ4 block is 255 times its size; a larger stated size is invalid.
+constexpr std::size_t kMaxExpansion = 255;
 
 std::uint64_t readLittleEndian(std::string_view bytes) {
   std::uint64_t value = 0;
@@ -35,18 +36,19 @@
   }
 }
 
-// Appends the `size` bytes that `block` decompresses to; false if it isn't exactly that many.
-bool unpack(std::string_view block, std::size_t size, std::string& to) {
-  std::size_t sizeBefore = to.size();
-  to.resize(sizeBefore + size);
-  int written = LZ4_decompress_safe(block.data(), to.data() + sizeBefore,
+// Decompresses an LZ4 block and appends the result to `to`. Returns false, with `to` unchanged,
+// unless the result is exactly `size` bytes.
+bool decompressBlock(std::string_view block, std::size_t size, std::string& to) {
+  std::size_t initialSize = to.size();
+  to.resize(initialSize + size);
+  int written = LZ4_decompress_safe(block.data(), to.data() + initialSize,
                                     static_cast<int>(block.size()), static_cast<int>(size));
   if (written == static_cast<int>(size)) return true;
-  to.resize(sizeBefore);
+  to.resize(initialSize);
   return false;
 }
 
-std::string pack(std::string_view bytes) {
+std::string compressBlock(std::string_view bytes) {
   std::string block(static_cast<std::size_t>(LZ4_compressBound(static_cast<int>(bytes.size()))),
                     '\0');
   int written = LZ4_compress_default(bytes.data(), block.data(), static_cast<int>(bytes.size()),
@@ -55,9 +57,9 @@
   return block;
 }
 
-// Appends a segment's header, its CRC-24, the payload and its CRC-32.
-void addSealed(std::string& out, std::uint64_t header, std::size_t headerSize,
-               std::string_view payload) {
+// Appends a segment: the header, its CRC-24, the payload and its CRC-32.
+void addSegment(std::string& out, std::uint64_t header, std::size_t headerSize,
+                std::string_view payload) {
   std::size_t begin = out.size();
   addLittleEndian(out, header, headerSize);
   addLittleEndian(out, crc24(std::string_view(out).substr(begin, headerSize)), kCrc24Size);
@@ -65,37 +67,39 @@
   addLittleEndian(out, crc32(payload), kCrc32Size);
 }
 
-void addPlainSegment(std::string& out, std::string_view payload, bool isSelfContained) {
+void addUncompressedSegment(std::string& out, std::string_view payload, bool isSelfContained) {
   std::uint64_t header = payload.size();
   header |= static_cast<std::uint64_t>(isSelfContained) << kLengthBits;
-  addSealed(out, header, kPlainHeaderSize, payload);
+  addSegment(out, header, kHeaderFieldsSize, payload);
 }
 
-void addPackedSegment(std::string& out, std::string_view payload, bool isSelfContained) {
+void addCompressedSegment(std::string& out, std::string_view payload, bool isSelfContained) {
   std::uint64_t selfContainedBit = static_cast<std::uint64_t>(isSelfContained) << (2 * kLengthBits);
-  std::string packed = pack(payload);
-  if (packed.size() >= payload.size()) {
-    // What compression doesn't shrink is sent as it is, with an uncompressed length of 0.
-    addSealed(out, payload.size() | selfContainedBit, kPackedHeaderSize, payload);
+  std::string compressed = compressBlock(payload);
+  if (compressed.size() >= payload.size()) {
+    // A payload that compression doesn't shrink is sent uncompressed. An uncompressed length of 0
+    // in the header says so.
+    addSegment(out, payload.size() | selfContainedBit, kCompressedHeaderFieldsSize, payload);
     return;
   }
-  std::uint64_t plainLength = static_cast<std::uint64_t>(payload.size()) << kLengthBits;
-  addSealed(out, packed.size() | plainLength | selfContainedBit, kPackedHeaderSize, packed);
+  std::uint64_t uncompressedLength = static_cast<std::uint64_t>(payload.size()) << kLengthBits;
+  addSegment(out, compressed.size() | uncompressedLength | selfContainedBit,
+             kCompressedHeaderFieldsSize, compressed);
 }
 
 struct SegmentHeader {
-  std::size_t payloadSize = 0;  // bytes, as transmitted
-  std::size_t plainSize = 0;    // bytes after decompression; 0 if it isn't compressed
+  std::size_t payloadSize = 0;       // bytes, as transmitted
+  std::size_t uncompressedSize = 0;  // bytes after decompression; 0 if not compressed
   bool isSelfContained = false;
 };
 
-SegmentHeader readSegmentHeader(std::string_view bytes, bool isPacked) {
+SegmentHeader readSegmentHeader(std::string_view bytes, bool isCompressed) {
   std::uint64_t bits = readLittleEndian(bytes);
   SegmentHeader header;
-  header.payloadSize = bits & kMostSegment;
+  header.payloadSize = bits & kMaxSegmentPayload;
   bits >>= kLengthBits;
-  if (isPacked) {
-    header.plainSize = bits & kMostSegment;
+  if (isCompressed) {
+    header.uncompressedSize = bits & kMaxSegmentPayload;
     bits >>= kLengthBits;
   }
   header.isSelfContained = bits & 1;
@@ -105,7 +109,7 @@
 }  // namespace
 
 std::uint32_t crc24(std::string_view bytes) {
-  std::uint32_t crc = kCrc24Start;
+  std::uint32_t crc = kCrc24Initial;
   for (char byte : bytes) {
     crc ^= static_cast<std::uint32_t>(static_cast<unsigned char>(byte)) << 16;
     for (int bit = 0; bit < 8; ++bit) {
@@ -124,29 +128,32 @@
 }
 
 Framed Framing::nextBare(std::string_view bytes, std::size_t& used, Frame& result) {
-  Framed framed = frame(bytes, mostBody_, result);
-  if (framed == Framed::bad) return bad("a frame's length makes no sense");
+  Framed framed = readFrame(bytes, maxBodySize_, result);
+  if (framed == Framed::bad) return bad("a frame length that is negative or above the limit");
   if (framed != Framed::whole) return framed;
-  used = kHeader + result.body.size();
+  used = kHeaderSize + result.body.size();
   if (!(result.flags & kCompressed)) return framed;
-  if (!isCompressing_) return bad("a compressed frame where no compression was agreed");
+  if (!isCompressing_)
+    return bad("a compressed frame, but no compression was negotiated in STARTUP");
   Cursor cursor(result.body);
   std::int32_t statedSize = cursor.fourBytes();
-  if (!cursor.good() || statedSize < 0) return bad("a decompressed size that can't be");
-  // A wrong size would reserve memory for bytes that never come.
+  if (!cursor.good() || statedSize < 0)
+    return bad("a decompressed size that is missing or negative");
+  // Checked before decompressing: a false size would reserve memory for data that the frame doesn't
+  // contain.
   auto size = static_cast<std::size_t>(statedSize);
-  if (size > mostBody_ || size > cursor.rest().size() * kMaxGrowth)
-    return bad("a decompressed size that can't be");
-  plain_.clear();
-  // An empty body is sent as a size of 0 and may have no block behind it.
-  if (size > 0 && !unpack(cursor.rest(), size, plain_))
-    return bad("a block that can't be decompressed");
-  result.body = plain_;
+  if (size > maxBodySize_ || size > cursor.rest().size() * kMaxExpansion)
+    return bad("a decompressed size above the limit or the maximum LZ4 ratio");
+  buffer_.clear();
+  // An empty body has a stated size of 0, and the LZ4 block may be missing.
+  if (size > 0 && !decompressBlock(cursor.rest(), size, buffer_))
+    return bad("an LZ4 block that doesn't decompress to its stated size");
+  result.body = buffer_;
   return framed;
 }
 
 Framed Framing::nextSegment(std::string_view bytes, std::size_t& used) {
-  std::size_t headerSize = isCompressing_ ? kPackedHeaderSize : kPlainHeaderSize;
+  std::size_t headerSize = isCompressing_ ? kCompressedHeaderFieldsSize : kHeaderFieldsSize;
   std::size_t payloadBegin = headerSize + kCrc24Size;
   if (bytes.size() < payloadBegin) return Framed::partial;
   std::string_view headerBytes = bytes.substr(0, headerSize);
@@ -158,16 +165,17 @@
   std::string_view payload = bytes.substr(payloadBegin, header.payloadSize);
   if (readLittleEndian(bytes.substr(payloadEnd, kCrc32Size)) != crc32(payload))
     return bad("a segment's payload doesn't match its checksum");
-  // A part of a frame in front of whole ones would change the meaning of what follows.
-  if (header.isSelfContained && taken_ < plain_.size())
-    return bad("a segment of its own in the middle of a frame");
+  // Bytes of an unfinished frame before a self-contained segment would shift the frame boundaries
+  // in it.
+  if (header.isSelfContained && consumed_ < buffer_.size())
+    return bad("a self-contained segment in the middle of a frame");
   if (header.payloadSize == 0) return bad("an empty segment");
-  plain_.erase(0, taken_);
-  taken_ = 0;
-  if (header.plainSize == 0) {
-    plain_ += payload;
-  } else if (!unpack(payload, header.plainSize, plain_)) {
-    return bad("a block that can't be decompressed");
+  buffer_.erase(0, consumed_);
+  consumed_ = 0;
+  if (header.uncompressedSize == 0) {
+    buffer_ += payload;
+  } else if (!decompressBlock(payload, header.uncompressedSize, buffer_)) {
+    return bad("an LZ4 block that doesn't decompress to its stated size");
   }
   isSelfContained_ = header.isSelfContained;
   used = payloadEnd + kCrc32Size;
@@ -178,7 +186,7 @@
   used = 0;
   if (!usesSegments_) return nextBare(bytes, used, result);
   for (;;) {
-    Framed framed = nextHeld(result);
+    Framed framed = nextBuffered(result);
     if (framed != Framed::partial) return framed;
     std::size_t segmentSize = 0;
     framed = nextSegment(bytes.substr(used), segmentSize);
@@ -187,60 +195,60 @@
   }
 }
 
-Framed Framing::nextHeld(Frame& result) {
-  std::string_view rest = std::string_view(plain_).substr(taken_);
+Framed Framing::nextBuffered(Frame& result) {
+  std::string_view rest = std::string_view(buffer_).substr(consumed_);
   if (rest.empty()) {
-    if (plain_.capacity() > kMostSegment) {
-      plain_ = {};
-      taken_ = 0;
+    if (buffer_.capacity() > kMaxSegmentPayload) {
+      buffer_ = {};
+      consumed_ = 0;
     }
     return Framed::partial;
   }
-  Framed framed = frame(rest, mostBody_, result);
-  if (framed == Framed::bad) return bad("a frame's length makes no sense");
+  Framed framed = readFrame(rest, maxBodySize_, result);
+  if (framed == Framed::bad) return bad("a frame length that is negative or above the limit");
   if (framed == Framed::partial) {
-    if (isSelfContained_) return bad("a segment of its own with a part of a frame");
+    if (isSelfContained_) return bad("a self-contained segment that ends inside a frame");
     return framed;
   }
-  taken_ += kHeader + result.body.size();
-  // Bytes behind a split frame in its last segment belong to no frame.
-  if (!isSelfContained_ && taken_ < plain_.size())
-    return bad("a segment with more than the end of its frame");
+  consumed_ += kHeaderSize + result.body.size();
+  // The last segment of a split frame must end with the frame.
+  if (!isSelfContained_ && consumed_ < buffer_.size())
+    return bad("a segment with data after the end of a split frame");
   return framed;
 }
 
-void Framing::put(std::string& out, bool answer, int version, std::uint8_t flags,
+void Framing::put(std::string& out, bool isResponse, int version, std::uint8_t flags,
                   std::int16_t stream, Opcode opcode, std::string_view body) const {
   if (!usesSegments_) {
-    putBare(out, answer, version, flags, stream, opcode, body);
+    putBare(out, isResponse, version, flags, stream, opcode, body);
     return;
   }
-  std::string plain = whole(answer, version, flags, stream, opcode, body);
-  std::string_view rest = plain;
-  bool isSelfContained = rest.size() <= kMostSegment;
+  std::string bytes = encodeFrame(isResponse, version, flags, stream, opcode, body);
+  std::string_view rest = bytes;
+  bool isSelfContained = rest.size() <= kMaxSegmentPayload;
   while (!rest.empty()) {
-    std::string_view payload = rest.substr(0, kMostSegment);
+    std::string_view payload = rest.substr(0, kMaxSegmentPayload);
     if (isCompressing_) {
-      addPackedSegment(out, payload, isSelfContained);
+      addCompressedSegment(out, payload, isSelfContained);
     } else {
-      addPlainSegment(out, payload, isSelfContained);
+      addUncompressedSegment(out, payload, isSelfContained);
     }
     rest.remove_prefix(payload.size());
   }
 }
 
-void Framing::putBare(std::string& out, bool answer, int version, std::uint8_t flags,
+void Framing::putBare(std::string& out, bool isResponse, int version, std::uint8_t flags,
                       std::int16_t stream, Opcode opcode, std::string_view body) const {
-  // Neither STARTUP nor OPTIONS is compressed, nor what is too short to gain by it.
+  // STARTUP, OPTIONS and bodies too short to benefit aren't compressed.
   bool mayCompress = opcode != Opcode::startup && opcode != Opcode::options;
-  std::string packed;
-  if (isCompressing_ && mayCompress && body.size() > kMaxPlainBody) {
-    addInt(packed, static_cast<std::int32_t>(body.size()));
-    packed += pack(body);
-    body = packed;
+  std::string compressed;
+  if (isCompressing_ && mayCompress && body.size() > kMaxUncompressedBody) {
+    addInt(compressed, static_cast<std::int32_t>(body.size()));
+    compressed += compressBlock(body);
+    body = compressed;
     flags = static_cast<std::uint8_t>(flags | kCompressed);
   }
-  addHeader(out, answer, version, flags, stream, opcode, body.size());
+  addHeader(out, isResponse, version, flags, stream, opcode, body.size());
   out += body;
 }
 
--- a/src/codec/cql/framing.h
+++ b/src/codec/cql/framing.h
@@ -1,11 +1,15 @@
-// The two framings of the Cassandra native protocol, and LZ4 compression, in both directions of one
-// connection. Owned by its connection and used by one thread; no I/O.
+// The two framing formats of the Cassandra native protocol, and LZ4 compression, for both
+// directions of one connection. An instance is owned by its connection and used by one thread; no
+// I/O.
 //
-// A connection of version 4 uses bare frames, and so does any connection up to the reply to
-// STARTUP. Compression is then a flag of each frame, whose body is a length of four bytes and an
-// LZ4 block. After READY or AUTHENTICATE, a connection of version 5 uses segments of at most 128
-// KiB, each with a CRC-24 of its header and a CRC-32 of its payload. A segment holds whole frames
-// (it is self-contained) or a part of one, and compression applies to the segment.
+// Bare frames, which aren't wrapped in segments, are used by version 4, and by every version up to
+// and including the response to STARTUP. Compression is a flag of each bare frame: a compressed
+// body consists of the uncompressed length (four bytes) and an LZ4 block.
+//
+// Version 5 switches to segments after READY or AUTHENTICATE. A segment's payload is shorter than
+// 128 KiB; its header is protected by a CRC-24 and its payload by a CRC-32. A segment contains
+// either whole frames (it is self-contained) or a part of one frame. Compression applies to the
+// segment.
 #pragma once
 
 #include <cstdint>
@@ -16,57 +20,59 @@
 
 namespace reedchute::cql {
 
-inline constexpr std::size_t kMostSegment = 128 * 1024 - 1;  // bytes of uncompressed payload
+inline constexpr std::size_t kMaxSegmentPayload = 128 * 1024 - 1;  // bytes, uncompressed
 
 // The framing state of one connection.
 class Framing {
  public:
-  // `mostBody`: the largest body of a frame in bytes, both as received and decompressed.
-  explicit Framing(std::size_t mostBody) : mostBody_(mostBody) {}
+  // `maxBodySize`: the limit in bytes of a frame's body, both as received and after decompression.
+  explicit Framing(std::size_t maxBodySize) : maxBodySize_(maxBodySize) {}
 
-  // Turns on LZ4, as agreed in STARTUP, from the next frame on.
-  void compress() { isCompressing_ = true; }
+  // Enables LZ4, as negotiated in STARTUP, from the next frame on.
+  void enableCompression() { isCompressing_ = true; }
   // Switches to segments, in both directions.
-  void segments() { usesSegments_ = true; }
-  bool inSegments() const { return usesSegments_; }
+  void enableSegments() { usesSegments_ = true; }
+  bool usesSegments() const { return usesSegments_; }
 
   // Reads the next frame into `result` and sets `used` to the number of `bytes` consumed. The
-  // frame's body is a view into `bytes` or into this object, valid until the next call. `bad`
-  // stands for an impossible length, a wrong checksum, or a block that doesn't decompress to its
-  // stated size; nothing after it can be read, and `why` gives the reason.
+  // frame's body is a view into `bytes` or into this object, valid until the next call. Returns
+  // `bad` for an invalid length, a checksum mismatch, a segment that violates the frame boundaries,
+  // or a block that doesn't decompress to its stated size. The connection can't be read any further
+  // after `bad`, and `why` returns the reason.
   Framed next(std::string_view bytes, std::size_t& used, Frame& result);
-  // The reason of the last `bad`.
+  // The reason for the last `bad`, a static string; empty before the first.
   const char* why() const { return why_; }
-  // Bytes of memory that this object holds between two calls.
-  std::size_t held() const { return plain_.capacity(); }
+  // The size in bytes of the buffer that is kept between calls.
+  std::size_t bufferedBytes() const { return buffer_.capacity(); }
 
-  // Appends one frame in the connection's framing. `body` is uncompressed.
-  void put(std::string& out, bool answer, int version, std::uint8_t flags, std::int16_t stream,
+  // Appends one frame to `out` in the connection's current format, compressed if enabled. `body` is
+  // passed uncompressed.
+  void put(std::string& out, bool isResponse, int version, std::uint8_t flags, std::int16_t stream,
            Opcode opcode, std::string_view body) const;
 
  private:
   Framed nextBare(std::string_view bytes, std::size_t& used, Frame& result);
-  Framed nextHeld(Frame& result);  // from what earlier segments held
+  Framed nextBuffered(Frame& result);  // from the payloads of earlier segments
   Framed nextSegment(std::string_view bytes, std::size_t& used);
-  void putBare(std::string& out, bool answer, int version, std::uint8_t flags, std::int16_t stream,
-               Opcode opcode, std::string_view body) const;
+  void putBare(std::string& out, bool isResponse, int version, std::uint8_t flags,
+               std::int16_t stream, Opcode opcode, std::string_view body) const;
   Framed bad(const char* why) {
     why_ = why;
     return Framed::bad;
   }
 
-  std::size_t mostBody_;  // bytes
+  std::size_t maxBodySize_;  // bytes
   bool isCompressing_ = false;
   bool usesSegments_ = false;
-  std::string plain_;            // a decompressed body, or the payloads of segments
-  std::size_t taken_ = 0;        // bytes of `plain_` that were returned as frames
-  bool isSelfContained_ = true;  // whether the last segment was
+  std::string buffer_;           // a decompressed body, or decompressed segment payloads
+  std::size_t consumed_ = 0;     // bytes of `buffer_` already returned as frames
+  bool isSelfContained_ = true;  // of the last segment
   const char* why_ = "";
 };
 
-// The CRC-24 of a segment's header: polynomial 0x1974f0b, initial value 0x875060.
+// The CRC-24 of a segment header: polynomial 0x1974f0b, initial value 0x875060.
 std::uint32_t crc24(std::string_view bytes);
-// The CRC-32 of a segment's payload: zlib's, after the initial bytes fa 2d 55 ca.
+// The CRC-32 of a segment payload: zlib's CRC-32 over the bytes fa 2d 55 ca and the payload.
 std::uint32_t crc32(std::string_view bytes);
 
 }  // namespace reedchute::cql
--- a/src/codec/cql/reply.cpp
+++ b/src/codec/cql/reply.cpp
@@ -15,13 +15,14 @@
 constexpr std::size_t kKeyIndexSize = 2;    // bytes
 constexpr std::size_t kInet4Size = 4;       // bytes
 constexpr std::int32_t kNullCell = -1;      // the length of a null value
-constexpr int kFailureReasonsVersion = 5;   // lists each failed replica and its reason
-constexpr int kCasContentionsVersion = 5;   // counts contentions in a CAS write timeout
-constexpr int kResultIdVersion = 5;         // identifies the metadata of results
-// Types nested without end would use up the stack.
+// The first versions whose responses contain:
+constexpr int kFailureReasonsVersion = 5;  // the address and reason of each failed replica
+constexpr int kCasContentionsVersion = 5;  // the number of contentions in a CAS write timeout
+constexpr int kResultIdVersion = 5;        // an id of the result metadata
+// Limits recursion, so that deeply nested types can't overflow the stack.
 constexpr int kMaxTypeDepth = 16;
 
-// The ids of column types that hold other types or names.
+// The ids of column types that are followed by type parameters or names, and the last simple type.
 enum TypeId : std::uint16_t {
   kCustomType = 0x0000,
   kLastSimpleType = 0x0015,
@@ -40,7 +41,7 @@
   for (; count > 0 && cursor.good(); --count) cursor.string();
 }
 
-// A [string list].
+// Skips a [string list].
 void skipStringList(Cursor& cursor) {
   skipStrings(cursor, cursor.twoBytes());
 }
@@ -105,7 +106,8 @@
   return cursor.good();
 }
 
-// Whose metadata is read: only that of rows describes the reply itself.
+// The object that the metadata describes. Column count and paging state are stored in the reply
+// only for `rows`; those of a prepared statement describe its later results.
 enum class MetadataOf { rows, preparedStatement };
 
 bool readMetadata(const Frame& frame, Cursor& cursor, Reply& reply, MetadataOf owner) {
@@ -118,8 +120,8 @@
     std::optional<std::string_view> state = cursor.bytes();
     if (owner == MetadataOf::rows) {
       reply.pageState = state;
-      reply.pageAt = begin;
-      reply.pageSpan = offsetIn(frame.body, cursor) - begin;
+      reply.pageStateOffset = begin;
+      reply.pageStateSize = offsetIn(frame.body, cursor) - begin;
     }
   }
   if (flags & kChanged) {
@@ -134,7 +136,8 @@
   if (!readMetadata(frame, cursor, reply, MetadataOf::rows)) return false;
   reply.rows = cursor.fourBytes();
   if (!cursor.good() || reply.rows < 0) return false;
-  // Rows without columns take no bytes, so a large count alone would keep the loop below busy.
+  // Rows without columns have no bytes, so the end of the body wouldn't stop a loop over a large
+  // stated count.
   if (reply.columns == 0) return reply.rows == 0 && cursor.ended();
   std::int64_t cells = std::int64_t{reply.rows} * reply.columns;
   for (; cells > 0 && cursor.good(); --cells) cursor.bytes();
@@ -142,7 +145,7 @@
 }
 
 bool readPrepared(const Frame& frame, Cursor& cursor, Reply& reply) {
-  reply.idAt = offsetIn(frame.body, cursor);
+  reply.idOffset = offsetIn(frame.body, cursor);
   reply.id = cursor.shortBytes();
   if (frame.version >= kResultIdVersion) reply.resultId = cursor.shortBytes();
   std::int32_t flags = cursor.fourBytes();
@@ -151,7 +154,7 @@
   if (!cursor.good() || reply.markers < 0 || keys < 0 || reply.id.empty()) return false;
   cursor.take(kKeyIndexSize * static_cast<std::size_t>(keys));
   if (!cursor.good() || !readColumns(cursor, flags, reply.markers, reply)) return false;
-  // The metadata of the result names the table where no marker does.
+  // A statement without bind markers has its table name only in the result metadata.
   return readMetadata(frame, cursor, reply, MetadataOf::preparedStatement) && cursor.ended();
 }
 
@@ -165,14 +168,14 @@
   return cursor.ended();
 }
 
-// A consistency level, the replicas that replied and those that were required.
+// Skips the consistency level, the number of replicas that responded and the number required.
 void skipReplicaCounts(Cursor& cursor) {
   cursor.twoBytes();
   cursor.fourBytes();
   cursor.fourBytes();
 }
 
-// How many replicas failed and, from version 5 on, the address and reason of each.
+// Skips the number of failed replicas and, from version 5 on, the address and reason of each.
 void skipFailures(int version, Cursor& cursor) {
   std::int32_t failures = cursor.fourBytes();
   if (failures < 0) cursor.fail();
@@ -191,7 +194,7 @@
   if (mayCountContentions && !cursor.rest().empty()) cursor.twoBytes();
 }
 
-// The fields behind an error's code and text.
+// Reads the fields that follow an error's code and text.
 void readErrorFields(int version, Cursor& cursor, Reply& reply) {
   switch (reply.code) {
     case kUnavailable:
@@ -223,7 +226,7 @@
       skipStrings(cursor, 2);  // keyspace and table
       break;
     case kUnprepared:
-      reply.unprepared = cursor.shortBytes();
+      reply.unpreparedId = cursor.shortBytes();
       break;
     default:
       break;
@@ -264,7 +267,7 @@
   if (frame.flags & kWarnings) skipStringList(cursor);
   if (frame.flags & kPayload && !readBytesMap(cursor, reply.payload)) return false;
   if (!cursor.good()) return false;
-  reply.bodyAt = offsetIn(frame.body, cursor);
+  reply.bodyOffset = offsetIn(frame.body, cursor);
   if (frame.opcode == Opcode::error) return readError(frame, cursor, reply);
   if (frame.opcode == Opcode::result) return readResult(frame, cursor, reply);
   return true;
--- a/src/codec/cql/reply.h
+++ b/src/codec/cql/reply.h
@@ -1,5 +1,5 @@
-// Bodies of the replies of the Cassandra native protocol: validates those of servers and extracts
-// what routing needs, and encodes those that the proxy sends itself.
+// Response bodies of the Cassandra native protocol. Decodes and validates the responses of servers,
+// as far as routing needs their fields, and encodes the responses that the proxy itself sends.
 //
 // All functions are pure: no I/O and no state. Views in results point into the frame's body.
 #pragma once
@@ -17,40 +17,40 @@
 // The kinds of a RESULT, with their values on the wire.
 enum class ResultKind { voidResult = 1, rows, setKeyspace, prepared, schemaChange };
 
-// A decoded reply. Offsets count from the start of the frame's body, in bytes.
+// A decoded response. Offsets are in bytes from the start of the frame's body.
 struct Reply {
-  BytesMap payload;        // the custom payload
-  std::size_t bodyAt = 0;  // offset behind tracing id, warnings and custom payload
+  BytesMap payload;            // the custom payload
+  std::size_t bodyOffset = 0;  // offset after tracing id, warnings and custom payload
 
-  // Of an ERROR.
+  // Set for an ERROR.
   std::int32_t code = 0;
   std::string_view text;
-  std::string_view writeType;   // of a write timeout or failure
-  std::string_view unprepared;  // the id that the server doesn't know
+  std::string_view writeType;     // for a write timeout or failure
+  std::string_view unpreparedId;  // for UNPREPARED: the id unknown to the server
 
-  // Of a RESULT.
+  // Set for a RESULT.
   ResultKind kind = ResultKind::voidResult;
-  std::string_view keyspace;  // also of rows and prepared statements
-  std::string_view table;     // of rows and prepared statements: the first that is named
+  std::string_view keyspace;  // for `setKeyspace`, `rows` and `prepared`
+  std::string_view table;     // for `rows` and `prepared`: the first table named
   std::optional<std::string_view> pageState;
-  std::size_t pageAt = 0;    // offset of the paging state, which includes its length field
-  std::size_t pageSpan = 0;  // and its size
+  std::size_t pageStateOffset = 0;  // offset of the paging state's length field
+  std::size_t pageStateSize = 0;    // size of the paging state and its length field, in bytes
   std::int32_t rows = 0;
   std::int32_t columns = 0;
 
-  // Of a prepared statement.
+  // Set for a RESULT of kind `prepared`.
   std::string_view id;
-  std::string_view resultId;  // version 5
-  std::size_t idAt = 0;       // offset of the id's length field
-  std::int32_t markers = 0;   // bind markers
+  std::string_view resultId;  // from version 5 on
+  std::size_t idOffset = 0;   // offset of the id's length field
+  std::int32_t markers = 0;   // number of bind markers
 };
 
-// Decodes a reply; false unless its body is valid up to its last byte. A truncated reply, or one
-// with wrong counts, would reach the client as rows that don't exist. The bodies of opcodes other
-// than ERROR and RESULT are not checked.
+// Decodes a response; false unless its body is valid to the last byte. The check is complete
+// because a client would read a truncated response, or one with wrong counts, as rows that don't
+// exist. The bodies of opcodes other than ERROR and RESULT aren't checked.
 bool readReply(const Frame& frame, Reply& reply);
 
-// The column types that the proxy's own replies use, with their ids on the wire.
+// The column types of responses that the proxy itself sends, with their ids on the wire.
 enum class Type : std::uint16_t {
   varchar = 0x000d,
   boolean = 0x0004,
@@ -61,18 +61,18 @@
   mapOfText = 0x0021,
 };
 
-// A column of a reply that the proxy encodes.
+// A column of a response that the proxy itself sends.
 struct Column {
   std::string_view name;
   Type type = Type::varchar;
 };
 
-// Encodes a RESULT of rows. A cell is a serialized value, or nullopt for null.
+// Encodes the body of a RESULT of kind `rows`. A cell is a serialized value, or nullopt for null.
 std::string rowsBody(std::string_view keyspace, std::string_view table,
                      const std::vector<Column>& columns,
                      const std::vector<std::vector<std::optional<std::string>>>& rows);
 
-// Encodes the RESULT of a USE statement.
+// Encodes the body of the RESULT of a USE statement.
 std::string setKeyspaceBody(std::string_view keyspace);
 
 // Serializes a value of type set<text>.
@@ -84,10 +84,12 @@
 // Encodes a body that is a [string multimap].
 std::string multimapBody(const Multimap& map);
 
-// Decodes one, appending to `into`; false unless the body is valid up to its last byte.
+// Decodes a body that is a [string multimap], appending to `into`; false unless it is valid to its
+// last byte.
 bool readMultimap(std::string_view body, Multimap& into);
 
-// Encode EVENT bodies. `address` is an IPv4 address in network byte order.
+// Encode the bodies of EVENT frames. `address` is an IPv4 address in network byte order, `port` is
+// in host byte order.
 std::string topologyEvent(std::string_view change, std::uint32_t address, std::uint16_t port);
 std::string statusEvent(std::string_view change, std::uint32_t address, std::uint16_t port);
 
--- a/src/codec/cql/request.cpp
+++ b/src/codec/cql/request.cpp
@@ -20,10 +20,11 @@
 constexpr std::uint32_t kBatchForbiddenFlags = kValues | kPageSize | kHasPageState | kNamed;
 constexpr std::uint32_t kPrepareWithKeyspace = 0x01;
 constexpr std::uint8_t kLastBatchType = 2;  // counter
-constexpr std::uint8_t kTextPart = 0;
-constexpr std::uint8_t kPreparedPart = 1;
-constexpr int kLongFlagsVersion = 5;  // has flags of four bytes, also in PREPARE
-constexpr int kResultIdVersion = 5;   // identifies the metadata of results
+constexpr std::uint8_t kTextStatement = 0;
+constexpr std::uint8_t kPreparedStatement = 1;
+// The first versions with:
+constexpr int kLongFlagsVersion = 5;  // parameter flags of four bytes, also in PREPARE
+constexpr int kResultIdVersion = 5;   // an id of the result metadata in EXECUTE
 
 std::size_t offsetIn(std::string_view body, const Cursor& cursor) {
   return body.size() - cursor.rest().size();
@@ -47,7 +48,7 @@
   }
 }
 
-// The parameters that follow the paging state, which a batch has as well.
+// Reads the parameters after the paging state, which QUERY, EXECUTE and BATCH have in common.
 void readTrailingParameters(Cursor& cursor, Parameters& parameters) {
   if (parameters.flags & kSerial) cursor.twoBytes();
   if (parameters.flags & kTimestamp) cursor.eightBytes();
@@ -65,48 +66,50 @@
   }
   if (parameters.flags & kPageSize) parameters.pageSize = cursor.fourBytes();
   if (parameters.flags & kHasPageState) {
-    parameters.pageAt = offsetIn(body, cursor);
+    parameters.pageStateOffset = offsetIn(body, cursor);
     parameters.pageState = cursor.bytes();
-    parameters.pageSpan = offsetIn(body, cursor) - parameters.pageAt;
+    parameters.pageStateSize = offsetIn(body, cursor) - parameters.pageStateOffset;
   }
   readTrailingParameters(cursor, parameters);
   return cursor.good();
 }
 
-Part readPart(std::string_view body, Cursor& cursor) {
+BatchStatement readBatchStatement(std::string_view body, Cursor& cursor) {
   std::uint8_t kind = cursor.byte();
-  Part part;
-  part.at = offsetIn(body, cursor);
-  part.prepared = kind == kPreparedPart;
-  part.text = part.prepared ? cursor.shortBytes() : cursor.longString();
-  if (kind != kTextPart && kind != kPreparedPart) cursor.fail();
+  BatchStatement statement;
+  statement.offset = offsetIn(body, cursor);
+  statement.isPrepared = kind == kPreparedStatement;
+  statement.text = statement.isPrepared ? cursor.shortBytes() : cursor.longString();
+  if (kind != kTextStatement && kind != kPreparedStatement) cursor.fail();
   skipValues(cursor, cursor.twoBytes(), ValueNames::absent);
-  return part;
+  return statement;
 }
 
-bool readBatch(std::string_view body, Cursor& cursor, int version, std::size_t mostParts,
-               Asked& into, const char*& why) {
+bool readBatch(std::string_view body, Cursor& cursor, int version, std::size_t maxStatements,
+               StatementRequest& into, const char*& why) {
   into.batchType = cursor.byte();
   std::uint16_t count = cursor.twoBytes();
   if (into.batchType > kLastBatchType) {
-    why = "an unknown type of batch";
+    why = "an unknown batch type";
     return false;
   }
-  if (count > mostParts) {
-    why = "a batch of too many statements";
+  if (count > maxStatements) {
+    why = "a batch with too many statements";
     return false;
   }
-  into.parts.reserve(count);
-  for (; count > 0 && cursor.good(); --count) into.parts.push_back(readPart(body, cursor));
+  into.batchStatements.reserve(count);
+  for (; count > 0 && cursor.good(); --count)
+    into.batchStatements.push_back(readBatchStatement(body, cursor));
   into.parameters.consistency = cursor.twoBytes();
   if (!readFlags(cursor, version, into.parameters.flags)) return false;
-  // Names of values can't be told from the values, as the flag for them follows both.
+  // Values can't be named: the flag that announces names comes after the values, so names and
+  // values couldn't be told apart.
   if (into.parameters.flags & kBatchForbiddenFlags) return false;
   readTrailingParameters(cursor, into.parameters);
   return cursor.good();
 }
 
-bool readPrepare(Cursor& cursor, int version, Asked& into) {
+bool readPrepare(Cursor& cursor, int version, StatementRequest& into) {
   into.text = cursor.longString();
   if (version < kLongFlagsVersion) return cursor.ended();
   auto flags = static_cast<std::uint32_t>(cursor.fourBytes());
@@ -115,11 +118,11 @@
   return cursor.ended();
 }
 
-bool readExecute(std::string_view body, Cursor& cursor, int version, Asked& into) {
-  into.idAt = offsetIn(body, cursor);
+bool readExecute(std::string_view body, Cursor& cursor, int version, StatementRequest& into) {
+  into.idOffset = offsetIn(body, cursor);
   into.id = cursor.shortBytes();
   if (version >= kResultIdVersion) {
-    into.resultIdAt = offsetIn(body, cursor);
+    into.resultIdOffset = offsetIn(body, cursor);
     into.resultId = cursor.shortBytes();
   }
   return readParameters(body, cursor, version, into.parameters) && cursor.ended();
@@ -127,7 +130,7 @@
 
 }  // namespace
 
-bool readStart(std::string_view body, Start& into) {
+bool readStartup(std::string_view body, StartupOptions& into) {
   Cursor cursor(body);
   for (std::uint16_t left = cursor.twoBytes(); left > 0 && cursor.good(); --left) {
     std::string_view name = cursor.string();
@@ -138,12 +141,13 @@
   return cursor.ended() && !into.cqlVersion.empty();
 }
 
-bool readAsked(const Frame& frame, std::size_t mostParts, Asked& into, const char*& why) {
-  why = "the body can't be read";
+bool readStatementRequest(const Frame& frame, std::size_t maxStatements, StatementRequest& into,
+                          const char*& why) {
+  why = "the request body is malformed";
   Cursor cursor(frame.body);
   if (frame.flags & kPayload) {
     if (!readBytesMap(cursor, into.payload)) return false;
-    into.payloadSpan = offsetIn(frame.body, cursor);
+    into.payloadSize = offsetIn(frame.body, cursor);
   }
   switch (frame.opcode) {
     case Opcode::query:
@@ -154,7 +158,8 @@
     case Opcode::execute:
       return readExecute(frame.body, cursor, frame.version, into);
     case Opcode::batch:
-      return readBatch(frame.body, cursor, frame.version, mostParts, into, why) && cursor.ended();
+      return readBatch(frame.body, cursor, frame.version, maxStatements, into, why) &&
+             cursor.ended();
     default:
       return false;
   }
--- a/src/codec/cql/text.cpp
+++ b/src/codec/cql/text.cpp
@@ -8,7 +8,7 @@
 namespace reedchute::cql {
 namespace {
 
-enum class Token { end, word, quoted, literal, number, mark, sign, unclosed };
+enum class Token { end, word, quoted, literal, number, bindMarker, symbol, unclosed };
 
 constexpr std::size_t kPairSize = 2;  // bytes of "--", "//", "/*", "*/" and "$$"
 
@@ -34,13 +34,13 @@
          character == '\f' || character == '\v';
 }
 
-// Splits a text into tokens, without blanks and comments.
+// Splits a text into tokens, skipping blanks and comments.
 class Tokenizer {
  public:
   explicit Tokenizer(std::string_view text) : text_(text) {}
 
   Token next() {
-    if (!skipBlanks()) return Token::unclosed;
+    if (!skipBlanksAndComments()) return Token::unclosed;
     if (position_ >= text_.size()) return Token::end;
     begin_ = position_;
     char character = text_[position_];
@@ -48,30 +48,31 @@
     if (isDigit(character)) return scanNumber();
     if (character == '\'') return scanQuoted('\'', Token::literal);
     if (character == '"') return scanQuoted('"', Token::quoted);
-    if (startsHere("$$")) return scanDollarQuoted();
-    return scanSign();
+    if (startsWithPair("$$")) return scanDollarQuoted();
+    return scanSymbol();
   }
 
-  // Whether this sign is next, apart from blanks and comments.
-  bool isFollowedBy(char sign) {
+  // Whether the next character after blanks and comments is `symbol`. Consumes nothing.
+  bool isFollowedBy(char symbol) {
     std::size_t position = position_;
-    bool isNext = skipBlanks() && position_ < text_.size() && text_[position_] == sign;
+    bool isNext = skipBlanksAndComments() && position_ < text_.size() && text_[position_] == symbol;
     position_ = position;
     return isNext;
   }
 
-  // The last word in lower case, or the last quoted name or literal without its quotes.
+  // The last word in lower case, or the last quoted name or literal without its quotes and with
+  // doubled quotes unescaped. Dollar-quoted literals don't set it.
   const std::string& word() const { return word_; }
-  // The last literal, as the text has it between its quotes.
+  // The last literal without its quotes, otherwise exactly as in the text.
   std::string_view literal() const { return literal_; }
   // The offset of the last token.
   std::size_t begin() const { return begin_; }
-  // The first character of the last sign or mark.
-  char sign() const { return sign_; }
+  // The first character of the last symbol or bind marker.
+  char symbol() const { return symbol_; }
 
  private:
-  bool startsHere(std::string_view pair) const {
-    return text_.substr(position_, kPairSize) == pair;
+  bool startsWithPair(std::string_view characters) const {
+    return text_.substr(position_, kPairSize) == characters;
   }
 
   void skipWordCharacters() {
@@ -85,7 +86,8 @@
     return Token::word;
   }
 
-  // A number, or a uuid whose first character is a digit: signs inside them are no operators.
+  // Scans a number, or a UUID whose first character is a digit. The hyphens of a UUID must not be
+  // taken for operators.
   Token scanNumber() {
     while (position_ < text_.size()) {
       char character = text_[position_];
@@ -97,8 +99,8 @@
 
   bool isUuidHyphen() const {
     std::size_t offset = position_ - begin_;
-    bool isHyphenPlace = offset == 8 || offset == 13 || offset == 18 || offset == 23;
-    return text_[position_] == '-' && isHyphenPlace;
+    bool isHyphenOffset = offset == 8 || offset == 13 || offset == 18 || offset == 23;
+    return text_[position_] == '-' && isHyphenOffset;
   }
 
   Token scanDollarQuoted() {
@@ -110,15 +112,15 @@
     return Token::literal;
   }
 
-  Token scanSign() {
-    sign_ = text_[position_];
+  Token scanSymbol() {
+    symbol_ = text_[position_];
     ++position_;
-    if (sign_ == '?') return Token::mark;
-    if (sign_ == ':' && position_ < text_.size() && isLetter(text_[position_])) {
+    if (symbol_ == '?') return Token::bindMarker;
+    if (symbol_ == ':' && position_ < text_.size() && isLetter(text_[position_])) {
       skipWordCharacters();
-      return Token::mark;
+      return Token::bindMarker;
     }
-    return Token::sign;
+    return Token::symbol;
   }
 
   Token scanQuoted(char quote, Token token) {
@@ -139,14 +141,14 @@
     }
   }
 
-  // Skips blanks and comments; false if a comment has no end.
-  bool skipBlanks() {
+  // False if a comment is unclosed.
+  bool skipBlanksAndComments() {
     while (position_ < text_.size()) {
       if (isBlank(text_[position_])) {
         ++position_;
-      } else if (startsHere("--") || startsHere("//")) {
+      } else if (startsWithPair("--") || startsWithPair("//")) {
         position_ = std::min(text_.find('\n', position_), text_.size());
-      } else if (startsHere("/*")) {
+      } else if (startsWithPair("/*")) {
         std::size_t end = text_.find("*/", position_ + kPairSize);
         if (end == std::string_view::npos) return false;
         position_ = end + kPairSize;
@@ -162,15 +164,16 @@
   std::string word_;
   std::string_view literal_;
   std::size_t begin_ = 0;
-  char sign_ = 0;
+  char symbol_ = 0;
 };
 
 bool isOneOf(std::string_view word, std::initializer_list<std::string_view> words) {
   return std::find(words.begin(), words.end(), word) != words.end();
 }
 
-// Functions that give the same for the same arguments, whenever and wherever they run.
-bool isPure(std::string_view function) {
+// Whether a function is known to be deterministic: the same arguments yield the same result at any
+// time and on any server.
+bool isPureFunction(std::string_view function) {
   return isOneOf(function, {"token", "cast", "mintimeuuid", "maxtimeuuid", "todate", "totimestamp",
                             "tounixtimestamp", "to_date", "to_timestamp", "to_unix_timestamp",
                             "min_timeuuid", "max_timeuuid", "writetime", "ttl", "tojson", "to_json",
@@ -179,7 +182,7 @@
          function.ends_with("asblob") || function.ends_with("_as_blob");
 }
 
-// Keywords that may stand before a parenthesis without calling a function.
+// Whether a keyword may precede a parenthesis without being a function call.
 bool isKeywordBeforeParenthesis(std::string_view word) {
   return isOneOf(word, {"values", "in", "and", "where", "if", "into", "set", "key", "contains",
                         "using", "or", "not"});
@@ -195,54 +198,55 @@
   return Kind::other;
 }
 
-bool isClosingBracket(char sign) {
-  return sign == ')' || sign == ']' || sign == '}';
+bool isClosingBracket(char symbol) {
+  return symbol == ')' || symbol == ']' || symbol == '}';
 }
 
-// Reads one statement or batch, token by token.
+// Parses one statement or batch, token by token.
 class StatementReader {
  public:
-  StatementReader(std::string_view text, TextRead& into) : tokens_(text), result_(into) {}
+  StatementReader(std::string_view text, ParsedText& into) : tokens_(text), result_(into) {}
 
   TextState read() {
     for (;;) {
       Token token = tokens_.next();
       if (token == Token::unclosed) return TextState::unclosed;
       if (token == Token::end) break;
-      if (isSign(token, ';')) {
+      if (isSymbol(token, ';')) {
         onSemicolon();
         continue;
       }
       if (hasEnded_) return TextState::several;
-      if (token == Token::sign && !trackBracket(tokens_.sign())) return TextState::unclosed;
+      if (token == Token::symbol && !trackBracket(tokens_.symbol())) return TextState::unclosed;
       onToken(token);
       hasToken_ = true;
     }
-    if (isNaming_ && namingStep_ == NamingStep::dot) addBareName();
+    if (isInName_ && namingStep_ == NamingStep::dot) addUnqualifiedName();
     return finish();
   }
 
  private:
   enum class Clause { other, set, where };
-  // What is expected next of a table's name.
+  // The part of a table's name that is expected next.
   enum class NamingStep { firstPart, dot, secondPart };
 
   TextState finish() {
     if (!hasToken_) return TextState::empty;
     if (depth_ != 0) return TextState::unclosed;
-    // A batch that isn't applied to its end would be another statement.
+    // A batch without APPLY is incomplete; executing it as a whole one would be a different
+    // statement.
     if (isBatch() && !isApplied_) return TextState::unclosed;
     if (result_.kind == Kind::write && result_.nature == Nature::conditional)
       result_.kind = Kind::conditional;
     if (result_.kind == Kind::schema) result_.nature = Nature::schema;
-    if (isOfKeyspace_) result_.keyspace = std::exchange(result_.table, {});
+    if (namesKeyspace_) result_.keyspace = std::exchange(result_.table, {});
     return TextState::good;
   }
 
   bool isBatch() const { return result_.kind == Kind::batch || result_.kind == Kind::counter; }
-  bool isWriting() const { return result_.kind != Kind::read && result_.kind != Kind::use; }
-  bool isSign(Token token, char sign) const {
-    return token == Token::sign && tokens_.sign() == sign;
+  bool mayWrite() const { return result_.kind != Kind::read && result_.kind != Kind::use; }
+  bool isSymbol(Token token, char symbol) const {
+    return token == Token::symbol && tokens_.symbol() == symbol;
   }
 
   void onSemicolon() {
@@ -251,50 +255,52 @@
     clause_ = Clause::other;
   }
 
-  // False if a bracket is closed that wasn't opened.
-  bool trackBracket(char sign) {
-    if (sign == '(' || sign == '[' || sign == '{') ++depth_;
-    if (isClosingBracket(sign)) --depth_;
+  // Updates the bracket depth; false on a closing bracket without an opening one.
+  bool trackBracket(char symbol) {
+    if (symbol == '(' || symbol == '[' || symbol == '{') ++depth_;
+    if (isClosingBracket(symbol)) --depth_;
     return depth_ >= 0;
   }
 
-  // The first reason found is the one that is reported.
+  // Only the first reason found is kept.
   void setNature(Nature nature) {
-    if (isWriting() && result_.nature == Nature::idempotent) result_.nature = nature;
+    if (mayWrite() && result_.nature == Nature::idempotent) result_.nature = nature;
   }
 
   void onToken(Token token) {
-    if (token == Token::mark) ++result_.markers;
+    if (token == Token::bindMarker) ++result_.markers;
     if (token == Token::literal && result_.firstLiteral.empty())
       result_.firstLiteral = tokens_.literal();
     checkOperator(token);
-    bool isPartOfName = isNaming_ && readName(token);
+    bool isPartOfName = isInName_ && readName(token);
     if (!isPartOfName) {
       if (token == Token::word) onWord();
       if (token == Token::quoted && tokens_.isFollowedBy('(')) setNature(Nature::function);
     }
     lastToken_ = token;
-    lastSign_ = tokens_.sign();
+    lastSymbol_ = tokens_.symbol();
   }
 
-  // A plus or minus between two operands, in what UPDATE sets, changes a former value. Doing so
-  // twice is harmless with the literal of a set or map, or where a list's elements are removed.
+  // In the SET clause of an UPDATE, a plus or minus between two operands modifies the previous
+  // value. Repeating that is harmless if one operand is a set or map literal, or if list elements
+  // are removed.
   void checkOperator(Token token) {
     if (pendingOperator_ != 0) {
-      bool hasSetOnRight = isSign(token, '{');
-      bool removesFromList = pendingOperator_ == '-' && isSign(token, '[');
-      if (!hasSetOnRight && !removesFromList && !hasSetOnLeft_) setNature(Nature::appends);
+      bool hasSetLiteralOnRight = isSymbol(token, '{');
+      bool removesFromList = pendingOperator_ == '-' && isSymbol(token, '[');
+      if (!hasSetLiteralOnRight && !removesFromList && !hasSetLiteralOnLeft_)
+        setNature(Nature::appends);
       pendingOperator_ = 0;
     }
     if (clause_ != Clause::set || depth_ != 0) return;
-    if (!isSign(token, '+') && !isSign(token, '-')) return;
-    bool followsOperand = lastToken_ != Token::sign || isClosingBracket(lastSign_);
+    if (!isSymbol(token, '+') && !isSymbol(token, '-')) return;
+    bool followsOperand = lastToken_ != Token::symbol || isClosingBracket(lastSymbol_);
     if (!followsOperand) return;
-    pendingOperator_ = tokens_.sign();
-    hasSetOnLeft_ = lastToken_ == Token::sign && lastSign_ == '}';
+    pendingOperator_ = tokens_.symbol();
+    hasSetLiteralOnLeft_ = lastToken_ == Token::symbol && lastSymbol_ == '}';
   }
 
-  // Reads a token of a table's name, with or without its keyspace; false if it isn't part of one.
+  // Reads a token of a table's name, with or without keyspace; false if the token isn't part of it.
   bool readName(Token token) {
     if (namingStep_ == NamingStep::dot) return readDot(token);
     bool isFirstPart = namingStep_ == NamingStep::firstPart;
@@ -302,7 +308,7 @@
         isOneOf(tokens_.word(), {"table", "if", "not", "exists"}))
       return true;
     if (token != Token::word && token != Token::quoted) {
-      isNaming_ = false;
+      isInName_ = false;
       return false;
     }
     if (isFirstPart) {
@@ -315,42 +321,43 @@
   }
 
   bool readDot(Token token) {
-    if (isSign(token, '.')) {
+    if (isSymbol(token, '.')) {
       namingStep_ = NamingStep::secondPart;
       return true;
     }
-    addBareName();
+    addUnqualifiedName();
     return false;
   }
 
   void onFirstPart() {
     if (result_.table.empty()) {
       result_.table = tokens_.word();
-      isResultTable_ = true;
+      isFirstTable_ = true;
     }
-    nameAt_ = tokens_.begin();
+    nameOffset_ = tokens_.begin();
     firstPart_ = tokens_.word();
   }
 
   void onSecondPart() {
-    if (isResultTable_) {
+    if (isFirstTable_) {
       result_.keyspace = result_.table;
       result_.table = tokens_.word();
     }
-    isNaming_ = false;
-    isResultTable_ = false;
-    if (systemKeyspace(firstPart_)) result_.someSystem = true;
+    isInName_ = false;
+    isFirstTable_ = false;
+    if (isSystemKeyspace(firstPart_)) result_.usesSystemTable = true;
   }
 
-  void addBareName() {
-    isNaming_ = false;
-    if (result_.kind != Kind::use && !isOfKeyspace_) result_.bare.push_back(nameAt_);
+  void addUnqualifiedName() {
+    isInName_ = false;
+    if (result_.kind != Kind::use && !namesKeyspace_)
+      result_.unqualifiedOffsets.push_back(nameOffset_);
   }
 
   void startName() {
-    isNaming_ = true;
+    isInName_ = true;
     namingStep_ = NamingStep::firstPart;
-    isResultTable_ = false;
+    isFirstTable_ = false;
   }
 
   void onWord() {
@@ -364,7 +371,7 @@
       onKeyword(word);
     }
     if (isDeleting_ && tokens_.isFollowedBy('[')) setNature(Nature::byPlace);
-    if (callsFunction(word) && !isPure(word)) setNature(Nature::function);
+    if (callsFunction(word) && !isPureFunction(word)) setNature(Nature::function);
     lastWord_ = word;
   }
 
@@ -376,7 +383,7 @@
     if (result_.kind != Kind::schema || !result_.table.empty()) return;
     if (!isOneOf(word, {"table", "type", "view", "keyspace"})) return;
     startName();
-    isOfKeyspace_ = word == "keyspace";
+    namesKeyspace_ = word == "keyspace";
   }
 
   void onKeyword(const std::string& word) {
@@ -392,33 +399,33 @@
     if (word == "from") isDeleting_ = false;
   }
 
-  // A keyword may also be the name of a function, and is one where an operand is expected.
+  // A keyword can also be the name of a function. Where an operand is expected, it is one.
   bool callsFunction(const std::string& word) {
     if (!tokens_.isFollowedBy('(')) return false;
-    bool isOperand = lastToken_ == Token::sign &&
-                     std::string_view("=+-*/%,(<>:").find(lastSign_) != std::string_view::npos;
+    bool isOperand = lastToken_ == Token::symbol &&
+                     std::string_view("=+-*/%,(<>:").find(lastSymbol_) != std::string_view::npos;
     return isOperand || !isKeywordBeforeParenthesis(word);
   }
 
   Tokenizer tokens_;
-  TextRead& result_;
-  bool hasToken_ = false;      // a token of the statement was read
-  bool hasEnded_ = false;      // a semicolon ended the statement
-  bool isApplied_ = false;     // APPLY of a batch was read
-  bool isDeleting_ = false;    // between DELETE and FROM
-  bool isOfKeyspace_ = false;  // the statement is about a keyspace, not a table
-
-  bool isNaming_ = false;  // inside a table's name
+  ParsedText& result_;
+  bool hasToken_ = false;       // a token of the statement has been read
+  bool hasEnded_ = false;       // the statement's final semicolon has been read
+  bool isApplied_ = false;      // APPLY of a batch has been read
+  bool isDeleting_ = false;     // between DELETE and FROM
+  bool namesKeyspace_ = false;  // the DDL statement names a keyspace, not a table
+
+  bool isInName_ = false;  // inside a table's name
   NamingStep namingStep_ = NamingStep::firstPart;
-  bool isResultTable_ = false;  // the name is the first of the statement
-  std::size_t nameAt_ = 0;      // offset of the name
+  bool isFirstTable_ = false;   // the name is the first table name of the statement
+  std::size_t nameOffset_ = 0;  // offset of the current name
   std::string firstPart_;
 
   int depth_ = 0;  // open brackets
   Clause clause_ = Clause::other;
-  char pendingOperator_ = 0;  // a plus or minus whose right operand follows
-  bool hasSetOnLeft_ = false;
-  char lastSign_ = 0;
+  char pendingOperator_ = 0;  // plus or minus whose right operand comes next; 0 if none
+  bool hasSetLiteralOnLeft_ = false;
+  char lastSymbol_ = 0;
   Token lastToken_ = Token::end;
   std::string lastWord_;
 };
@@ -437,25 +444,25 @@
   return kNames[static_cast<std::size_t>(nature)];
 }
 
-bool systemKeyspace(std::string_view keyspace) {
+bool isSystemKeyspace(std::string_view keyspace) {
   return keyspace == "system" || keyspace.starts_with("system_");
 }
 
-std::string qualified(std::string_view text, const std::vector<std::size_t>& bare,
-                      std::string_view keyspace) {
+std::string qualifyTables(std::string_view text, const std::vector<std::size_t>& offsets,
+                          std::string_view keyspace) {
   std::string name = "\"";
   for (char character : keyspace) {
-    // A quote inside a quoted name is doubled.
+    // A double quote inside a quoted name is escaped by doubling it.
     if (character == '"') name += character;
     name += character;
   }
   name += "\".";
   std::string out;
   std::size_t copied = 0;
-  for (std::size_t nameAt : bare) {
-    out += text.substr(copied, nameAt - copied);
+  for (std::size_t nameOffset : offsets) {
+    out += text.substr(copied, nameOffset - copied);
     out += name;
-    copied = nameAt;
+    copied = nameOffset;
   }
   out += text.substr(copied);
   return out;
@@ -473,22 +480,22 @@
       if (isFrom) return false;
       if (token == Token::word || token == Token::quoted) {
         columns.push_back(tokens.word());
-      } else if (token == Token::sign && tokens.sign() == '*' && columns.empty()) {
+      } else if (token == Token::symbol && tokens.symbol() == '*' && columns.empty()) {
         selectsAll = true;
       } else {
         return false;
       }
     } else {
       if (isFrom) return selectsAll || !columns.empty();
-      if (selectsAll || token != Token::sign || tokens.sign() != ',') return false;
+      if (selectsAll || token != Token::symbol || tokens.symbol() != ',') return false;
     }
     expectsColumn = !expectsColumn;
   }
 }
 
-TextState readText(std::string_view text, TextRead& into) {
+TextState readText(std::string_view text, ParsedText& into) {
   TextState state = StatementReader(text, into).read();
-  into.systemTable = systemKeyspace(into.keyspace);
+  into.isSystemTable = isSystemKeyspace(into.keyspace);
   if (into.kind == Kind::use) into.keyspace = std::exchange(into.table, {});
   return state;
 }
--- a/src/codec/cql/wire.cpp
+++ b/src/codec/cql/wire.cpp
@@ -5,17 +5,17 @@
 namespace reedchute::cql {
 namespace {
 
-constexpr std::size_t kMaxShortLength = 0xffff;  // bytes of what has a [short] length
-constexpr std::uint8_t kResponseBit = 0x80;      // in a header's version byte
+constexpr std::size_t kMaxShortLength = 0xffff;  // bytes of a notation with a [short] length
+constexpr std::uint8_t kResponseBit = 0x80;      // in the header's version byte
 constexpr std::int32_t kNullLength = -1;
 constexpr std::int32_t kNotSetLength = -2;  // only in a [value]
 
 // Offsets in a frame's header, in bytes.
-constexpr std::size_t kVersionAt = 0;
-constexpr std::size_t kFlagsAt = 1;
-constexpr std::size_t kStreamAt = 2;
-constexpr std::size_t kOpcodeAt = 4;
-constexpr std::size_t kLengthAt = 5;
+constexpr std::size_t kVersionOffset = 0;
+constexpr std::size_t kFlagsOffset = 1;
+constexpr std::size_t kStreamOffset = 2;
+constexpr std::size_t kOpcodeOffset = 4;
+constexpr std::size_t kLengthOffset = 5;
 
 template <class Integer>
 void addBigEndian(std::string& to, Integer value) {
@@ -40,22 +40,22 @@
 
 }  // namespace
 
-Framed frame(std::string_view bytes, std::size_t most, Frame& result) {
-  if (bytes.size() < kHeader) return Framed::partial;
-  auto length = static_cast<std::int32_t>(readBigEndianAt<std::uint32_t>(bytes, kLengthAt));
-  if (length < 0 || static_cast<std::size_t>(length) > most) return Framed::bad;
-  auto version = static_cast<std::uint8_t>(bytes[kVersionAt]);
-  result.answer = version & kResponseBit;
+Framed readFrame(std::string_view bytes, std::size_t maxBodySize, Frame& result) {
+  if (bytes.size() < kHeaderSize) return Framed::partial;
+  auto length = static_cast<std::int32_t>(readBigEndianAt<std::uint32_t>(bytes, kLengthOffset));
+  if (length < 0 || static_cast<std::size_t>(length) > maxBodySize) return Framed::bad;
+  auto version = static_cast<std::uint8_t>(bytes[kVersionOffset]);
+  result.isResponse = version & kResponseBit;
   result.version = version & ~kResponseBit;
-  result.flags = static_cast<std::uint8_t>(bytes[kFlagsAt]);
-  result.stream = static_cast<std::int16_t>(readBigEndianAt<std::uint16_t>(bytes, kStreamAt));
-  result.opcode = static_cast<Opcode>(bytes[kOpcodeAt]);
-  if (bytes.size() < kHeader + static_cast<std::size_t>(length)) return Framed::partial;
-  result.body = bytes.substr(kHeader, static_cast<std::size_t>(length));
+  result.flags = static_cast<std::uint8_t>(bytes[kFlagsOffset]);
+  result.stream = static_cast<std::int16_t>(readBigEndianAt<std::uint16_t>(bytes, kStreamOffset));
+  result.opcode = static_cast<Opcode>(bytes[kOpcodeOffset]);
+  if (bytes.size() < kHeaderSize + static_cast<std::size_t>(length)) return Framed::partial;
+  result.body = bytes.substr(kHeaderSize, static_cast<std::size_t>(length));
   return Framed::whole;
 }
 
-bool askable(Opcode opcode) {
+bool isRequestOpcode(Opcode opcode) {
   switch (opcode) {
     case Opcode::startup:
     case Opcode::options:
@@ -187,20 +187,20 @@
   return {};
 }
 
-void addHeader(std::string& to, bool answer, int version, std::uint8_t flags, std::int16_t stream,
-               Opcode opcode, std::size_t size) {
-  addByte(to, static_cast<std::uint8_t>((answer ? kResponseBit : 0) | version));
+void addHeader(std::string& to, bool isResponse, int version, std::uint8_t flags,
+               std::int16_t stream, Opcode opcode, std::size_t size) {
+  addByte(to, static_cast<std::uint8_t>((isResponse ? kResponseBit : 0) | version));
   addByte(to, flags);
   addShort(to, static_cast<std::uint16_t>(stream));
   addByte(to, static_cast<std::uint8_t>(opcode));
   addInt(to, static_cast<std::int32_t>(size));
 }
 
-std::string whole(bool answer, int version, std::uint8_t flags, std::int16_t stream, Opcode opcode,
-                  std::string_view body) {
+std::string encodeFrame(bool isResponse, int version, std::uint8_t flags, std::int16_t stream,
+                        Opcode opcode, std::string_view body) {
   std::string bytes;
-  bytes.reserve(kHeader + body.size());
-  addHeader(bytes, answer, version, flags, stream, opcode, body.size());
+  bytes.reserve(kHeaderSize + body.size());
+  addHeader(bytes, isResponse, version, flags, stream, opcode, body.size());
   bytes += body;
   return bytes;
 }
--- a/src/codec/cql/wire.h
+++ b/src/codec/cql/wire.h
@@ -1,8 +1,8 @@
-// The wire format of the Cassandra native protocol, versions 4 and 5, after its public
-// specifications: frames, the notations inside their bodies, and encoders for frames that the proxy
-// sends itself. Integers are big-endian.
+// The wire format of the Cassandra native protocol, versions 4 and 5, as publicly specified:
+// frames, the notations in their bodies (such as [string]), and encoders for the frames that the
+// proxy itself sends. Integers are big-endian.
 //
-// Nothing here does I/O. Views in results point into the caller's bytes.
+// No I/O. Views in results point into the caller's bytes.
 #pragma once
 
 #include <cstdint>
@@ -14,11 +14,11 @@
 
 namespace reedchute::cql {
 
-// The lowest and the highest supported version.
-inline constexpr int kLowest = 4, kHighest = 5;
-inline constexpr std::size_t kHeader = 9;  // bytes of a frame's header
+// The supported protocol versions.
+inline constexpr int kLowestVersion = 4, kHighestVersion = 5;
+inline constexpr std::size_t kHeaderSize = 9;  // bytes
 
-// The kind of a frame, with its value on the wire.
+// The type of a frame, with its value on the wire.
 enum class Opcode : std::uint8_t {
   error = 0x00,
   startup = 0x01,
@@ -38,7 +38,7 @@
   authSuccess = 0x10,
 };
 
-// The bits of a frame's flags.
+// The flags of a frame's header.
 enum Flag : std::uint8_t {
   kCompressed = 0x01,
   kTracing = 0x02,
@@ -49,27 +49,28 @@
 
 // One frame, as a view into the received bytes.
 struct Frame {
-  bool answer = false;  // a response, from the highest bit of the version byte
+  bool isResponse = false;  // from the highest bit of the version byte
   int version = 0;
   std::uint8_t flags = 0;
   std::int16_t stream = 0;
   Opcode opcode = Opcode::error;
-  std::string_view body;  // without the header; decompressed if it comes from Framing
+  std::string_view body;  // without the header; decompressed if read by Framing
 };
 
-// What framing found: a whole frame, the beginning of one, or an invalid length.
+// The outcome of reading a frame: a whole frame, the beginning of one, or malformed input.
 enum class Framed { whole, partial, bad };
 
-// Reads the frame at the start of `bytes`, of kHeader + result.body.size() bytes, into `result`.
-// `bad` stands for a body longer than `most`, or of negative length. Any version is accepted, so
-// that the caller can reply to one that it doesn't support.
-Framed frame(std::string_view bytes, std::size_t most, Frame& result);
+// Reads the frame at the start of `bytes`, of kHeaderSize + result.body.size() bytes, into
+// `result`. Returns `bad` for a body longer than `maxBodySize` or of negative length. If the result
+// is `partial` and `bytes` contains the whole header, all fields but the body are set. Any version
+// is accepted, so that the caller can respond to one that it doesn't support.
+Framed readFrame(std::string_view bytes, std::size_t maxBodySize, Frame& result);
 
 // Whether a client may send this opcode.
-bool askable(Opcode opcode);
+bool isRequestOpcode(Opcode opcode);
 
-// Reads notations one after the other. After the first read that fails, `good` is false and every
-// further read returns zero, empty or nullopt, so the caller may check once at the end.
+// Reads notations sequentially. After the first failed read, `good` is false and every further read
+// returns zero, empty or nullopt, so that the caller can check for errors once, at the end.
 class Cursor {
  public:
   explicit Cursor(std::string_view bytes) : rest_(bytes) {}
@@ -88,13 +89,13 @@
   // The next `size` bytes.
   std::string_view take(std::size_t size);
 
-  // What is still unread; empty after a failure.
+  // The unread bytes; empty after a failure.
   std::string_view rest() const { return rest_; }
   // Whether all reads so far succeeded.
   bool good() const { return good_; }
-  // Whether all reads succeeded and nothing is left.
+  // Whether all reads succeeded and no bytes are left.
   bool ended() const { return good_ && rest_.empty(); }
-  // Lets this and all further reads fail.
+  // Marks the cursor as failed, as a failed read does.
   void fail() {
     good_ = false;
     rest_ = {};
@@ -105,7 +106,7 @@
   bool good_ = true;
 };
 
-// Append one notation each.
+// Each appends one notation to `to`.
 void addByte(std::string& to, std::uint8_t value);
 void addShort(std::string& to, std::uint16_t value);
 void addInt(std::string& to, std::int32_t value);
@@ -115,7 +116,7 @@
 void addShortBytes(std::string& to, std::string_view value);  // truncated to 65,535 bytes
 void addBytes(std::string& to, std::string_view value);
 
-// A [bytes map], in the order of the wire.
+// A [bytes map], in wire order.
 using BytesMap = std::vector<std::pair<std::string_view, std::string_view>>;
 
 // Reads a [bytes map], appending to `into`; false if it is invalid. A null value becomes empty.
@@ -127,16 +128,16 @@
 // The first value with this name; empty if there is none.
 std::string_view valueOf(const BytesMap& map, std::string_view name);
 
-// Appends the header of a frame whose body has `size` bytes. `answer`: it is a response.
-void addHeader(std::string& to, bool answer, int version, std::uint8_t flags, std::int16_t stream,
-               Opcode opcode, std::size_t size);
+// Appends the header of a frame whose body has `size` bytes.
+void addHeader(std::string& to, bool isResponse, int version, std::uint8_t flags,
+               std::int16_t stream, Opcode opcode, std::size_t size);
 
 // Encodes a whole frame.
-std::string whole(bool answer, int version, std::uint8_t flags, std::int16_t stream, Opcode opcode,
-                  std::string_view body);
+std::string encodeFrame(bool isResponse, int version, std::uint8_t flags, std::int16_t stream,
+                        Opcode opcode, std::string_view body);
 
 // The protocol's error codes.
-enum Code : std::int32_t {
+enum ErrorCode : std::int32_t {
   kServerError = 0x0000,
   kProtocolError = 0x000a,
   kBadCredentials = 0x0100,
@@ -159,7 +160,8 @@
   kUnprepared = 0x2500,
 };
 
-// Encodes the body of an ERROR whose code has no further fields.
+// Encodes the body of an ERROR, up to and including its text. Codes with further fields need them
+// appended.
 std::string errorBody(std::int32_t code, std::string_view text);
 
 // The specification's name of an opcode; "?" for an unknown one.
--- a/src/protocols/cassandra/client_codec.cpp
+++ b/src/protocols/cassandra/client_codec.cpp
@@ -23,7 +23,8 @@
 }
 
 std::size_t ClientProtocol::maxMessageBytes() const {
-  return std::max(config_.mostBody + cql::kHeader, cql::kMostSegment + kSegmentOverheadBytes);
+  return std::max(config_.mostBody + cql::kHeaderSize,
+                  cql::kMaxSegmentPayload + kSegmentOverheadBytes);
 }
 
 void ClientProtocol::announceDraining() {
--- a/src/protocols/cassandra/client_session.cpp
+++ b/src/protocols/cassandra/client_session.cpp
@@ -60,12 +60,12 @@
 bool Session::acceptsVersionOf(std::string_view bytes) {
   if (bytes.empty()) return true;
   int version = bytes[0] & kVersionMask;
-  if (version >= cql::kLowest && version <= highestVersion()) return true;
+  if (version >= cql::kLowestVersion && version <= highestVersion()) return true;
   bool hasLongHeader = version >= kLowestWithLongHeader;
   // The stream hasn't arrived yet.
-  if (bytes.size() < cql::kHeader && hasLongHeader) return true;
+  if (bytes.size() < cql::kHeaderSize && hasLongHeader) return true;
   Frame frame;
-  cql::frame(bytes, SIZE_MAX, frame);
+  cql::readFrame(bytes, SIZE_MAX, frame);
   // The error is sent in the highest version, with which a driver then connects again.
   version_ = highestVersion();
   log::line("client_version", "version=%d", version);
@@ -78,7 +78,7 @@
   auto reject = [&](std::string_view text) {
     sendErrorAndClose(frame.stream, cql::kProtocolError, text);
   };
-  if (frame.answer || !cql::askable(frame.opcode)) {
+  if (frame.isResponse || !cql::isRequestOpcode(frame.opcode)) {
     log::line("client_protocol_error", "what=opcode");
     return reject("no request that is known");
   }
@@ -112,9 +112,9 @@
 }
 
 void Session::handleStartup(const Frame& frame) {
-  cql::Start options;
+  cql::StartupOptions options;
   if (state_ != State::awaitingStartup) return sendProtocolError(frame.stream, "a second STARTUP");
-  if (!cql::readStart(frame.body, options))
+  if (!cql::readStartup(frame.body, options))
     return sendErrorAndClose(frame.stream, cql::kProtocolError, "a STARTUP that can't be read");
   bool isCompressed = !options.compression.empty();
   if (isCompressed && options.compression != kCompression)
@@ -130,8 +130,8 @@
     state_ = State::ready;
   }
   // The response to STARTUP itself is bare, so compression and segments begin after it.
-  if (isCompressed) framing_.compress();
-  if (version_ >= kFirstWithSegments) framing_.segments();
+  if (isCompressed) framing_.enableCompression();
+  if (version_ >= kFirstWithSegments) framing_.enableSegments();
 }
 
 void Session::handleAuthResponse(const Frame& frame) {
--- a/src/protocols/cassandra/client_session.h
+++ b/src/protocols/cassandra/client_session.h
@@ -72,7 +72,7 @@
   const ResponseRewriter rewriter_;
   cql::Framing framing_;
   State state_ = State::awaitingStartup;
-  int version_ = cql::kLowest;
+  int version_ = cql::kLowestVersion;
   std::string keyspace_;
   TimePoint arrivedAt_;          // when the bytes decoded last arrived
   bool isLastReceived_ = false;  // no bytes have come after the frame decoded last
--- a/src/protocols/cassandra/prepared_statements.h
+++ b/src/protocols/cassandra/prepared_statements.h
@@ -20,7 +20,7 @@
 struct PreparedText {
   std::string id;    // that clients know; the same at every proxy, as it follows from the text
   std::string text;  // with all names in full
-  reedchute::cql::TextRead read;
+  reedchute::cql::ParsedText read;
   // The body of RESULT that clients get, with `id` in it, by version; empty: not known yet.
   std::array<std::string, 2> resultBodies;
 };
--- a/src/protocols/cassandra/response_rewriter.cpp
+++ b/src/protocols/cassandra/response_rewriter.cpp
@@ -39,7 +39,7 @@
                 encodePagingState({.storeHash = hashOf(protocol_.fleet().storeId(result.store)),
                                    .position = result.position,
                                    .state = std::string(*reply.pageState)}));
-  return replaceSpan(result.body, reply.pageAt, reply.pageSpan, pagingState);
+  return replaceSpan(result.body, reply.pageStateOffset, reply.pageStateSize, pagingState);
 }
 
 std::string ResponseRewriter::withProxyPreparedId(const StoreResult& result,
@@ -48,15 +48,15 @@
   std::string id;
   cql::addShortBytes(id, text.id);
   std::size_t idSpan = kShortLengthBytes + reply.id.size();
-  std::string body = replaceSpan(result.body, reply.idAt, idSpan, id);
+  std::string body = replaceSpan(result.body, reply.idOffset, idSpan, id);
   PreparedRef prepared = protocol_.texts().insert(std::move(text));
   std::size_t costBefore = PreparedTexts::costOf(*prepared);
   if (prepared->read.table.empty()) {
     prepared->read.keyspace = reply.keyspace;
     prepared->read.table = reply.table;
   }
-  auto versionIndex = static_cast<std::size_t>(result.version - cql::kLowest);
-  prepared->resultBodies[versionIndex] = body.substr(reply.bodyAt);
+  auto versionIndex = static_cast<std::size_t>(result.version - cql::kLowestVersion);
+  prepared->resultBodies[versionIndex] = body.substr(reply.bodyOffset);
   protocol_.texts().onGrown(prepared, costBefore);
   return body;
 }
@@ -66,7 +66,7 @@
   // After its kind, a RESULT of this kind has the layout of the event.
   std::string event;
   cql::addString(event, "SCHEMA_CHANGE");
-  event += std::string_view(result.body).substr(reply.bodyAt + kResultKindBytes);
+  event += std::string_view(result.body).substr(reply.bodyOffset + kResultKindBytes);
   protocol_.texts().onSchemaChanged();
   protocol_.announceSchemaChange(event);
 }
--- a/src/protocols/cassandra/settings.cpp
+++ b/src/protocols/cassandra/settings.cpp
@@ -95,7 +95,7 @@
            std::find(versions.begin(), versions.end(), version) != versions.end();
   };
   for (std::int64_t version : versions)
-    if (version < cql::kLowest || version > cql::kHighest)
+    if (version < cql::kLowestVersion || version > cql::kHighestVersion)
       section.fail("versions", "may hold 4 and 5 only");
   if (!includes(kVersion4)) section.fail("versions", "must hold 4");
   return includes(kVersion5);
--- a/src/protocols/cassandra/statement_decoder.cpp
+++ b/src/protocols/cassandra/statement_decoder.cpp
@@ -78,8 +78,8 @@
   const std::string& sessionKeyspace;
   TimePoint now;
   const runtime::WallClock& wall;
-  cql::Asked asked = {};
-  cql::TextRead text = {};        // of a batch: its first statement
+  cql::StatementRequest asked = {};
+  cql::ParsedText text = {};      // of a batch: its first statement
   std::string bareKeyspace = {};  // the keyspace of names without one
   StatementDescription description = {};
   PayloadFields fields = {};
@@ -113,12 +113,12 @@
                                   std::size_t offset) const {
   if (text.find('\0') != std::string_view::npos)
     return state.refuse(cql::kSyntaxError, "a zero byte in the statement");
-  cql::TextRead read;
+  cql::ParsedText read;
   std::string_view error = errorOf(cql::readText(text, read));
   if (!error.empty()) return state.refuse(cql::kSyntaxError, error);
   std::string_view named = state.asked.parameters.keyspace;
   state.bareKeyspace = named.empty() ? state.sessionKeyspace : std::string(named);
-  if (!read.bare.empty() && read.kind != cql::Kind::use) {
+  if (!read.unqualifiedOffsets.empty() && read.kind != cql::Kind::use) {
     qualifyNames(state, text, offset, read);
     if (state.isAnswered) return;
   }
@@ -126,14 +126,15 @@
 }
 
 void StatementDecoder::qualifyNames(DecodeState& state, std::string_view text, std::size_t offset,
-                                    cql::TextRead& read) const {
+                                    cql::ParsedText& read) const {
   if (state.bareKeyspace.empty())
     return state.refuse(cql::kInvalid, "no keyspace is named, neither here nor by USE");
   // A connection to a store is shared by clients who are in different keyspaces, so names without
   // a keyspace are given the session's.
   if (state.asked.parameters.keyspace.empty()) {
     std::string bytes;
-    cql::addLongString(bytes, cql::qualified(text, read.bare, state.bareKeyspace));
+    cql::addLongString(bytes,
+                       cql::qualifyTables(text, read.unqualifiedOffsets, state.bareKeyspace));
     state.statement->patches.push_back({.offset = offset - kLongLengthBytes,
                                         .size = kLongLengthBytes + text.size(),
                                         .replacement = Statement::Replacement::bytes,
@@ -141,8 +142,8 @@
                                         .bytes = std::move(bytes)});
   }
   if (read.keyspace.empty()) read.keyspace = state.bareKeyspace;
-  read.systemTable = cql::systemKeyspace(read.keyspace);
-  if (cql::systemKeyspace(state.bareKeyspace)) read.someSystem = true;
+  read.isSystemTable = cql::isSystemKeyspace(read.keyspace);
+  if (cql::isSystemKeyspace(state.bareKeyspace)) read.usesSystemTable = true;
 }
 
 void StatementDecoder::decodeQuery(DecodeState& state) const {
@@ -154,7 +155,7 @@
     state.result.useKeyspace = state.text.keyspace;
     return state.answer(Opcode::result, cql::setKeyspaceBody(state.text.keyspace));
   }
-  if (!state.text.systemTable) return;
+  if (!state.text.isSystemTable) return;
   std::string_view error;
   std::optional<std::string> body = system_.answer(state.text, state.asked.text, error);
   if (!body) return state.refuse(cql::kInvalid, error);
@@ -169,18 +170,19 @@
   PreparedText prepared;
   prepared.read = state.text;
   // With its names in full it is the same text in every version and for every client.
-  prepared.text = cql::qualified(state.asked.text, state.text.bare, state.bareKeyspace);
+  prepared.text = cql::qualifyTables(state.asked.text, state.text.unqualifiedOffsets,
+                                     state.bareKeyspace);
   prepared.id = preparedId(prepared.text);
   state.statement->preparedId = prepared.id;
   if (PreparedRef known = texts_.find(prepared.id)) {
-    const std::string& body = known->resultBodies[state.frame.version - cql::kLowest];
+    const std::string& body = known->resultBodies[state.frame.version - cql::kLowestVersion];
     if (!body.empty()) return state.answer(Opcode::result, body);
   }
   state.result.pending.preparing = std::move(prepared);
 }
 
 void StatementDecoder::decodeExecute(DecodeState& state) const {
-  usePreparedText(state, state.asked.id, state.asked.idAt);
+  usePreparedText(state, state.asked.id, state.asked.idOffset);
 }
 
 // `id` stands at `offset` in the frame's body, its length included.
@@ -199,11 +201,11 @@
                                .bytes = {}});
 }
 
-void StatementDecoder::decodeBatchPart(DecodeState& state, const cql::Part& part) const {
-  if (part.prepared)
-    usePreparedText(state, part.text, part.at);
+void StatementDecoder::decodeBatchPart(DecodeState& state, const cql::BatchStatement& part) const {
+  if (part.isPrepared)
+    usePreparedText(state, part.text, part.offset);
   else
-    decodeText(state, part.text, part.at + kLongLengthBytes);
+    decodeText(state, part.text, part.offset + kLongLengthBytes);
   if (state.isAnswered) return;
   if (!mayStandInBatch(state.text.kind))
     state.refuse(cql::kInvalid, "only INSERT, UPDATE and DELETE in a batch");
@@ -211,23 +213,23 @@
 
 // A batch is described by its first statement, and by the first nature that isn't idempotent.
 void StatementDecoder::decodeBatch(DecodeState& state) const {
-  const std::vector<cql::Part>& parts = state.asked.parts;
+  const std::vector<cql::BatchStatement>& parts = state.asked.batchStatements;
   if (parts.empty()) return state.refuse(cql::kInvalid, "a batch of nothing");
   bool isCounter = state.asked.batchType == kCounterBatch;
   cql::Nature nature = isCounter ? cql::Nature::counter : cql::Nature::idempotent;
   bool hasSystemTable = false;
-  cql::TextRead first;
-  for (const cql::Part& part : parts) {
+  cql::ParsedText first;
+  for (const cql::BatchStatement& part : parts) {
     decodeBatchPart(state, part);
     if (state.isAnswered) return;
     if (nature == cql::Nature::idempotent) nature = state.text.nature;
-    if (state.text.someSystem) hasSystemTable = true;
+    if (state.text.usesSystemTable) hasSystemTable = true;
     if (&part == &parts.front()) first = state.text;
   }
   state.text = std::move(first);
   state.text.kind = isCounter ? cql::Kind::counter : cql::Kind::batch;
   state.text.nature = nature;
-  state.text.someSystem = hasSystemTable;
+  state.text.usesSystemTable = hasSystemTable;
 }
 
 void StatementDecoder::decodePayload(DecodeState& state) const {
@@ -261,8 +263,8 @@
   if (!paging) return state.refuse(cql::kProtocolError, "a paging state that was not issued here");
   std::string bytes;
   cql::addBytes(bytes, paging->state);
-  state.statement->patches.push_back({.offset = parameters.pageAt,
-                                      .size = parameters.pageSpan,
+  state.statement->patches.push_back({.offset = parameters.pageStateOffset,
+                                      .size = parameters.pageStateSize,
                                       .replacement = Statement::Replacement::bytes,
                                       .text = nullptr,
                                       .bytes = std::move(bytes)});
@@ -271,7 +273,7 @@
 }
 
 void StatementDecoder::mapStatement(DecodeState& state) const {
-  if (state.text.systemTable || state.text.someSystem)
+  if (state.text.isSystemTable || state.text.usesSystemTable)
     return state.refuse(cql::kInvalid,
                         "the stores' own tables can only be read here, by a plain query");
   StatementDescription& description = state.description;
@@ -337,7 +339,7 @@
                                       TimePoint now, const runtime::WallClock& wall) const {
   DecodeState state{.frame = frame, .sessionKeyspace = keyspace, .now = now, .wall = wall};
   const char* error = "";
-  if (!cql::readAsked(frame, config_.batchMost, state.asked, error)) {
+  if (!cql::readStatementRequest(frame, config_.batchMost, state.asked, error)) {
     state.refuse(cql::kProtocolError, error);
     return std::move(state.result);
   }
--- a/src/protocols/cassandra/statement_decoder.h
+++ b/src/protocols/cassandra/statement_decoder.h
@@ -83,12 +83,12 @@
   // Each of these either goes on with `state`, or gives it an answer.
   void decodeText(DecodeState& state, std::string_view text, std::size_t offset) const;
   void qualifyNames(DecodeState& state, std::string_view text, std::size_t offset,
-                    reedchute::cql::TextRead& read) const;
+                    reedchute::cql::ParsedText& read) const;
   void decodeQuery(DecodeState& state) const;
   void decodePrepare(DecodeState& state) const;
   void decodeExecute(DecodeState& state) const;
   void decodeBatch(DecodeState& state) const;
-  void decodeBatchPart(DecodeState& state, const reedchute::cql::Part& part) const;
+  void decodeBatchPart(DecodeState& state, const reedchute::cql::BatchStatement& part) const;
   void decodeByOpcode(DecodeState& state) const;
   void usePreparedText(DecodeState& state, std::string_view id, std::size_t offset) const;
   void decodePayload(DecodeState& state) const;
--- a/src/protocols/cassandra/system_tables.cpp
+++ b/src/protocols/cassandra/system_tables.cpp
@@ -227,7 +227,7 @@
   return table;
 }
 
-std::optional<Table> findTable(const Config& config, const cql::TextRead& read) {
+std::optional<Table> findTable(const Config& config, const cql::ParsedText& read) {
   if (read.keyspace == "system_schema") {
     const std::vector<Column>* columns = schemaColumns(read.table);
     if (!columns) return std::nullopt;
@@ -258,13 +258,13 @@
 }  // namespace
 
 bool SystemTables::knowsKeyspace(std::string_view keyspace) const {
-  if (cql::systemKeyspace(keyspace)) return true;
+  if (cql::isSystemKeyspace(keyspace)) return true;
   return std::any_of(config_.mappings.begin(), config_.mappings.end(), [&](const Mapping& mapping) {
     return mapping.keyspace.empty() || mapping.keyspace == keyspace;
   });
 }
 
-std::optional<std::string> SystemTables::answer(const cql::TextRead& read, std::string_view text,
+std::optional<std::string> SystemTables::answer(const cql::ParsedText& read, std::string_view text,
                                                 std::string_view& why) const {
   why = "only reads of the front's system tables";
   if (read.kind != cql::Kind::read) return std::nullopt;
--- a/src/protocols/cassandra/system_tables.h
+++ b/src/protocols/cassandra/system_tables.h
@@ -18,7 +18,7 @@
   explicit SystemTables(const Config& config) : config_(config) {}
 
   // Returns the body of a RESULT, or nothing where the read can't be answered; `why` then says why.
-  std::optional<std::string> answer(const cql::TextRead& read, std::string_view text,
+  std::optional<std::string> answer(const cql::ParsedText& read, std::string_view text,
                                     std::string_view& why) const;
   bool knowsKeyspace(std::string_view keyspace) const;
 
--- a/src/protocols/cassandra/upstream_connection.cpp
+++ b/src/protocols/cassandra/upstream_connection.cpp
@@ -74,7 +74,7 @@
   void drain() override;
   std::size_t requestCount() const override { return streams_.takenCount() + incoming_.size(); }
   std::size_t bufferedBytes() const override {
-    return in_.capacity() + out_.capacity() + beingWritten_.capacity() + framing_.held();
+    return in_.capacity() + out_.capacity() + beingWritten_.capacity() + framing_.bufferedBytes();
   }
   runtime::Task<bool> connect(TimePoint until) override;
   runtime::Task<> serve() override;
@@ -211,7 +211,7 @@
   bool isSent = co_await runtime::writeAll(socket_, bytes, until);
   if (!isSent) co_return false;
   bool isRead = co_await readFrame(reply, until);
-  if (!isRead || !reply.answer || reply.version != protocol_.version()) co_return false;
+  if (!isRead || !reply.isResponse || reply.version != protocol_.version()) co_return false;
   if (reply.opcode != Opcode::error) co_return true;
   cql::Cursor cursor(reply.body);
   log::line("upstream_rejected", "store=%d code=%04x", store,
@@ -228,8 +228,8 @@
   bool hasReply = co_await exchangeHandshake(reply, until);
   if (!hasReply) co_return false;
   // Both hold from the first reply on.
-  if (config.storeCompression) framing_.compress();
-  if (protocol_.version() >= 5) framing_.segments();
+  if (config.storeCompression) framing_.enableCompression();
+  if (protocol_.version() >= 5) framing_.enableSegments();
   if (reply.opcode == Opcode::authenticate) {
     put(0, 0, Opcode::authResponse, credentialsBody(config));
     hasReply = co_await exchangeHandshake(reply, until);
@@ -424,7 +424,7 @@
 
 // False where nothing that follows can be believed.
 bool Connection::onFrame(const Frame& frame) {
-  if (!frame.answer || frame.version != protocol_.version()) return failProtocol("version");
+  if (!frame.isResponse || frame.version != protocol_.version()) return failProtocol("version");
   if (frame.opcode == Opcode::event) return true;  // none was asked for
   if (!streams_.isValid(frame.stream)) return failProtocol("stream");
   Streams::State state = streams_.at(frame.stream).state;
--- a/tests/codec/cql_test.cpp
+++ b/tests/codec/cql_test.cpp
@@ -1,5 +1,5 @@
-// The native protocol's codec, without sockets: what it makes of whole, split, damaged and lying
-// input.
+// The codec of the Cassandra native protocol, without sockets, on whole, split, corrupted and
+// inconsistent input.
 #include <cstdio>
 #include <cstring>
 #include <random>
@@ -29,22 +29,23 @@
   return body + std::string(tail);
 }
 
-std::string spoken(const Frame& f) {
-  return std::string(f.answer ? "answer" : "request") + " v" + std::to_string(f.version) + " " +
+std::string describeFrame(const Frame& f) {
+  return std::string(f.isResponse ? "answer" : "request") + " v" + std::to_string(f.version) + " " +
          nameOf(f.opcode) + " stream " + std::to_string(f.stream) + " body " +
          std::to_string(f.body.size());
 }
 
-std::vector<std::string_view> inPieces(std::string_view bytes, std::size_t step) {
+std::vector<std::string_view> splitInPieces(std::string_view bytes, std::size_t step) {
   std::vector<std::string_view> pieces;
   for (std::size_t k = 0; k < bytes.size(); k += step) pieces.push_back(bytes.substr(k, step));
   return pieces;
 }
 
-// All frames in what comes piece by piece; ends with what stopped it.
+// Reads all frames from input that arrives in `pieces`. The result lists them and ends with the
+// reason why reading stopped, or with a note of unread bytes. Adds the bodies' hashes to `bodies`.
 std::string framesOf(Framing framing, const std::vector<std::string_view>& pieces,
                      std::size_t* bodies = nullptr) {
-  std::string said, in;
+  std::string output, in;
   for (std::string_view piece : pieces) {
     in += piece;
     for (;;) {
@@ -52,33 +53,33 @@
       std::size_t used = 0;
       Framed got = framing.next(in, used, f);
       if (got == Framed::whole) {
-        said += spoken(f) + "\n";
+        output += describeFrame(f) + "\n";
         if (bodies) *bodies += std::hash<std::string_view>{}(f.body);
       }
       in.erase(0, used);
-      if (got == Framed::bad) return said + "bad: " + framing.why() + "\n";
+      if (got == Framed::bad) return output + "bad: " + framing.why() + "\n";
       if (got == Framed::partial) break;
     }
   }
-  return said + (in.empty() ? "" : "left over\n");
+  return output + (in.empty() ? "" : "left over\n");
 }
 
 Framing framingOf(bool segments, bool compress) {
   Framing f(1 << 20);
-  if (compress) f.compress();
-  if (segments) f.segments();
+  if (compress) f.enableCompression();
+  if (segments) f.enableSegments();
   return f;
 }
 
-std::string stream(const Framing& f, int version) {
+std::string encodeStream(const Framing& f, int version) {
   std::string out;
   std::string text(300, 'a');
   f.put(out, false, version, 0, 1, Opcode::query, queryBody("SELECT " + text + " FROM t", version));
   f.put(out, false, version, 0, 32767, Opcode::query, queryBody("SELECT b FROM t", version));
-  std::string noise;
-  std::minstd_rand chance(7);
-  for (int k = 0; k < 300'000; ++k) noise.push_back(static_cast<char>(chance() >> 8));
-  f.put(out, true, version, 0, 2, Opcode::result, noise);
+  std::string randomBytes;
+  std::minstd_rand generator(7);
+  for (int k = 0; k < 300'000; ++k) randomBytes.push_back(static_cast<char>(generator() >> 8));
+  f.put(out, true, version, 0, 2, Opcode::result, randomBytes);
   f.put(out, false, version, 0, 3, Opcode::options, {});
   return out;
 }
@@ -87,23 +88,24 @@
   for (bool segments : {false, true})
     for (bool compress : {false, true}) {
       int version = segments ? 5 : 4;
-      std::string bytes = stream(framingOf(segments, compress), version);
+      std::string bytes = encodeStream(framingOf(segments, compress), version);
       std::printf("-- version %d, %s\n", version, compress ? "compressed" : "plain");
       std::size_t first = 0;
-      std::string said = framesOf(framingOf(segments, compress), {bytes}, &first);
-      std::printf("%s", said.c_str());
+      std::string output = framesOf(framingOf(segments, compress), {bytes}, &first);
+      std::printf("%s", output.c_str());
       int same = 0, all = 0;
       for (std::size_t step : {1, 2, 3, 5, 7, 64, 1000, 4096, 100'000, 131'073}) {
         std::size_t bodies = 0;
         ++all;
-        same += framesOf(framingOf(segments, compress), inPieces(bytes, step), &bodies) == said &&
+        same += framesOf(framingOf(segments, compress), splitInPieces(bytes, step), &bodies) ==
+                    output &&
                 bodies == first;
       }
       std::printf("the same in pieces: %d of %d\n", same, all);
     }
 }
 
-// Every split of a short stream in two.
+// Splits a short stream in two at every byte: the frames read must be the same.
 void splits() {
   for (bool segments : {false, true})
     for (bool compress : {false, true}) {
@@ -112,80 +114,82 @@
       f.put(bytes, false, 4, 0, 1, Opcode::query, queryBody(std::string(200, 'q'), 4));
       f.put(bytes, false, 4, 0, 2, Opcode::query, queryBody("SELECT 1", 4));
       std::string_view all = bytes;
-      std::string said = framesOf(f, {all});
+      std::string output = framesOf(f, {all});
       std::size_t same = 0;
       for (std::size_t at = 1; at < bytes.size(); ++at)
         same += framesOf(framingOf(segments, compress), {all.substr(0, at), all.substr(at)}) ==
-                said;
+                output;
       std::printf(
           "%s %s: %s\n", segments ? "segments" : "bare", compress ? "lz4" : "plain",
           same == bytes.size() - 1 ? "every split gives the same" : "a split gives something else");
     }
 }
 
-// Each bit of a short stream in segments turned over: found, or the frames before it stand.
+// Flips each bit of a short segmented stream. Every flip must be rejected; flips that pass
+// unnoticed, or leave the reader waiting for more bytes, are counted.
 void checksums() {
   std::printf("crc24 of 'reedchute' %06x, crc32 %08x\n", crc24("reedchute"), crc32("reedchute"));
   for (bool compress : {false, true}) {
     Framing f = framingOf(true, compress);
     std::string bytes;
     f.put(bytes, false, 5, 0, 1, Opcode::query, queryBody(std::string(200, 'q'), 5));
-    std::size_t found = 0, waits = 0, passed = 0;
+    std::size_t rejected = 0, waiting = 0, passed = 0;
     for (std::size_t bit = 0; bit < bytes.size() * 8; ++bit) {
-      std::string spoilt = bytes;
-      spoilt[bit / 8] = static_cast<char>(spoilt[bit / 8] ^ (1 << bit % 8));
-      std::string said = framesOf(framingOf(true, compress), {spoilt});
-      if (said.find("bad: ") != std::string::npos)
-        ++found;
-      else if (said.find("request") == std::string::npos)
-        ++waits;
+      std::string corrupted = bytes;
+      corrupted[bit / 8] = static_cast<char>(corrupted[bit / 8] ^ (1 << bit % 8));
+      std::string output = framesOf(framingOf(true, compress), {corrupted});
+      if (output.find("bad: ") != std::string::npos)
+        ++rejected;
+      else if (output.find("request") == std::string::npos)
+        ++waiting;
       else
         ++passed;
     }
     std::printf("%s: turned bits found %s, passed %zu, left waiting %zu\n",
-                compress ? "lz4" : "plain", found == bytes.size() * 8 ? "all" : "not all", passed,
-                waits);
+                compress ? "lz4" : "plain", rejected == bytes.size() * 8 ? "all" : "not all",
+                passed, waiting);
   }
 }
 
-void liars() {
+void inconsistentInput() {
   auto one = [](const char* what, Framing f, const std::string& bytes) {
     std::printf("%s: %s", what, framesOf(std::move(f), {bytes}).c_str());
   };
-  std::string negative =
+  std::string negativeLength =
       made([](auto& b) { addHeader(b, false, 4, 0, 1, Opcode::query, 0xffffffff); });
-  one("a negative length", framingOf(false, false), negative + "x");
-  std::string huge = made([](auto& b) { addHeader(b, false, 4, 0, 1, Opcode::query, 0x7fffffff); });
-  one("a huge length", framingOf(false, false), huge);
-  one("cut short", framingOf(false, false), huge.substr(0, 5));
+  one("a negative length", framingOf(false, false), negativeLength + "x");
+  std::string hugeLength =
+      made([](auto& b) { addHeader(b, false, 4, 0, 1, Opcode::query, 0x7fffffff); });
+  one("a huge length", framingOf(false, false), hugeLength);
+  one("cut short", framingOf(false, false), hugeLength.substr(0, 5));
   std::string packed = made([](auto& b) { addInt(b, 100), b += "\x10x"; });
   one("compressed though none was agreed", framingOf(false, false),
-      whole(false, 4, kCompressed, 1, Opcode::query, packed));
+      encodeFrame(false, 4, kCompressed, 1, Opcode::query, packed));
   one("a block shorter than stated", framingOf(false, true),
-      whole(false, 4, kCompressed, 1, Opcode::query, packed));
-  std::string lie = made([](auto& b) { addInt(b, 1 << 20), b += "abcd"; });
+      encodeFrame(false, 4, kCompressed, 1, Opcode::query, packed));
+  std::string overstated = made([](auto& b) { addInt(b, 1 << 20), b += "abcd"; });
   one("a size that no block grows to", framingOf(false, true),
-      whole(false, 4, kCompressed, 1, Opcode::query, lie));
-  std::string less = made([](auto& b) { addInt(b, -5); });
+      encodeFrame(false, 4, kCompressed, 1, Opcode::query, overstated));
+  std::string negativeSize = made([](auto& b) { addInt(b, -5); });
   one("a negative size", framingOf(false, true),
-      whole(false, 4, kCompressed, 1, Opcode::query, less));
-  std::string none = made([](auto& b) { addInt(b, 0); });
+      encodeFrame(false, 4, kCompressed, 1, Opcode::query, negativeSize));
+  std::string emptyBody = made([](auto& b) { addInt(b, 0); });
   one("an empty body, compressed", framingOf(false, true),
-      whole(false, 4, kCompressed, 1, Opcode::options, none));
-  // Segments whose checksums are right and whose sense is not.
+      encodeFrame(false, 4, kCompressed, 1, Opcode::options, emptyBody));
+  // Segments with correct checksums and invalid contents.
   auto segment = [](std::string_view payload, bool self) {
-    std::string s, head;
+    std::string s, header;
     std::uint32_t bits = static_cast<std::uint32_t>(payload.size()) |
                          static_cast<std::uint32_t>(self) << 17;
-    for (int k = 0; k < 3; ++k) head.push_back(static_cast<char>(bits >> 8 * k & 0xff));
-    std::uint32_t crc = crc24(head);
-    for (int k = 0; k < 3; ++k) head.push_back(static_cast<char>(crc >> 8 * k & 0xff));
-    s = head + std::string(payload);
+    for (int k = 0; k < 3; ++k) header.push_back(static_cast<char>(bits >> 8 * k & 0xff));
+    std::uint32_t crc = crc24(header);
+    for (int k = 0; k < 3; ++k) header.push_back(static_cast<char>(crc >> 8 * k & 0xff));
+    s = header + std::string(payload);
     crc = crc32(payload);
     for (int k = 0; k < 4; ++k) s.push_back(static_cast<char>(crc >> 8 * k & 0xff));
     return s;
   };
-  std::string f = whole(false, 5, 0, 1, Opcode::query, queryBody("SELECT 1", 5));
+  std::string f = encodeFrame(false, 5, 0, 1, Opcode::query, queryBody("SELECT 1", 5));
   one("two frames in one segment", framingOf(true, false), segment(f + f, true));
   one("a part of a frame in a segment of its own", framingOf(true, false),
       segment(f.substr(0, 12), true));
@@ -254,7 +258,7 @@
            "SELECT",
            "",
        }) {
-    TextRead r;
+    ParsedText r;
     static constexpr const char* kStates[] = {"", "empty", "several", "unclosed"};
     TextState state = readText(text, r);
     std::string shown(text);
@@ -265,30 +269,32 @@
       std::printf("%s\n", kStates[static_cast<int>(state)]);
     else
       std::printf("%s, %s, '%s'.'%s'%s, markers %d\n", nameOf(r.kind), nameOf(r.nature),
-                  r.keyspace.c_str(), r.table.c_str(), r.systemTable ? " (system)" : "", r.markers);
+                  r.keyspace.c_str(), r.table.c_str(), r.isSystemTable ? " (system)" : "",
+                  r.markers);
   }
 }
 
-std::string told(const Frame& f) {
-  Asked a;
+std::string describeRequest(const Frame& f) {
+  StatementRequest a;
   const char* why = "";
-  if (!readAsked(f, 4, a, why)) return std::string("bad: ") + why;
-  std::string said = consistencyName(a.parameters.consistency);
-  if (f.opcode == Opcode::prepare) said = "prepare";
-  if (!a.text.empty()) said += " '" + std::string(a.text) + "'";
-  if (!a.id.empty()) said += " id " + std::string(a.id) + " at " + std::to_string(a.idAt);
-  if (!a.resultId.empty()) said += " result id " + std::string(a.resultId);
-  if (a.parameters.values) said += " values " + std::to_string(a.parameters.values);
-  if (a.parameters.pageSize) said += " page " + std::to_string(a.parameters.pageSize);
+  if (!readStatementRequest(f, 4, a, why)) return std::string("bad: ") + why;
+  std::string output = consistencyName(a.parameters.consistency);
+  if (f.opcode == Opcode::prepare) output = "prepare";
+  if (!a.text.empty()) output += " '" + std::string(a.text) + "'";
+  if (!a.id.empty()) output += " id " + std::string(a.id) + " at " + std::to_string(a.idOffset);
+  if (!a.resultId.empty()) output += " result id " + std::string(a.resultId);
+  if (a.parameters.values) output += " values " + std::to_string(a.parameters.values);
+  if (a.parameters.pageSize) output += " page " + std::to_string(a.parameters.pageSize);
   if (a.parameters.pageState)
-    said += " state '" + std::string(*a.parameters.pageState) + "' at " +
-            std::to_string(a.parameters.pageAt) + "+" + std::to_string(a.parameters.pageSpan);
-  if (!a.parameters.keyspace.empty()) said += " keyspace " + std::string(a.parameters.keyspace);
-  for (const Part& p : a.parts)
-    said += std::string(p.prepared ? " [id " : " [") + std::string(p.text) + "]";
+    output += " state '" + std::string(*a.parameters.pageState) + "' at " +
+              std::to_string(a.parameters.pageStateOffset) + "+" +
+              std::to_string(a.parameters.pageStateSize);
+  if (!a.parameters.keyspace.empty()) output += " keyspace " + std::string(a.parameters.keyspace);
+  for (const BatchStatement& p : a.batchStatements)
+    output += std::string(p.isPrepared ? " [id " : " [") + std::string(p.text) + "]";
   for (const auto& [name, value] : a.payload)
-    said += " " + std::string(name) + "=" + std::string(value);
-  return said;
+    output += " " + std::string(name) + "=" + std::string(value);
+  return output;
 }
 
 Frame frameOf(Opcode o, int version, std::string_view body, std::uint8_t flags = 0) {
@@ -331,12 +337,13 @@
   return bodies;
 }
 
-// No part of a body, nor the body with one byte more, is taken for good.
-bool noneReads(const std::string& body, const std::function<std::string(std::string_view)>& read) {
-  bool none = read(body + "x").starts_with("bad");
+// Whether `read` rejects every proper prefix of a body, and the body with one byte appended.
+bool rejectsTruncatedAndExtended(const std::string& body,
+                                 const std::function<std::string(std::string_view)>& read) {
+  bool allRejected = read(body + "x").starts_with("bad");
   for (std::size_t n = 0; n < body.size(); ++n)
-    none &= read(std::string_view(body).substr(0, n)).starts_with("bad");
-  return none;
+    allRejected &= read(std::string_view(body).substr(0, n)).starts_with("bad");
+  return allRejected;
 }
 
 void requests() {
@@ -345,50 +352,52 @@
     std::vector<Opcode> opcodes;
     std::vector<std::uint8_t> flags;
     std::vector<std::string> bodies = requestBodies(version, opcodes, flags);
-    bool found = true;
+    bool allRejected = true;
     for (std::size_t k = 0; k < bodies.size(); ++k) {
       std::printf("%s: %s\n", nameOf(opcodes[k]),
-                  told(frameOf(opcodes[k], version, bodies[k], flags[k])).c_str());
-      found &= noneReads(bodies[k], [&](std::string_view b) {
-        return told(frameOf(opcodes[k], version, b, flags[k]));
+                  describeRequest(frameOf(opcodes[k], version, bodies[k], flags[k])).c_str());
+      allRejected &= rejectsTruncatedAndExtended(bodies[k], [&](std::string_view b) {
+        return describeRequest(frameOf(opcodes[k], version, b, flags[k]));
       });
     }
-    std::printf("cut or lengthened: %s found\n", found ? "all" : "not all");
+    std::printf("cut or lengthened: %s found\n", allRejected ? "all" : "not all");
   }
   std::string many = made([](auto& b) { addByte(b, 0), addShort(b, 5); });
   std::printf("a batch of five where four are allowed: %s\n",
-              told(frameOf(Opcode::batch, 4, many)).c_str());
+              describeRequest(frameOf(Opcode::batch, 4, many)).c_str());
   std::printf("a batch of type 3: %s\n",
-              told(frameOf(Opcode::batch, 4, std::string("\3\0\0\0\1\0", 6))).c_str());
+              describeRequest(frameOf(Opcode::batch, 4, std::string("\3\0\0\0\1\0", 6))).c_str());
   std::printf("an unknown flag: %s\n",
-              told(frameOf(Opcode::query, 4, queryBody("S", 4, 0x80))).c_str());
-  std::printf(
-      "a value of length -3: %s\n",
-      told(frameOf(Opcode::query, 4, queryBody("S", 4, 1, std::string("\0\1\xff\xff\xff\xfd", 6))))
-          .c_str());
-  std::printf("nothing to ask: %s\n", told(frameOf(Opcode::ready, 4, "")).c_str());
+              describeRequest(frameOf(Opcode::query, 4, queryBody("S", 4, 0x80))).c_str());
+  std::printf("a value of length -3: %s\n",
+              describeRequest(frameOf(Opcode::query, 4,
+                                      queryBody("S", 4, 1, std::string("\0\1\xff\xff\xff\xfd", 6))))
+                  .c_str());
+  std::printf("nothing to ask: %s\n", describeRequest(frameOf(Opcode::ready, 4, "")).c_str());
 }
 
-std::string repliesTold(const Frame& f) {
+std::string describeReply(const Frame& f) {
   Reply r;
   if (!readReply(f, r)) return "bad";
-  std::string said;
+  std::string output;
   if (f.opcode == Opcode::error) {
     char code[12];
     std::snprintf(code, sizeof code, "%04x", static_cast<unsigned>(r.code));
-    said = std::string("error ") + code + " '" + std::string(r.text) + "' " +
-           std::string(r.writeType) + std::string(r.unprepared);
+    output = std::string("error ") + code + " '" + std::string(r.text) + "' " +
+             std::string(r.writeType) + std::string(r.unpreparedId);
   } else {
-    said = "kind " + std::to_string(static_cast<int>(r.kind)) + " " + std::string(r.keyspace) +
-           "." + std::string(r.table) + " rows " + std::to_string(r.rows) + " of " +
-           std::to_string(r.columns);
+    output = "kind " + std::to_string(static_cast<int>(r.kind)) + " " + std::string(r.keyspace) +
+             "." + std::string(r.table) + " rows " + std::to_string(r.rows) + " of " +
+             std::to_string(r.columns);
     if (r.pageState)
-      said += " state '" + std::string(*r.pageState) + "' at " + std::to_string(r.pageAt);
-    if (!r.id.empty()) said += " id " + std::string(r.id) + " markers " + std::to_string(r.markers);
+      output += " state '" + std::string(*r.pageState) + "' at " +
+                std::to_string(r.pageStateOffset);
+    if (!r.id.empty())
+      output += " id " + std::string(r.id) + " markers " + std::to_string(r.markers);
   }
   for (const auto& [name, value] : r.payload)
-    said += " " + std::string(name) + "=" + std::string(value);
-  return said;
+    output += " " + std::string(name) + "=" + std::string(value);
+  return output;
 }
 
 std::string metadata(std::int32_t flags, const std::string& state, const std::string& columns,
@@ -401,21 +410,22 @@
 }
 
 void replies() {
-  bool found = true;
-  auto tell = [&](Opcode o, const std::string& body) {
-    std::printf("%s\n", repliesTold(frameOf(o, 4, body)).c_str());
-    found &= noneReads(body, [&](std::string_view b) { return repliesTold(frameOf(o, 4, b)); });
+  bool allRejected = true;
+  auto check = [&](Opcode o, const std::string& body) {
+    std::printf("%s\n", describeReply(frameOf(o, 4, body)).c_str());
+    allRejected &= rejectsTruncatedAndExtended(
+        body, [&](std::string_view b) { return describeReply(frameOf(o, 4, b)); });
   };
-  auto tellError = [&](std::int32_t code, const char* text, auto&& put) {
-    tell(Opcode::error, errorBody(code, text) + made(put));
+  auto checkError = [&](std::int32_t code, const char* text, auto&& put) {
+    check(Opcode::error, errorBody(code, text) + made(put));
   };
   std::string one = made([](auto& b) { addInt(b, 1); });
-  tell(Opcode::result, one);
+  check(Opcode::result, one);
   std::string col = made([](auto& b) { addString(b, "a"), addShort(b, 0x000d); });
-  tell(Opcode::result, made([&](auto& b) {
-         addInt(b, 2), b += metadata(3, "next", col, 1);
-         addInt(b, 2), addBytes(b, "x"), addInt(b, -1);
-       }));
+  check(Opcode::result, made([&](auto& b) {
+          addInt(b, 2), b += metadata(3, "next", col, 1);
+          addInt(b, 2), addBytes(b, "x"), addInt(b, -1);
+        }));
   std::string nested = made([](auto& b) {
     addString(b, "a");
     for (int type : {0x21, 0x0d, 0x31, 2, 0x09, 0x30})
@@ -423,75 +433,76 @@
     addString(b, "k"), addString(b, "u"), addShort(b, 1), addString(b, "f"), addShort(b, 0x20),
         addShort(b, 0x0b);
   });
-  tell(Opcode::result,
-       made([&](auto& b) { addInt(b, 2), b += metadata(1, "", nested, 1), addInt(b, 0); }));
-  tell(Opcode::result, setKeyspaceBody("ks"));
+  check(Opcode::result,
+        made([&](auto& b) { addInt(b, 2), b += metadata(1, "", nested, 1), addInt(b, 0); }));
+  check(Opcode::result, setKeyspaceBody("ks"));
   std::string markers = metadata(1, "", col, 1);
-  tell(Opcode::result, made([&](auto& b) {
-         addInt(b, 4), addShortBytes(b, "ID"), b += markers.substr(0, 8);
-         addInt(b, 1), addShort(b, 0), b += markers.substr(8) + metadata(4, "", "", 1);
-       }));
-  tell(Opcode::result, made([](auto& b) {
-         addInt(b, 5), addString(b, "CREATED"), addString(b, "TABLE"), addString(b, "ks"),
-             addString(b, "t");
-       }));
-  tellError(kOverloaded, "busy", [](auto&) {});
-  tellError(kWriteTimeout, "late",
-            [](auto& b) { addShort(b, 1), addInt(b, 0), addInt(b, 1), addString(b, "BATCH"); });
-  tellError(kUnprepared, "what", [](auto& b) { addShortBytes(b, "ID"); });
-  tellError(kWriteFailure, "f", [](auto& b) {
+  check(Opcode::result, made([&](auto& b) {
+          addInt(b, 4), addShortBytes(b, "ID"), b += markers.substr(0, 8);
+          addInt(b, 1), addShort(b, 0), b += markers.substr(8) + metadata(4, "", "", 1);
+        }));
+  check(Opcode::result, made([](auto& b) {
+          addInt(b, 5), addString(b, "CREATED"), addString(b, "TABLE"), addString(b, "ks"),
+              addString(b, "t");
+        }));
+  checkError(kOverloaded, "busy", [](auto&) {});
+  checkError(kWriteTimeout, "late",
+             [](auto& b) { addShort(b, 1), addInt(b, 0), addInt(b, 1), addString(b, "BATCH"); });
+  checkError(kUnprepared, "what", [](auto& b) { addShortBytes(b, "ID"); });
+  checkError(kWriteFailure, "f", [](auto& b) {
     addShort(b, 1), addInt(b, 0), addInt(b, 1), addInt(b, 1), addString(b, "SIMPLE");
   });
-  std::printf("cut or lengthened: %s found\n", found ? "all" : "not all");
+  std::printf("cut or lengthened: %s found\n", allRejected ? "all" : "not all");
   std::string payload = made([](auto& b) { addBytesMap(b, {{"server_role", "writer"}}); });
   std::string traced = std::string(16, 't') + std::string("\0\1\0\1w", 5) + payload + one;
   std::printf(
       "traced, warned, with a payload: %s\n",
-      repliesTold(frameOf(Opcode::result, 4, traced, kTracing | kWarnings | kPayload)).c_str());
-  std::string endless = made([](auto& b) {
+      describeReply(frameOf(Opcode::result, 4, traced, kTracing | kWarnings | kPayload)).c_str());
+  std::string deeplyNested = made([](auto& b) {
     addInt(b, 2), addInt(b, 1), addInt(b, 1), addString(b, "k"), addString(b, "t"),
         addString(b, "c");
     for (int k = 0; k < 1000; ++k) addShort(b, 0x20);
   });
   std::printf("a list of lists without end: %s\n",
-              repliesTold(frameOf(Opcode::result, 4, endless)).c_str());
+              describeReply(frameOf(Opcode::result, 4, deeplyNested)).c_str());
   std::string empty =
       made([](auto& b) { addInt(b, 2), addInt(b, 4), addInt(b, 0), addInt(b, 0x7fffffff); });
   std::printf("two thousand million rows of no column: %s\n",
-              repliesTold(frameOf(Opcode::result, 4, empty)).c_str());
-  std::string ours = rowsBody("system", "local", {{"key"}, {"tokens", Type::setOfText}},
-                              {{"local", textSet({"1"})}});
-  std::printf("one of ours: %s\n", repliesTold(frameOf(Opcode::result, 4, ours)).c_str());
+              describeReply(frameOf(Opcode::result, 4, empty)).c_str());
+  std::string ownReply = rowsBody("system", "local", {{"key"}, {"tokens", Type::setOfText}},
+                                  {{"local", textSet({"1"})}});
+  std::printf("one of ours: %s\n", describeReply(frameOf(Opcode::result, 4, ownReply)).c_str());
 }
 
-// Random changes to good input of every kind: nothing crashes, and no read goes beyond what came
-// (the sanitizers).
-void noise() {
-  std::ranlux24_base chance(20261201);
+// Randomly corrupts valid input of every kind. Nothing may crash or read out of bounds, which the
+// sanitizers check.
+void randomCorruption() {
+  std::ranlux24_base generator(20261201);
   std::size_t read = 0, refused = 0;
   for (int round = 0; round < 40'000; ++round) {
     int version = round % 2 ? 4 : 5;
     std::vector<Opcode> opcodes;
     std::vector<std::uint8_t> flags;
     std::vector<std::string> bodies = requestBodies(version, opcodes, flags);
-    std::size_t k = chance() % bodies.size();
+    std::size_t k = generator() % bodies.size();
     std::string body = bodies[k];
-    for (unsigned n = chance() % 4; n-- > 0 && !body.empty();)
-      body[chance() % body.size()] = static_cast<char>(chance());
-    if (chance() % 4 == 0) body.resize(chance() % (body.size() + 1));
-    Asked a;
+    for (unsigned n = generator() % 4; n-- > 0 && !body.empty();)
+      body[generator() % body.size()] = static_cast<char>(generator());
+    if (generator() % 4 == 0) body.resize(generator() % (body.size() + 1));
+    StatementRequest a;
     const char* why = "";
-    ++(readAsked(frameOf(opcodes[k], version, body, flags[k]), 4, a, why) ? read : refused);
+    ++(readStatementRequest(frameOf(opcodes[k], version, body, flags[k]), 4, a, why) ? read
+                                                                                     : refused);
     Reply r;
     readReply(frameOf(Opcode::result, version, body, flags[k]), r);
-    TextRead t;
+    ParsedText t;
     readText(body, t);
     for (bool segments : {false, true}) {
       Framing f = framingOf(segments, round % 3 == 0);
       std::string bytes;
       f.put(bytes, false, version, 0, 1, opcodes[k], body);
-      bytes[chance() % bytes.size()] = static_cast<char>(chance());
-      framesOf(f, inPieces(bytes, 1 + chance() % bytes.size()));
+      bytes[generator() % bytes.size()] = static_cast<char>(generator());
+      framesOf(f, splitInPieces(bytes, 1 + generator() % bytes.size()));
     }
   }
   std::printf("%s\n", read > 1000 && refused > 1000 ? "some read, some refused, none beyond its end"
@@ -499,9 +510,9 @@
 }
 
 constexpr Case kCases[] = {{"cqlFrames", frames},       {"cqlSplits", splits},
-                           {"cqlChecksums", checksums}, {"cqlLiars", liars},
+                           {"cqlChecksums", checksums}, {"cqlLiars", inconsistentInput},
                            {"cqlTexts", texts},         {"cqlRequests", requests},
-                           {"cqlReplies", replies},     {"cqlNoise", noise}};
+                           {"cqlReplies", replies},     {"cqlNoise", randomCorruption}};
 
 }  // namespace
 
--- a/tests/fuzz/cql.cpp
+++ b/tests/fuzz/cql.cpp
@@ -1,6 +1,6 @@
-// libFuzzer's target for the native protocol's codec. Not part of CI; see docs/cql.md for how long
-// it ran and what it found. The first byte of the input chooses framing, compression and version,
-// the rest is what a peer sends.
+// libFuzzer target for the codec of the Cassandra native protocol. Not part of CI; docs/cql.md
+// records how long it ran and what it found. The first byte of the input selects framing,
+// compression and version; the rest is the bytes received from a peer.
 #include <cstdint>
 #include <cstdlib>
 #include <string>
@@ -14,26 +14,28 @@
 
 namespace {
 
-Framing framingBy(std::uint8_t how) {
+Framing framingFor(std::uint8_t selector) {
   Framing f(1 << 16);
-  if (how & 1) f.compress();
-  if (how & 2) f.segments();
+  if (selector & 1) f.enableCompression();
+  if (selector & 2) f.enableSegments();
   return f;
 }
 
-void readAll(const Frame& f) {
-  Asked asked;
+void decodeAll(const Frame& f) {
+  StatementRequest asked;
   const char* why = "";
-  if (readAsked(f, 64, asked, why)) {
-    // What was read lies inside the body that it was read from.
-    if (asked.parameters.pageAt + asked.parameters.pageSpan > f.body.size()) std::abort();
-    TextRead text;
+  if (readStatementRequest(f, 64, asked, why)) {
+    // The paging state must be within the body.
+    if (asked.parameters.pageStateOffset + asked.parameters.pageStateSize > f.body.size())
+      std::abort();
+    ParsedText text;
     readText(asked.text, text);
   }
   Reply reply;
-  if (readReply(f, reply) && reply.pageAt + reply.pageSpan > f.body.size()) std::abort();
-  Start start;
-  readStart(f.body, start);
+  if (readReply(f, reply) && reply.pageStateOffset + reply.pageStateSize > f.body.size())
+    std::abort();
+  StartupOptions start;
+  readStartup(f.body, start);
   std::vector<std::string_view> events;
   readRegister(f.body, events);
   Multimap map;
@@ -44,10 +46,10 @@
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   if (size < 1) return 0;
-  std::uint8_t how = data[0];
+  std::uint8_t selector = data[0];
   std::string_view bytes(reinterpret_cast<const char*>(data) + 1, size - 1);
-  Framing framing = framingBy(how);
-  std::string again;
+  Framing framing = framingFor(selector);
+  std::string encoded;
   for (std::size_t at = 0;;) {
     Frame f;
     std::size_t used = 0;
@@ -55,29 +57,29 @@
     if (used > bytes.size() - at) std::abort();
     at += used;
     if (got != Framed::whole) break;
-    readAll(f);
-    // What is put must come out the same.
-    Framing out = framingBy(how), back = framingBy(how);
-    again.clear();
+    decodeAll(f);
+    // Encoding the frame and reading it back must yield the same body and stream.
+    Framing encoder = framingFor(selector), decoder = framingFor(selector);
+    encoded.clear();
     std::string body(f.body);
     std::uint8_t flags = static_cast<std::uint8_t>(f.flags & ~kCompressed);
-    out.put(again, f.answer, f.version, flags, f.stream, f.opcode, body);
-    Frame same;
-    if (back.next(again, used, same) != Framed::whole || same.body != body ||
-        same.stream != f.stream)
+    encoder.put(encoded, f.isResponse, f.version, flags, f.stream, f.opcode, body);
+    Frame decoded;
+    if (decoder.next(encoded, used, decoded) != Framed::whole || decoded.body != body ||
+        decoded.stream != f.stream)
       std::abort();
   }
-  // And the bytes as a body of their own, so that no checksum stands in the way.
+  // Also decode the bytes directly as a body, so that inputs aren't rejected by checksums first.
   Frame f;
-  f.version = how & 4 ? 5 : 4;
-  f.flags = static_cast<std::uint8_t>(how >> 4);
+  f.version = selector & 4 ? 5 : 4;
+  f.flags = static_cast<std::uint8_t>(selector >> 4);
   f.body = bytes;
   for (Opcode o : {Opcode::query, Opcode::prepare, Opcode::execute, Opcode::batch, Opcode::result,
                    Opcode::error}) {
     f.opcode = o;
-    readAll(f);
+    decodeAll(f);
   }
-  TextRead text;
+  ParsedText text;
   readText(bytes, text);
   return 0;
 }
--- a/tests/protocols/cassandra_proxy_test.cpp
+++ b/tests/protocols/cassandra_proxy_test.cpp
@@ -207,8 +207,9 @@
 }
 
 std::string frameOf(int version, int flags, int stream, int opcode, std::string_view body) {
-  return cql::whole(version & 0x80, version & 0x7f, static_cast<std::uint8_t>(flags),
-                    static_cast<std::int16_t>(stream), static_cast<cql::Opcode>(opcode), body);
+  return cql::encodeFrame(version & 0x80, version & 0x7f, static_cast<std::uint8_t>(flags),
+                          static_cast<std::int16_t>(stream), static_cast<cql::Opcode>(opcode),
+                          body);
 }
 
 void doorBadInput() {
--- a/tests/support/cql_client.h
+++ b/tests/support/cql_client.h
@@ -30,8 +30,8 @@
     if (compress) cql::addString(body, "COMPRESSION"), cql::addString(body, "lz4");
     send(0, cql::Opcode::startup, body);
     started = answer(0);
-    if (compress) framing.compress();
-    if (version >= 5) framing.segments();
+    if (compress) framing.enableCompression();
+    if (version >= 5) framing.enableSegments();
   }
 
   void raw(std::string_view bytes) { d.put(*socket, bytes); }
