--- a/src/protocols/cassandra/prepared_statements.h
+++ b/src/protocols/cassandra/prepared_statements.h
@@ -21,7 +21,7 @@
 struct PreparedText {
   std::string id;    // sent to clients; a hash of the text, so all proxies use the same one
   std::string text;  // with keyspace-qualified names
-  reedchute::cql::TextRead read;
+  reedchute::cql::ParsedText read;
   // Body of the RESULT for clients, which contains `id`: one for version 4, one for version 5.
   // Empty: not yet known.
   std::array<std::string, 2> resultBodies;
