--- a/src/simulator/adapter.h
+++ b/src/simulator/adapter.h
@@ -1,6 +1,6 @@
-// Hosts instances of the decision engine on the simulator's wire. Lines come in batches, from TURN
-// to GO; each line becomes a call of the engine, and at the end of a batch the decisions become the
-// lines of the reply.
+// Runs instances of the decision engine behind the simulator's line protocol. Lines arrive in
+// batches that start with TURN and end with GO. Each line is translated into an engine call; at the
+// end of a batch, the engines' decisions are written as the lines of the reply.
 #pragma once
 
 #include <cstdint>
@@ -22,8 +22,8 @@
   Adapter();
   ~Adapter();
 
-  // Takes one line. Returns true when it ended a batch; `reply` then holds what to write. Throws
-  // InvalidInput for a line that can't be read.
+  // Handles one line, without its newline. Returns true if the line ended a batch; `reply` then
+  // contains the output of the batch. Throws InvalidInput if the line is malformed.
   bool onLine(std::string_view text, std::string& reply);
   bool isInsideBatch() const { return inBatch_; }
 
@@ -37,7 +37,7 @@
     double weight = 1;
     std::int64_t started = 0;
   };
-  // An endpoint list as the wire sends it, ahead of the messages that refer to it by number.
+  // An endpoint list, stored by SHEET. Later REGISTRY messages refer to it by its number.
   struct StoredList {
     std::vector<ListEntry> entries;
     bool isKnown = false;
@@ -66,7 +66,7 @@
   void onListDelivered();
   void onPeerMessage();
 
-  Instance& instance();
+  Instance& selectInstance();
   int instanceNumber() const;
   ReplicaReport replicaReport(const Instance& target, std::size_t field) const;
 
@@ -76,9 +76,9 @@
   std::int64_t lastClock_ = 0;
   std::map<int, std::unique_ptr<Instance>> instances_;  // by number
   std::vector<StoredList> lists_;                       // by number
-  std::size_t openList_ = 0;                            // whose entries come next
-  std::size_t missingEntries_ = 0;                      // of the open list
-  std::vector<int> touched_;  // instances with an event in this batch, in order
+  std::size_t currentList_ = 0;                         // list that receives the next entries
+  std::size_t remainingEntries_ = 0;                    // entries not yet received of that list
+  std::vector<int> activeInstances_;  // instances with an event in this batch, in order of arrival
 };
 
 }  // namespace reedchute::simulator
--- a/src/simulator/frame.cpp
+++ b/src/simulator/frame.cpp
@@ -23,19 +23,19 @@
   return std::string(fields_[field]);
 }
 
-std::int64_t WireLine::integer(std::size_t field, const char* what, std::int64_t least,
-                               std::int64_t most) const {
+std::int64_t WireLine::integer(std::size_t field, const char* what, std::int64_t min,
+                               std::int64_t max) const {
   auto value = integerFrom<std::int64_t>(fields_[field], what);
-  if (value < least || value > most) badValue(what, fields_[field]);
+  if (value < min || value > max) badValue(what, fields_[field]);
   return value;
 }
 
-std::optional<std::int64_t> WireLine::maybeInteger(std::size_t field, const char* what) const {
+std::optional<std::int64_t> WireLine::optionalInteger(std::size_t field, const char* what) const {
   if (isAbsent(field)) return std::nullopt;
   return integer(field, what);
 }
 
-std::optional<double> WireLine::maybeNumber(std::size_t field, const char* what) const {
+std::optional<double> WireLine::optionalNumber(std::size_t field, const char* what) const {
   if (isAbsent(field)) return std::nullopt;
   return numberFrom(fields_[field], what);
 }
--- a/src/simulator/instance.cpp
+++ b/src/simulator/instance.cpp
@@ -5,7 +5,8 @@
 namespace reedchute::simulator {
 namespace {
 
-constexpr Duration kLongestSleep{71LL * 60 * 1'000'000};
+// Upper bound of the delay in SLEEP.
+constexpr Duration kMaxSleep{71LL * 60 * 1'000'000};
 
 }  // namespace
 
@@ -51,13 +52,13 @@
 
 void Instance::writeFault(std::string& reply, std::string message) {
   reply_ = &reply;
-  auto separates = [](char c) { return c == '\t' || c == '\n'; };
-  std::replace_if(message.begin(), message.end(), separates, ' ');
+  auto isSeparator = [](char c) { return c == '\t' || c == '\n'; };
+  std::replace_if(message.begin(), message.end(), isSeparator, ' ');
   begin("INTERNAL_ERROR").add(message).end();
   reply_ = nullptr;
 }
 
-// On this wire an attempt leaves at once, so `sendBy` always holds.
+// The simulator sends attempts immediately, so the limit `sendBy` is always met.
 void Instance::send(int statement, int store, TimePoint stopAt, TimePoint /*sendBy*/) {
   StatementState& state = stateOf(statement);
   ++state.pending;
@@ -92,7 +93,7 @@
 }
 
 void Instance::wake(Duration after) {
-  begin("SLEEP").add(1).add(std::min(after, kLongestSleep).us).end();
+  begin("SLEEP").add(1).add(std::min(after, kMaxSleep).us).end();
 }
 
 Instance& Instance::begin(const char* message) {
--- a/src/simulator/instance.h
+++ b/src/simulator/instance.h
@@ -1,5 +1,5 @@
-// One simulated proxy: its decision engine, and the maps between the wire's ids and the engine's
-// indices. Writes the engine's decisions as lines of the wire.
+// A simulated proxy: a decision engine, and the mapping between the ids of the simulator's protocol
+// and the engine's indices. Writes the engine's decisions as protocol lines.
 #pragma once
 
 #include <cstdint>
@@ -17,26 +17,25 @@
 
 class Instance : public DecisionSink {
  public:
-  // Throws InvalidInput or std::invalid_argument where the settings can't be used.
+  // Throws InvalidInput or std::invalid_argument if the settings are invalid.
   Instance(int number, const PlatformSettings& settings, std::uint64_t seed, TimePoint now);
 
   DecisionEngine& engine() { return *engine_; }
 
-  // Gives a statement that has arrived its index.
+  // Registers a new statement and returns its index.
   int open(std::uint64_t id);
-  // The statement has its final answer, or its client has left.
+  // Closes a statement that has its final answer or whose client has disconnected.
   void close(int statement);
   bool isClosed(int statement) const { return stateOf(statement).isClosed; }
   int sentAttempts(int statement) const { return stateOf(statement).sent; }
-  // An attempt of the statement has ended.
   void onAttemptEnded(int statement, const AttemptResult& result, TimePoint now);
 
-  // Ends a batch: appends the engine's decisions to `reply`.
+  // Runs the engine's decision pass at the end of a batch and appends its decisions to `reply`.
   void decide(TimePoint now, std::string& reply);
-  // Appends a fault of this instance to `reply`.
+  // Appends INTERNAL_ERROR with `message` to `reply`.
   void writeFault(std::string& reply, std::string message);
 
-  // A time that the wire tells as a span since the origin.
+  // The time point that the protocol states as a duration since extra.origin_time.
   TimePoint timeAt(Duration sinceOrigin) const { return origin_ + sinceOrigin; }
 
   IdIndex<std::string> stores;
@@ -45,7 +44,8 @@
   Names names;
 
  private:
-  // The index of a statement is free again once it is closed and no attempt is pending.
+  // A statement's index can be reused once the statement is closed and none of its attempts is
+  // pending.
   struct StatementState {
     int pending = 0;
     int sent = 0;
@@ -68,6 +68,7 @@
   }
   void releaseIfDone(int statement);
 
+  // begin(), add() and end() write one line of the reply.
   Instance& begin(const char* message);
   template <class T>
   Instance& add(const T& value) {
@@ -83,9 +84,9 @@
   int number_;
   TimePoint origin_;
   std::unique_ptr<DecisionEngine> engine_;
-  std::string* reply_ = nullptr;  // while decisions are written
+  std::string* reply_ = nullptr;  // set only while lines are written
   std::vector<StatementState> states_;
-  std::vector<int> released_;  // statements whose index is free after this batch
+  std::vector<int> released_;  // statements whose index is freed at the end of this batch
 };
 
 }  // namespace reedchute::simulator
--- a/src/simulator/main.cpp
+++ b/src/simulator/main.cpp
@@ -1,4 +1,4 @@
-// reedchute_wirehost: reads the simulator's wire on standard input, answers on standard output.
+// reedchute_wirehost: serves the simulator's line protocol on standard input and output.
 #include <cstdio>
 #include <exception>
 #include <iostream>
@@ -8,7 +8,7 @@
 
 namespace {
 
-// `lineNumber` is that of the line that was read last.
+// Keeps `lineNumber` at the number of the line read last, for error messages.
 void serve(long& lineNumber) {
   std::ios::sync_with_stdio(false);
   reedchute::simulator::Adapter adapter;
--- a/src/simulator/wire_words.h
+++ b/src/simulator/wire_words.h
@@ -1,4 +1,5 @@
-// The simulator's words and codes, and what they stand for here. The one place that knows them.
+// Translates the words and codes of the simulator's protocol into types of the decision engine.
+// They are used nowhere else.
 #pragma once
 
 #include <cstdint>
@@ -9,30 +10,32 @@
 
 namespace reedchute::simulator {
 
-// The outcome of an attempt or probe by its code. Throws InvalidInput.
+// Parses the result code of an attempt or probe. Throws InvalidInput.
 AttemptOutcome outcomeFrom(std::int64_t code);
 
-// An endpoint's status by its letter. Throws InvalidInput.
+// Parses the one-letter status of an endpoint. Throws InvalidInput.
 EndpointStatus endpointStatusFrom(std::string_view letter);
 
-// What the message REGISTRY brings.
+// The kind of endpoint list that a REGISTRY message delivers.
 enum class ListKind {
-  failed,      // the list could not be had
+  failed,      // the endpoint list could not be fetched
   partial,     // changed entries only
   full,        // all entries
   cachedFull,  // all entries, but not from the discovery service
 };
-ListKind listKindFrom(std::string_view word);  // throws InvalidInput
+// Throws InvalidInput.
+ListKind listKindFrom(std::string_view word);
 
-// What a store says of itself in the field `mark` of a response.
+// What a store reports about itself in the field `mark` of a response: role + 4 * position in ms,
+// where role 1 is a primary and 2 a replica. A position of 0 means that none was reported.
 struct StoreMark {
   Role role = Role::unknown;
-  std::optional<Duration> position;  // since the origin of time
+  std::optional<Duration> position;  // since extra.origin_time
 };
 StoreMark storeMarkFrom(std::int64_t mark);
 
-// Names in a load report.
-inline constexpr std::string_view kPositionField = "x0";  // seconds since the origin of time
-inline constexpr std::string_view kPrimaryField = "x1";   // above 0.5: it is the primary
+// Names of the values in a load report.
+inline constexpr std::string_view kPositionField = "x0";  // seconds since extra.origin_time
+inline constexpr std::string_view kPrimaryField = "x1";   // above 0.5: the store is the primary
 
 }  // namespace reedchute::simulator
