--- a/bench/doors.cpp
+++ b/bench/doors.cpp
@@ -195,7 +195,7 @@
   runtime::Scheduler s;
   toy::Toy toy(s);
   for (std::uint16_t k = 0; k < kStores; ++k)
-    toy.speakCql(toy.addStore(k == 0, 1, static_cast<std::uint16_t>(kStore + k)),
+    toy.enableCql(toy.addStore(k == 0, 1, static_cast<std::uint16_t>(kStore + k)),
                  static_cast<std::uint16_t>(kCqlStore + k));
   toy.serveList(kList);
   s.run([] {});
--- a/example/main.cpp
+++ b/example/main.cpp
@@ -18,10 +18,10 @@
   runtime::Scheduler s;
   toy::Toy toy(s);
   for (std::uint16_t k = 0; k < 3; ++k)
-    toy.speakCql(toy.addStore(k == 0, 1, static_cast<std::uint16_t>(kFirstStorePort + k)),
-                 static_cast<std::uint16_t>(kFirstCqlPort + k));
+    toy.enableCql(toy.addStore(k == 0, 1, static_cast<std::uint16_t>(kFirstStorePort + k)),
+                  static_cast<std::uint16_t>(kFirstCqlPort + k));
   toy.serveList(kListPort);
-  toy.seen = [](int store, const std::string& text) {
+  toy.onStatement = [](int store, const std::string& text) {
     std::printf("%s sees: %s\n",
                 store == 0   ? "primary  "
                 : store == 1 ? "replica 1"
--- a/example/toy.h
+++ b/example/toy.h
@@ -1,7 +1,7 @@
-// A toy to try the front with, and what its tests talk to: stores and the list of stores on
-// loopback, written from the public protocol pages, spoken to in PostgreSQL's protocol and, at a
-// port of its own, in Cassandra's. It holds no data; what it does with a statement stands in the
-// statement, in the same words for both.
+// Simulated stores and their endpoint list service on loopback, for trying out the proxy and for
+// its tests. The stores implement PostgreSQL's protocol and, on a separate port, Cassandra's, both
+// from the public specifications. They hold no data: the key of a statement says how the store
+// handles it, with the same words in both protocols.
 #pragma once
 
 #include <cstdint>
@@ -18,142 +18,157 @@
 
 class Toy {
  public:
-  // `host`: where its stores listen; all of this machine's addresses where they have aliases.
+  // The stores listen on `host`, which must be the wildcard address if they have aliases.
   explicit Toy(runtime::Scheduler& s, const char* host = "127.0.0.1")
       : scheduler_(s), host_(host) {}
   ~Toy();
 
-  // A store at an address of the system's choice on 127.0.0.1, or at the given port; its number.
+  // Adds a store that listens on `port`, or on a port chosen by the system if `port` is 0. Returns
+  // the number of the store.
   int addStore(bool primary, int group, std::uint16_t port = 0);
-  // Another entry of the list, with a long id, that is this very store at another address of this
-  // machine.
-  int addAlias(int of);
-  // Opens its port for Cassandra's protocol; the list names it from now on.
-  void speakCql(int store, std::uint16_t port = 0);
+  // Adds another entry to the endpoint list, with a long id, for `store` at another address of this
+  // machine. Returns the number of the entry.
+  int addAlias(int store);
+  // Listens for Cassandra's protocol on `port` (0: chosen by the system) and adds the address to
+  // the store's entry in the endpoint list.
+  void enableCql(int store, std::uint16_t port = 0);
   std::uint16_t port(int store) const { return stores_[static_cast<std::size_t>(store)]->port; }
   std::uint16_t cqlPort(int store) const {
     return stores_[static_cast<std::size_t>(store)]->cqlPort;
   }
-  // It knows none of the texts any more that were prepared there.
+  // Discards all statements prepared on the store.
   void forgetPrepared(int store) { stores_[static_cast<std::size_t>(store)]->prepared.clear(); }
-  int preparedTimes(int store) const {
-    return stores_[static_cast<std::size_t>(store)]->preparedTimes;
+  // The number of PREPARE requests the store has handled.
+  int prepareCount(int store) const {
+    return stores_[static_cast<std::size_t>(store)]->prepareCount;
   }
-  // How many effects there were of a write, by its mark or, without one, its id.
-  int effects(const std::string& of) const { return effects_.contains(of) ? effects_.at(of) : 0; }
-  // The list of stores; returns its port.
+  // How often a write took effect, by its idempotency key or, if it has none, its id.
+  int effects(const std::string& keyOrId) const {
+    return effects_.contains(keyOrId) ? effects_.at(keyOrId) : 0;
+  }
+  // Starts the endpoint list service on `port` (0: chosen by the system) and returns the port.
   std::uint16_t serveList(std::uint16_t port = 0);
 
-  // Changes a store's state in the list ("up", "draining" or "removed") and tells the watchers.
+  // Changes a store's state in the endpoint list ("up", "draining" or "removed") and notifies the
+  // watchers.
   void setState(int store, const std::string& state);
-  // The process dies: connections break, new ones are refused. revive() brings it back, lately
-  // started.
+  // Simulates a process failure: closes all connections and refuses new ones.
   void kill(int store);
-  void revive(int store);
-  // Closes idle connections to a store, with some last bytes.
+  // Restarts a killed store, with the present time as its start time.
+  void restart(int store);
+  // Closes the idle connections to a store, after sending `last` on them.
   void closeIdle(int store, std::string_view last = {});
-  // Closes the connections on which a statement is out at a store.
+  // Closes the connections to a store that have a statement in flight.
   void closeBusy(int store);
-  // While held, a store accepts connections but does not greet them.
+  // While held, a store accepts connections but doesn't answer their startup messages.
   void hold(int store, bool held);
-  bool holdsBack(int store) const {
-    return stores_[static_cast<std::size_t>(store)]->holdsBack;
-  }  // a greeting
-  // What every answer of the list service becomes, once; empty: a proper one.
-  void spoilList(std::string raw) { spoiled_ = std::move(raw); }
+  // Whether a held store has received a startup message.
+  bool holdsGreeting(int store) const {
+    return stores_[static_cast<std::size_t>(store)]->holdsGreeting;
+  }
+  // Replaces the next HTTP response of the list service by `raw`, once. No effect if `raw` is
+  // empty.
+  void overrideListResponse(std::string raw) { nextListResponse_ = std::move(raw); }
 
-  // The list's service is gone: connections to it are reset, new ones refused until serveList()
+  // Stops the list service: resets its connections and refuses new ones until serveList() is called
   // with its port.
   void closeList();
-  // Its connections are reset; new ones are taken.
+  // Resets the connections of the list service; it continues to accept new ones.
   void resetList();
-  bool watched() const { return !watchers_.empty(); }  // does a call wait for a change?
-  // Calls of the list that are open, and those that come while it is so, get no answer ever.
-  void silenceList(bool silent) { listSilent_ = silent; }
-  // So long a call of the list waits for its answer, where that has one at once.
+  // Whether a request of the list is waiting for a change.
+  bool hasWatchers() const { return !watchers_.empty(); }
+  // While unresponsive, requests of the list that are pending or arrive are never answered.
+  void setListUnresponsive(bool isUnresponsive) { isListUnresponsive_ = isUnresponsive; }
+  // Delays each response of the list service by `by`.
   void delayList(Duration by) { listDelay_ = by; }
-  // Lists are written over many lines, with blanks between all parts.
-  void indentList(bool so) { indented_ = so; }
+  // Sends lists with line breaks and whitespace around all JSON delimiters.
+  void indentList(bool isIndented) { isListIndented_ = isIndented; }
 
-  std::string roster() const;  // the whole list
+  // The complete endpoint list, as the list service sends it.
+  std::string endpointListJson() const;
   std::string idOf(int store) const {
     const std::string& id = stores_[static_cast<std::size_t>(store)]->id;
     return id.empty() ? "toy-" + std::to_string(store) : id;
   }
+  // The number of statements the store has received.
   int executions(int store) const;
   std::size_t connections(int store) const {
     return stores_[static_cast<std::size_t>(store)]->connections.size();
   }
 
-  // How far a replica's data is behind, in its reports and answers.
-  void lag(int store, Duration by) { stores_[static_cast<std::size_t>(store)]->lag = by; }
-  // Names another member primary, at once.
+  // Sets the lag of a replica's data, as shown in its reports and answers.
+  void setLag(int store, Duration by) { stores_[static_cast<std::size_t>(store)]->lag = by; }
+  // Makes `store` the only primary, with immediate effect.
   void promote(int store);
 
-  // Called for each statement that has arrived whole, before anything is done with it.
-  std::function<void(int store, const std::string& text)> seen = [](int, const std::string&) {};
+  // Called for each complete statement, before it is executed.
+  std::function<void(int store, const std::string& text)> onStatement = [](int,
+                                                                           const std::string&) {};
 
  private:
   struct Store {
     std::uint16_t port = 0, cqlPort = 0;
     std::string host = "127.0.0.1", id;
     int group = 0;
-    bool primary = false, held = false, holdsBack = false;
+    bool primary = false, held = false, holdsGreeting = false;
     std::string state = "up";
     std::int64_t startedMs = 0;
-    int executions = 0, preparedTimes = 0;
+    int executions = 0, prepareCount = 0;
     Duration lag;
-    std::map<std::string, std::string> prepared;  // texts, by their ids here
+    std::map<std::string, std::string> prepared;  // texts, by the ids of this store
     std::unique_ptr<runtime::Descriptor> cqlListener;
     std::unique_ptr<runtime::Descriptor> listener;
-    std::unique_ptr<runtime::Descriptor> kept, cqlKept;  // its ports, while it is dead
+    std::unique_ptr<runtime::Descriptor> reservedPort, reservedCqlPort;  // while the store is down
     std::vector<runtime::Socket*> connections;
     std::vector<runtime::Socket*> idle;
   };
 
-  std::string member(int store) const;
-  std::string listing(bool full, const std::string& entries) const;
-  void changed(int store);
+  std::string entryJson(int store) const;
+  std::string listResponse(bool full, const std::string& entries) const;
+  void notifyChange(int store);
   using Server = std::function<runtime::Task<>(std::unique_ptr<runtime::Socket>)>;
   runtime::Task<> accept(runtime::Descriptor& listener, Server server);
-  void acceptStore(int store);
+  void startAccepting(int store);
   runtime::Task<> serveStore(int store, std::unique_ptr<runtime::Socket> s);
-  runtime::Task<bool> doStatement(int store, runtime::Socket& s, std::string text);
-  // What becomes of one execution, told by the words of its key.
-  struct Deed {
-    std::string word, key;
-    std::int64_t number = 0;                // behind the word
-    bool write = false, misplaced = false;  // `misplaced`: a write, and this is no primary
+  runtime::Task<bool> executeStatement(int store, runtime::Socket& s, std::string text);
+  // How to handle one execution of a statement, according to the words of its key.
+  struct Execution {
+    std::string behavior, key;
+    std::int64_t argument = 0;                       // number after the word
+    bool write = false, isMisdirectedWrite = false;  // a write at a store that is not a primary
   };
-  Deed begin(int store, const std::string& id, std::string_view key, bool write,
-             const std::string& mark, const std::string& text);
+  // Counts an execution and, for a write, its effect.
+  Execution beginExecution(int store, const std::string& id, std::string_view key, bool write,
+                           const std::string& idempotencyKey, const std::string& text);
   WallTime wallNow() const { return scheduler_.wallClock().toWall(scheduler_.now()); }
   WallTime positionOf(const Store& s) const { return wallNow() - s.lag; }
 
-  struct CqlLink;
-  struct CqlAsked;
-  void acceptCql(int store);
+  struct CqlConnection;
+  struct CqlRequest;
+  void startAcceptingCql(int store);
   runtime::Task<> serveCql(int store, std::unique_ptr<runtime::Socket> s);
-  runtime::Task<> answerCql(int store, std::shared_ptr<CqlLink> link, CqlAsked asked);
-  runtime::Task<> writeCql(std::shared_ptr<CqlLink> link);
-  bool takeCql(int store, const std::shared_ptr<CqlLink>& link, std::size_t& used);
+  runtime::Task<> respondCql(int store, std::shared_ptr<CqlConnection> connection,
+                             CqlRequest request);
+  runtime::Task<> writeCql(std::shared_ptr<CqlConnection> connection);
+  bool handleCqlFrame(int store, const std::shared_ptr<CqlConnection>& connection,
+                      std::size_t& used);
 
-  runtime::Task<> serveListCall(std::unique_ptr<runtime::Socket> s);
-  runtime::Task<> answerListCalls(runtime::Socket& s);
+  runtime::Task<> serveListConnection(std::unique_ptr<runtime::Socket> s);
+  runtime::Task<> answerListRequests(runtime::Socket& s);
 
   runtime::Scheduler& scheduler_;
   const char* host_;
   std::vector<std::unique_ptr<Store>> stores_;
-  std::unique_ptr<runtime::Descriptor> list_;
-  std::vector<std::pair<std::int64_t, int>> changes_;  // version and store
+  std::unique_ptr<runtime::Descriptor> listListener_;
+  std::vector<std::pair<std::int64_t, int>> changes_;  // version and store of each change
   std::int64_t version_ = 1;
   std::vector<runtime::Event*> watchers_;
-  std::vector<runtime::Socket*> callers_;
-  std::map<std::string, int> tries_;  // executions of a statement, by its id
-  std::map<std::string, int> effects_;
-  std::map<std::string, TimePoint> marks_;  // when a mark's write took effect
-  std::string spoiled_;
-  bool listSilent_ = false, indented_ = false;
+  std::vector<runtime::Socket*> listConnections_;
+  std::map<std::string, int> executionCounts_;    // by the id of the statement
+  std::map<std::string, int> effects_;            // by idempotency key or id of the write
+  std::map<std::string, TimePoint> effectTimes_;  // time of the last effect, by idempotency key
+  std::string nextListResponse_;
+  bool isListUnresponsive_ = false, isListIndented_ = false;
   Duration listDelay_;
 };
 
--- a/example/toy_cql.cpp
+++ b/example/toy_cql.cpp
@@ -1,4 +1,4 @@
-// The toy's stores in Cassandra's protocol, from its public specifications. See toy.h.
+// Cassandra's protocol for the simulated stores, from its public specifications. See toy.h.
 #include <algorithm>
 
 #include "codec/cql/framing.h"
@@ -13,27 +13,29 @@
 
 namespace {
 
-constexpr std::size_t kMost = 4 << 20;
+constexpr std::size_t kMaxBufferBytes = 4 << 20;
 
-// A row's worth: one column of text, with the state of the next page where there is one.
+// The body of a result with one row of one text column. `nextPage` is its paging state, or empty if
+// there is no further page.
 std::string rowBody(const std::string& value, const std::string& nextPage) {
   std::string body = cql::rowsBody("weather", "entries", {{"payload"}}, {{value}});
   if (nextPage.empty()) return body;
-  // flags at byte 4, the paging state behind the column count
+  // The flags are at byte 4, the paging state follows the column count.
   body[7] = static_cast<char>(body[7] | 2);
   std::string state;
   cql::addBytes(state, nextPage);
   return body.insert(12, state);
 }
 
-std::string markOf(const cql::BytesMap& payload) {
+std::string idempotencyKeyOf(const cql::BytesMap& payload) {
   return std::string(cql::valueOf(payload, "k"));
 }
 
 }  // namespace
 
-struct Toy::CqlLink {
-  CqlLink(std::unique_ptr<runtime::Socket> s) : socket(std::move(s)), framing(kMost) {}
+struct Toy::CqlConnection {
+  CqlConnection(std::unique_ptr<runtime::Socket> s)
+      : socket(std::move(s)), framing(kMaxBufferBytes) {}
   std::unique_ptr<runtime::Socket> socket;
   cql::Framing framing;
   std::string in, out;
@@ -41,128 +43,135 @@
   bool writing = false, started = false;
 };
 
-struct Toy::CqlAsked {
+struct Toy::CqlRequest {
   std::int16_t stream = 0;
   cql::Opcode opcode = cql::Opcode::query;
-  std::string id, key, mark, text;
-  std::string page;  // the state that came
+  std::string id, key, idempotencyKey, text;
+  std::string page;  // paging state received from the client
   bool write = false, schema = false;
 };
 
-void Toy::speakCql(int number, std::uint16_t port) {
+void Toy::enableCql(int number, std::uint16_t port) {
   Store& s = *stores_[static_cast<std::size_t>(number)];
   sockaddr_in address = *runtime::parseAddress("127.0.0.1:" + std::to_string(port), true);
   s.cqlListener = std::make_unique<runtime::Descriptor>(scheduler_, runtime::openListener(address));
   s.cqlPort = static_cast<std::uint16_t>(runtime::localPort(s.cqlListener->fd()));
-  acceptCql(number);
+  startAcceptingCql(number);
 }
 
-void Toy::acceptCql(int number) {
+void Toy::startAcceptingCql(int number) {
   scheduler_.spawn(
       accept(*stores_[static_cast<std::size_t>(number)]->cqlListener,
              [this, number](auto socket) { return serveCql(number, std::move(socket)); }));
 }
 
-runtime::Task<> Toy::writeCql(std::shared_ptr<CqlLink> link) {
-  while (!link->out.empty()) {
-    std::string going = std::exchange(link->out, {});
-    bool sent = co_await runtime::writeAll(*link->socket, going, kForever);
+runtime::Task<> Toy::writeCql(std::shared_ptr<CqlConnection> connection) {
+  while (!connection->out.empty()) {
+    std::string output = std::exchange(connection->out, {});
+    bool sent = co_await runtime::writeAll(*connection->socket, output, kForever);
     if (!sent) break;
   }
-  link->writing = false;
+  connection->writing = false;
 }
 
-runtime::Task<> Toy::answerCql(int number, std::shared_ptr<CqlLink> link, CqlAsked asked) {
+// Handles the words of executeStatement() and, in Cassandra's protocol only: ran (a server error
+// after the write took effect), writetimeout, unasked (an answer on another stream) and pages<N>.
+runtime::Task<> Toy::respondCql(int number, std::shared_ptr<CqlConnection> connection,
+                                CqlRequest request) {
   Store& store = *stores_[static_cast<std::size_t>(number)];
-  auto put = [&](cql::Opcode o, const std::string& body, bool tells = true,
+  auto put = [&](cql::Opcode o, const std::string& body, bool hasReport = true,
                  std::int16_t onStream = -2) {
     std::string whole;
-    if (tells) {
+    if (hasReport) {
       std::string position = std::to_string(positionOf(store).us / 1000);
       cql::addBytesMap(whole, {{"server_role", store.primary ? "writer" : "reader"},
                                {"commit_clock", position}});
     }
     whole += body;
-    link->framing.put(link->out, true, link->version, tells ? cql::kPayload : 0,
-                      onStream == -2 ? asked.stream : onStream, o, whole);
-    if (!std::exchange(link->writing, true)) scheduler_.spawn(writeCql(link));
+    connection->framing.put(connection->out, true, connection->version,
+                            hasReport ? cql::kPayload : 0,
+                            onStream == -2 ? request.stream : onStream, o, whole);
+    if (!std::exchange(connection->writing, true)) scheduler_.spawn(writeCql(connection));
   };
-  auto turned = [&](const char* why) {
+  auto rejectStatement = [&](const char* why) {
     std::string body;
     cql::addBytesMap(body, {{"turned", why}, {"server_role", store.primary ? "writer" : "reader"}});
     body += cql::errorBody(cql::kUnavailable, "turned away");
     cql::addShort(body, 1), cql::addInt(body, 1), cql::addInt(body, 0);
-    link->framing.put(link->out, true, link->version, cql::kPayload, asked.stream,
-                      cql::Opcode::error, body);
-    if (!std::exchange(link->writing, true)) scheduler_.spawn(writeCql(link));
+    connection->framing.put(connection->out, true, connection->version, cql::kPayload,
+                            request.stream, cql::Opcode::error, body);
+    if (!std::exchange(connection->writing, true)) scheduler_.spawn(writeCql(connection));
   };
-  Deed deed = begin(number, asked.id, asked.key, asked.write, asked.mark, asked.text);
-  std::string word = deed.word;
-  if (word == "slow") {
-    co_await runtime::sleepUntil(scheduler_, scheduler_.now() + Duration{deed.number * 1000});
-    word = "ok";
+  Execution execution = beginExecution(number, request.id, request.key, request.write,
+                                       request.idempotencyKey, request.text);
+  std::string behavior = execution.behavior;
+  if (behavior == "slow") {
+    co_await runtime::sleepUntil(scheduler_,
+                                 scheduler_.now() + Duration{execution.argument * 1000});
+    behavior = "ok";
   }
-  if (word == "die") kill(number);
-  if (!link->socket->isOpen()) co_return;
-  std::string value = "value of " + deed.key;
-  if (deed.misplaced) {
-    turned("role");
-  } else if (word == "miss" || word == "stale") {
-    turned("behind");
-  } else if (word == "full") {
+  if (behavior == "die") kill(number);
+  if (!connection->socket->isOpen()) co_return;
+  std::string value = "value of " + execution.key;
+  if (execution.isMisdirectedWrite) {
+    rejectStatement("role");
+  } else if (behavior == "miss" || behavior == "stale") {
+    rejectStatement("behind");
+  } else if (behavior == "full") {
     put(cql::Opcode::error, cql::errorBody(cql::kOverloaded, "the queue is full"));
-  } else if (word == "away") {
+  } else if (behavior == "away") {
     put(cql::Opcode::error, cql::errorBody(cql::kBootstrapping, "not now"));
-  } else if (word == "error" || word == "ran") {
+  } else if (behavior == "error" || behavior == "ran") {
     put(cql::Opcode::error, cql::errorBody(cql::kServerError, "it went wrong"));
-  } else if (word == "writetimeout") {
+  } else if (behavior == "writetimeout") {
     std::string body = cql::errorBody(cql::kWriteTimeout, "no answer from a replica");
     cql::addShort(body, 1), cql::addInt(body, 0), cql::addInt(body, 1),
         cql::addString(body, "SIMPLE");
     put(cql::Opcode::error, body);
-  } else if (word == "wrong") {
+  } else if (behavior == "wrong") {
     put(cql::Opcode::error, cql::errorBody(cql::kSyntaxError, "no such words"));
-  } else if (word == "break" || word == "die") {
-    link->socket->close();
-  } else if (word == "silent") {
-  } else if (word == "half") {
+  } else if (behavior == "break" || behavior == "die") {
+    connection->socket->close();
+  } else if (behavior == "silent") {
+  } else if (behavior == "half") {
     std::string whole;
-    link->framing.put(whole, true, link->version, 0, asked.stream, cql::Opcode::result,
-                      rowBody(std::string(1000, 'x'), ""));
-    link->out += whole.substr(0, 300);
-    link->writing = true;
-    co_await writeCql(link);
-    link->socket->close();
-  } else if (word == "garbage") {
-    link->out += "\x01\xff\xff\xff\xff garbage";
-    if (!std::exchange(link->writing, true)) scheduler_.spawn(writeCql(link));
-  } else if (word == "long") {
-    cql::addHeader(link->out, true, link->version, 0, asked.stream, cql::Opcode::result,
-                   0x7f000000);
-    if (!std::exchange(link->writing, true)) scheduler_.spawn(writeCql(link));
-  } else if (word == "twice") {
+    connection->framing.put(whole, true, connection->version, 0, request.stream,
+                            cql::Opcode::result, rowBody(std::string(1000, 'x'), ""));
+    connection->out += whole.substr(0, 300);
+    connection->writing = true;
+    co_await writeCql(connection);
+    connection->socket->close();
+  } else if (behavior == "garbage") {
+    connection->out += "\x01\xff\xff\xff\xff garbage";
+    if (!std::exchange(connection->writing, true)) scheduler_.spawn(writeCql(connection));
+  } else if (behavior == "long") {
+    cql::addHeader(connection->out, true, connection->version, 0, request.stream,
+                   cql::Opcode::result, 0x7f000000);
+    if (!std::exchange(connection->writing, true)) scheduler_.spawn(writeCql(connection));
+  } else if (behavior == "twice") {
     put(cql::Opcode::result, rowBody(value, ""));
     put(cql::Opcode::result, rowBody(value, ""));
-  } else if (word == "unasked") {
+  } else if (behavior == "unasked") {
     put(cql::Opcode::result, rowBody(value, ""), true, 77);
-  } else if (word == "longer") {
+  } else if (behavior == "longer") {
     std::string body = rowBody(value, "");
     body.resize(body.size() - 3);
     put(cql::Opcode::result, body);
-  } else if (word == "big") {
-    put(cql::Opcode::result, rowBody(std::string(static_cast<std::size_t>(deed.number), 'b'), ""));
-  } else if (word.starts_with("pages")) {
-    // pages<N>: so many pages; the state is the number of the next.
-    int pages = std::atoi(word.c_str() + 5),
-        page = asked.page.empty() ? 1 : std::atoi(asked.page.c_str());
+  } else if (behavior == "big") {
+    put(cql::Opcode::result,
+        rowBody(std::string(static_cast<std::size_t>(execution.argument), 'b'), ""));
+  } else if (behavior.starts_with("pages")) {
+    // pages<N>: a result of N pages; the paging state is the number of the next page.
+    int pages = std::atoi(behavior.c_str() + 5),
+        page = request.page.empty() ? 1 : std::atoi(request.page.c_str());
     put(cql::Opcode::result, rowBody("page " + std::to_string(page),
                                      page < pages ? std::to_string(page + 1) : std::string()));
-  } else if (asked.schema) {
+  } else if (request.schema) {
     std::string body;
     cql::addInt(body, 5);
     for (const char* part : {"CREATED", "TABLE", "weather", "entries"}) cql::addString(body, part);
     put(cql::Opcode::result, body);
-  } else if (asked.write) {
+  } else if (request.write) {
     std::string body;
     cql::addInt(body, 1);
     put(cql::Opcode::result, body);
@@ -171,24 +180,25 @@
   }
 }
 
-// Takes one frame, if a whole one is there; false where there is none or the connection is to end.
-bool Toy::takeCql(int number, const std::shared_ptr<CqlLink>& link, std::size_t& used) {
+// Handles one frame. Returns false if no complete frame is available or the connection was closed.
+bool Toy::handleCqlFrame(int number, const std::shared_ptr<CqlConnection>& connection,
+                         std::size_t& used) {
   Store& store = *stores_[static_cast<std::size_t>(number)];
   cql::Frame f;
-  cql::Framed got = link->framing.next(link->in, used, f);
-  if (got == cql::Framed::bad) link->socket->close();
+  cql::Framed got = connection->framing.next(connection->in, used, f);
+  if (got == cql::Framed::bad) connection->socket->close();
   if (got != cql::Framed::whole) return false;
   auto put = [&](cql::Opcode o, const std::string& body) {
-    link->framing.put(link->out, true, f.version, 0, f.stream, o, body);
-    if (!std::exchange(link->writing, true)) scheduler_.spawn(writeCql(link));
+    connection->framing.put(connection->out, true, f.version, 0, f.stream, o, body);
+    if (!std::exchange(connection->writing, true)) scheduler_.spawn(writeCql(connection));
   };
   if (f.opcode == cql::Opcode::startup) {
     cql::Start start;
-    if (!cql::readStart(f.body, start)) return link->socket->close(), false;
-    link->version = f.version;
+    if (!cql::readStart(f.body, start)) return connection->socket->close(), false;
+    connection->version = f.version;
     put(cql::Opcode::ready, {});
-    if (start.compression == "lz4") link->framing.compress();
-    if (f.version >= 5) link->framing.segments();
+    if (start.compression == "lz4") connection->framing.compress();
+    if (f.version >= 5) connection->framing.segments();
     return true;
   }
   if (f.opcode == cql::Opcode::options) {
@@ -207,11 +217,11 @@
   }
   cql::TextRead read;
   if (f.opcode == cql::Opcode::prepare) {
-    // Each store has its own id for a text.
+    // Each store assigns its own ids to prepared texts.
     std::string text(asked.text),
         id = "p" + std::to_string(number) + "-" + std::to_string(std::hash<std::string>{}(text));
     store.prepared[id] = text;
-    ++store.preparedTimes;
+    ++store.prepareCount;
     cql::readText(text, read);
     std::string body;
     cql::addInt(body, 4), cql::addShortBytes(body, id);
@@ -228,9 +238,9 @@
     put(cql::Opcode::result, body);
     return true;
   }
-  CqlAsked one;
-  one.stream = f.stream;
-  one.opcode = f.opcode;
+  CqlRequest request;
+  request.stream = f.stream;
+  request.opcode = f.opcode;
   auto unknown = [&](std::string_view id) {
     std::string body = cql::errorBody(cql::kUnprepared, "not prepared here");
     cql::addShortBytes(body, id);
@@ -253,11 +263,11 @@
     first = part.prepared ? std::string_view(store.prepared.find(std::string(part.text))->second)
                           : part.text;
   }
-  one.text = first;
-  cql::readText(one.text, read);
-  one.key = read.firstLiteral;
-  if (one.key.empty()) {
-    // The first bound value, behind id (or text), consistency, flags and count.
+  request.text = first;
+  cql::readText(request.text, read);
+  request.key = read.firstLiteral;
+  if (request.key.empty()) {
+    // The key is the first bound value, which follows id (or text), consistency, flags and count.
     std::size_t at = f.opcode == cql::Opcode::execute ? asked.idAt + 2 + asked.id.size() : 0;
     if (f.opcode == cql::Opcode::execute && f.version >= 5) at += 2 + asked.resultId.size();
     at += 2 + (f.version >= 5 ? 4 : 1) + 2;
@@ -265,31 +275,31 @@
       at = asked.parts.front().at + 2 + asked.parts.front().text.size() + 2;
     if (at < f.body.size()) {
       cql::Cursor c(f.body.substr(at));
-      one.key = c.bytes().value_or(std::string_view{});
+      request.key = c.bytes().value_or(std::string_view{});
     }
   }
-  one.write = read.kind != cql::Kind::read;
-  one.schema = read.kind == cql::Kind::schema;
-  one.id = cql::valueOf(asked.payload, "id");
-  one.mark = markOf(asked.payload);
-  one.page = asked.parameters.pageState.value_or(std::string_view{});
-  scheduler_.spawn(answerCql(number, link, std::move(one)));
+  request.write = read.kind != cql::Kind::read;
+  request.schema = read.kind == cql::Kind::schema;
+  request.id = cql::valueOf(asked.payload, "id");
+  request.idempotencyKey = idempotencyKeyOf(asked.payload);
+  request.page = asked.parameters.pageState.value_or(std::string_view{});
+  scheduler_.spawn(respondCql(number, connection, std::move(request)));
   return true;
 }
 
 runtime::Task<> Toy::serveCql(int number, std::unique_ptr<runtime::Socket> owned) {
   Store& store = *stores_[static_cast<std::size_t>(number)];
-  auto link = std::make_shared<CqlLink>(std::move(owned));
-  runtime::Socket& s = *link->socket;
+  auto connection = std::make_shared<CqlConnection>(std::move(owned));
+  runtime::Socket& s = *connection->socket;
   store.connections.push_back(&s);
   while (s.isOpen()) {
     std::size_t used = 0;
-    if (!store.held && takeCql(number, link, used)) {
-      link->in.erase(0, used);
+    if (!store.held && handleCqlFrame(number, connection, used)) {
+      connection->in.erase(0, used);
       continue;
     }
-    link->in.erase(0, used);
-    runtime::Socket::ReadStatus got = s.read(link->in, kMost);
+    connection->in.erase(0, used);
+    runtime::Socket::ReadStatus got = s.read(connection->in, kMaxBufferBytes);
     if (got == runtime::Socket::ReadStatus::closed) break;
     if (got == runtime::Socket::ReadStatus::noData) co_await s.readable.wait();
   }
--- a/src/simulator/wire_words.h
+++ b/src/simulator/wire_words.h
@@ -1,5 +1,5 @@
 // Translates the words and codes of the simulator's protocol into types of the decision engine.
-// They are used nowhere else.
+// Only this module knows these values.
 #pragma once
 
 #include <cstdint>
--- a/tests/pipeline/pipeline_test.cpp
+++ b/tests/pipeline/pipeline_test.cpp
@@ -185,11 +185,11 @@
   c.ask(Client::read("a"));
   d.holdBack(0);
   long announcedMs = -1;
-  d.toy.seen = [&](int, const std::string& text) {
+  d.toy.onStatement = [&](int, const std::string& text) {
     announcedMs = std::atol(text.c_str() + text.find(",d=") + 3);
   };
   c.send(pg::query(Client::write("b", 3000)));
-  d.until("the connection is dialled", [&] { return d.toy.holdsBack(0); });
+  d.until("the connection is dialled", [&] { return d.toy.holdsGreeting(0); });
   d.pass(600);
   d.toy.hold(0, false);
   std::string responses = c.get();
--- a/tests/protocols/cassandra_proxy_test.cpp
+++ b/tests/protocols/cassandra_proxy_test.cpp
@@ -145,10 +145,10 @@
   std::string id = c.prepare("SELECT payload FROM weather.entries WHERE ref = ?");
   auto run = [&](const char* what, int times) {
     int right = 0,
-        before = d.toy.preparedTimes(0) + d.toy.preparedTimes(1) + d.toy.preparedTimes(2);
+        before = d.toy.prepareCount(0) + d.toy.prepareCount(1) + d.toy.prepareCount(2);
     for (int k = 0; k < times; ++k)
       right += c.answer(c.execute(id, {"v"}, {})) == "row 'value of v'";
-    int prepared = d.toy.preparedTimes(0) + d.toy.preparedTimes(1) + d.toy.preparedTimes(2) -
+    int prepared = d.toy.prepareCount(0) + d.toy.prepareCount(1) + d.toy.prepareCount(2) -
                    before;
     std::printf("%s: %d of %d; prepared anew: %s\n", what, right, times,
                 prepared <= 3 ? "at most once a store" : "too often");
@@ -158,7 +158,7 @@
   run("forgotten by all", 60);
   d.toy.kill(1);
   d.pass(50);
-  d.toy.revive(1);
+  d.toy.restart(1);
   run("one was started again", 20);
   CqlClient other(d, 5);
   std::string same = other.prepare("SELECT payload FROM weather.entries WHERE ref = ?");
--- a/tests/protocols/protocol_parity_test.cpp
+++ b/tests/protocols/protocol_parity_test.cpp
@@ -166,7 +166,7 @@
   s.ask(*c, "before", kWrite);
   int deaths = 0;
   TimePoint diedAt = kForever;
-  s.d.toy.seen = [&, was = s.d.toy.seen](int store, const std::string& text) {
+  s.d.toy.onStatement = [&, was = s.d.toy.onStatement](int store, const std::string& text) {
     was(store, text);
     if (store == 0 && diedAt == kForever && deaths++ == 0) diedAt = s.d.s.now();
   };
@@ -292,7 +292,7 @@
   s.d.toy.kill(2);
   s.d.pass(100);
   s.say("without it: " + std::to_string(burst(20)) + " of 160");
-  s.d.toy.revive(2);
+  s.d.toy.restart(2);
   s.d.until("told", [&] { return s.d.logged("id=toy-2 group=7 state=up primary=0 started_ms=1"); });
   int before = s.d.toy.executions(2);
   s.say("with it, cold: " + std::to_string(burst(40)) + " of 320");
--- a/tests/proxy/clock_steps_test.cpp
+++ b/tests/proxy/clock_steps_test.cpp
@@ -80,7 +80,7 @@
 void clockBack() {
   edits = {{"\"ramp_time\":16000000", "\"ramp_time\":1000000"}};
   Stage s(kMinute);
-  s.d.toy.kill(0), s.d.toy.revive(0);
+  s.d.toy.kill(0), s.d.toy.restart(0);
   s.d.until("its start is told", [&] { return s.d.logged(" started_ms=1"); });
   s.d.pass(1'100);  // it is warm
   int before = s.d.sent;
@@ -118,7 +118,7 @@
   waits.d.until("none is open", [&] { return waits.d.toy.connections(1) == 0; });
   waits.told("one whose connection comes up as the clock is set ahead", [&] {
     waits.c.send(pg::query(near()));
-    waits.d.until("the connection is dialled", [&] { return waits.d.toy.holdsBack(1); });
+    waits.d.until("the connection is dialled", [&] { return waits.d.toy.holdsGreeting(1); });
     waits.clock.set(waits.d, kMinute, [&] { waits.d.toy.hold(1, false); });
     return waits.c.get();
   });
@@ -134,7 +134,7 @@
   s.asks("a bounded read", Client::read("b", 3000, "near"));
   s.clock.set(s.d, kMinute);
   s.asks("a write of the session", Client::write("a"));
-  s.d.toy.lag(1, Duration{5'000'000});
+  s.d.toy.setLag(1, Duration{5'000'000});
   s.clock.set(s.d, Duration{});
   int had = s.d.toy.executions(1);
   s.d.until("the replica is found fresh", [&] {
@@ -150,7 +150,7 @@
 void clockSameStart() {
   edits = {{"\"ramp_time\":16000000", "\"ramp_time\":1000000"}};
   Stage s;
-  s.d.toy.kill(1), s.d.toy.revive(1);
+  s.d.toy.kill(1), s.d.toy.restart(1);
   s.d.until("its start is told", [&] { return s.d.logged(" primary=0 started_ms=1"); });
   s.d.pass(1'100);  // it is warm
   int had = s.d.toy.executions(1);
@@ -201,7 +201,7 @@
   s.sharedOf(20);
   s.d.toy.kill(2), s.d.pass(100);
   s.sharedOf(10);
-  s.d.toy.revive(2);
+  s.d.toy.restart(2);
   s.d.until("its start is told",
             [&] { return s.d.logged("id=toy-2 group=7 state=up primary=0 started_ms=1"); });
   std::printf("of 320 reads it gets its cold share at most: %s\n",
--- a/tests/proxy/crossing_events_test.cpp
+++ b/tests/proxy/crossing_events_test.cpp
@@ -97,7 +97,7 @@
   d.holdBack(0);
   Seen its(d, "b");
   leaves.send(pg::query(Client::read("b")));
-  d.until("the connection is dialled", [&] { return d.toy.holdsBack(0); });
+  d.until("the connection is dialled", [&] { return d.toy.holdsGreeting(0); });
   d.stop();
   d.toy.hold(0, false);
   comes(d, [&] { return d.faced(d.toy.port(0)).unread > 0; });
@@ -112,14 +112,14 @@
 // Sends a statement of which the first execution gets no answer; the store that has it.
 int sendSilent(Drive& d, Client& by) {
   int at = -1;
-  auto before = d.toy.seen;
-  d.toy.seen = [&](int store, const std::string& text) {
+  auto before = d.toy.onStatement;
+  d.toy.onStatement = [&](int store, const std::string& text) {
     before(store, text);
     if (text.find("'silent-ok'") != std::string::npos) at = store;
   };
   by.send(pg::query(Client::read("silent-ok")));
   d.until("it is out", [&] { return at >= 0; });
-  d.toy.seen = before;
+  d.toy.onStatement = before;
   return at;
 }
 
--- a/tests/proxy/proxy_test.cpp
+++ b/tests/proxy/proxy_test.cpp
@@ -93,7 +93,7 @@
   d.pass(50);
   c.asks("the replica has died", Client::read("c"));
   c.asks("a write meanwhile", Client::write("d"));
-  d.toy.revive(1);
+  d.toy.restart(1);
   d.until("the list's change is read", [&] { return d.logged("version=2"); });
   c.asks("it is back", Client::read("e"));
   Client other(d);
@@ -141,7 +141,7 @@
                           "HTTP/1.1 200 OK\r\nContent-Length: "
                           "47\r\n\r\n{\"version\":9,\"full\":true,\"servers\":[{\"id\":\"x\"}]}"}) {
     d.log.clear();
-    d.toy.spoilList(raw);
+    d.toy.overrideListResponse(raw);
     d.toy.setState(1, "up");
     std::printf(
         "a broken list is %s\n",
@@ -157,7 +157,7 @@
   d.toy.setState(1, "draining");
   d.until("told", [&] { return d.logged("version=2"); });
   d.log.clear();
-  d.toy.spoilList("nonsense\r\n\r\n");
+  d.toy.overrideListResponse("nonsense\r\n\r\n");
   d.toy.setState(1, "up");
   d.until("the watch breaks", [&] { return d.logged("discovery_invalid_response"); });
   bool told = d.until("told", [&] { return d.logged("version=3"); });
@@ -175,11 +175,11 @@
   d.toy.indentList(false);
   auto silenced = [&](const char* state, const char* line) {
     d.pass(50);
-    d.toy.silenceList(true);
+    d.toy.setListUnresponsive(true);
     d.toy.setState(1, state);
     TimePoint since = d.s.now();
     d.pass(200);
-    d.toy.silenceList(false);
+    d.toy.setListUnresponsive(false);
     d.until("told", [&] { return d.logged(line); });
     return d.s.now() - since < ms(6000) ? "told before that counts" : "told too late";
   };
@@ -187,7 +187,7 @@
   std::printf("and the one after it: %s\n", silenced("draining", "version=4"));
   d.toy.setState(1, "up");
   d.until("told", [&] { return d.logged("version=5"); });
-  d.known = d.toy.roster(), d.awaitsList = false;
+  d.known = d.toy.endpointListJson(), d.awaitsList = false;
   d.toy.setState(1, "draining");
   d.toy.delayList(ms(150));
   d.killAndStart();
--- a/tests/proxy/races_test.cpp
+++ b/tests/proxy/races_test.cpp
@@ -32,7 +32,7 @@
 // The front stands still, with the list's word unread that a store drains.
 void drainUnread(
     Drive& d, int store, const std::function<void()>& before = [] {}) {
-  d.until("watched", [&] { return d.toy.watched(); });
+  d.until("watched", [&] { return d.toy.hasWatchers(); });
   d.stop();
   before();
   d.toy.setState(store, "draining");
@@ -82,7 +82,7 @@
     d.holdBack(0);
     Seen its(d, "b");
     leaves.send(pg::query(Client::read("b")));
-    d.until("the connection is dialled", [&] { return d.toy.holdsBack(0); });
+    d.until("the connection is dialled", [&] { return d.toy.holdsGreeting(0); });
     leaves.socket->close();
     d.c.ask("");
     d.toy.hold(0, false);
@@ -97,7 +97,7 @@
   seen(d, before);
   d.stop();
   d.toy.kill(0);
-  d.toy.revive(0);
+  d.toy.restart(0);
   leaves.socket->close();
   comes(d, [&] { return d.faced(d.toy.port(0)).ended > 0 && d.faced(d.port, true).ended > 0; });
   d.goOn();
@@ -118,7 +118,7 @@
   d.c.send(pg::query(Client::write("break-ok", 6000)));
   d.until("it was taken",
           [&] { return its.times > 0; });  // and its connection ended in the same step
-  d.until("the repeat's connection is dialled", [&] { return d.toy.holdsBack(0); });
+  d.until("the repeat's connection is dialled", [&] { return d.toy.holdsGreeting(0); });
   d.pass(600);
   d.toy.hold(0, false);
   std::string got = d.c.get();
@@ -135,7 +135,7 @@
             "\"near\",\"repeat\":\"repeatable\",\"slo\":5000000"},
            {"\"connect_timeout\":250000", "\"connect_timeout\":2000000"}};
   Drive d(2);
-  d.toy.lag(1, ms(60'000));
+  d.toy.setLag(1, ms(60'000));
   Client c(d), other(d);
   c.ask(Client::write("a"));
   d.until("bounded reads go to the primary", [&] {
@@ -143,17 +143,17 @@
     c.ask(Client::read("b", 3000, "near"));
     return d.toy.executions(0) > had;
   });
-  d.toy.promote(1), d.toy.lag(0, ms(60'000)), d.toy.lag(1, ms(0));
+  d.toy.promote(1), d.toy.setLag(0, ms(60'000)), d.toy.setLag(1, ms(0));
   Seen its(d, "slow300");
   c.send(pg::query(Client::read("slow300", 3000, "near")));
   d.until("one is out there", [&] { return its.times > 0; });
   d.toy.hold(0, true), d.toy.closeIdle(0);
   d.until("no connection rests there", [&] { return d.toy.connections(0) == 1; });
-  d.toy.seen = [](int store, const std::string& text) {
+  d.toy.onStatement = [](int store, const std::string& text) {
     if (text.find("'waits'") != std::string::npos) std::printf("store %d sees it\n", store);
   };
   other.send(pg::query(Client::read("waits", 12'000, "near")));
-  d.until("its connection is dialled", [&] { return d.toy.holdsBack(0); });
+  d.until("its connection is dialled", [&] { return d.toy.holdsGreeting(0); });
   c.get();                    // by which it is a replica, and its connection is free
   c.ask(Client::write("c"));  // finds the new one
   std::string got = other.get();
@@ -195,7 +195,7 @@
   Served d(1);
   d.holdBack(0);
   d.c.send(pg::query(Client::write("b", 3000, "once")));
-  d.until("the connection is dialled", [&] { return d.toy.holdsBack(0); });
+  d.until("the connection is dialled", [&] { return d.toy.holdsGreeting(0); });
   d.signal(SIGTERM);
   d.until("it is told", [&] { return d.logged("phase=leaving"); });
   d.toy.hold(0, false);
@@ -259,7 +259,7 @@
     toy::Toy moved(d.s);
     moved.addStore(true, 7);
     int port = moved.serveList();
-    moved.silenceList(silent);
+    moved.setListUnresponsive(silent);
     // The signal comes before the watch's answer, so that it is taken first.
     drainUnread(d, 1, [&] { d.configure(port), d.signal(SIGHUP); });
     d.goOn();
@@ -271,7 +271,7 @@
       d.toy.setState(1, "removed");
       std::printf("the old watch goes on meanwhile: %s\n",
                   yes(d.until("heard", [&] { return d.logged("state=gone"); })));
-      moved.silenceList(false);
+      moved.setListUnresponsive(false);
     }
     std::printf("the new one is heard in the end: %s\n",
                 yes(d.until("heard", [&] { return d.logged("full=1 entries=1"); })));
@@ -288,7 +288,7 @@
 void watchReset() {
   slowButForGrace();
   Served d(2);
-  d.until("watched", [&] { return d.toy.watched(); });
+  d.until("watched", [&] { return d.toy.hasWatchers(); });
   d.stop();
   d.toy.resetList();
   comes(d, [&] { return d.faced(d.listPort()).open == 0; });
@@ -319,13 +319,13 @@
 void listSilent() {
   slowButForGrace();
   Drive d(2);
-  d.until("watched", [&] { return d.toy.watched(); });
-  d.toy.silenceList(true);
+  d.until("watched", [&] { return d.toy.hasWatchers(); });
+  d.toy.setListUnresponsive(true);
   d.toy.resetList();
   TimePoint since = d.s.now();
   d.pass(300);
   d.toy.setState(1, "draining");
-  d.toy.silenceList(false);
+  d.toy.setListUnresponsive(false);
   d.until("told", [&] { return d.logged("state=draining"); });
   std::printf("calls of its silent time stay open; the next ones: told %s\n",
               d.s.now() - since < ms(6000) ? "before that counts" : "late");
@@ -333,7 +333,7 @@
 
 void noLength() {
   Drive d(2);
-  d.toy.spoilList("HTTP/1.0 200 OK\r\n\r\n{\"version\":9,\"full\":true,\"servers\":[]}");
+  d.toy.overrideListResponse("HTTP/1.0 200 OK\r\n\r\n{\"version\":9,\"full\":true,\"servers\":[]}");
   d.toy.setState(1, "draining");
   d.until("refused", [&] { return d.logged("discovery_invalid_response"); });
   d.until("the next call", [&] { return d.logged("state=draining"); });
@@ -351,7 +351,7 @@
          many.size() < (8u << 20);)
       many += one;
     Client c(d);
-    d.toy.spoilList(many);
+    d.toy.overrideListResponse(many);
     d.toy.setState(1, "draining");
     c.asks("while the list's answer does not end", Client::read("a"));
     d.until("given up", [&] {
@@ -421,7 +421,7 @@
     d.until("both are out", [&] { return d.sent >= before + 2; });
     int out = d.toy.executions(1) - had;
     drainUnread(d, 1);
-    d.toy.kill(1), d.toy.revive(1);
+    d.toy.kill(1), d.toy.restart(1);
     comes(d, [&] { return d.faced(d.toy.port(1)).ended > 0 && d.faced(d.toy.port(1)).open == 0; });
     d.goOn();
     c.get(), other.get();
@@ -432,7 +432,7 @@
   d.holdBack(0);
   int had = d.toy.executions(0);
   d.c.send(pg::query(Client::write("b", 1500, "once")));
-  d.until("the connection is dialled", [&] { return d.toy.holdsBack(0); });
+  d.until("the connection is dialled", [&] { return d.toy.holdsGreeting(0); });
   drainUnread(d, 0);
   d.toy.hold(0, false);
   comes(d, [&] { return d.faced(d.toy.port(0)).unread > 0; });
@@ -511,7 +511,7 @@
 void termUnaccepted() {
   edits = {{"\"connect_timeout\":250000", "\"connect_timeout\":2000000"}};
   Drive d(1);
-  d.toy.silenceList(true), d.awaitsList = false;
+  d.toy.setListUnresponsive(true), d.awaitsList = false;
   d.killAndStart();
   Client asks(d, false), silent(d, false);
   asks.send(pg::startup("web", "orders") + pg::query(Client::write("b", 3000, "once")));
@@ -528,7 +528,7 @@
   constexpr int kStillOwedMs = 500;  // after its time an answer earns nothing; later it is lost
   edits = {{"\"connect_timeout\":250000", "\"connect_timeout\":2000000"}};
   Drive d(1);
-  d.toy.silenceList(true), d.awaitsList = false;
+  d.toy.setListUnresponsive(true), d.awaitsList = false;
   d.killAndStart();
   int before = d.sent;
   Client hurried(d, false), patient(d, false);
@@ -539,7 +539,7 @@
   bool inTime = d.s.now() - asked <= ms(kDeadlineMs + kStillOwedMs);
   std::printf("asked for 0.3 s, the list silent: %s, in time %s, %d sent\n", test::outcomeOf(got),
               yes(inTime), d.sent - before);
-  d.toy.silenceList(false);
+  d.toy.setListUnresponsive(false);
   std::printf("asked for 9 s: %s\n", patient.get(2).c_str());
 }
 
--- a/tests/proxy/sizes_test.cpp
+++ b/tests/proxy/sizes_test.cpp
@@ -62,7 +62,7 @@
   std::string body = "{\"version\":9,\"full\":true,\"servers\":[[]";
   while (body.size() < 520'000) body += ",[]";
   body += "]}";
-  d.toy.spoilList("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" +
+  d.toy.overrideListResponse("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" +
                   body);
   d.toy.setState(1, "draining");
   std::printf("a list of nothing but brackets is refused: %s\n",
--- a/tests/proxy/system_call_faults_test.cpp
+++ b/tests/proxy/system_call_faults_test.cpp
@@ -59,7 +59,7 @@
   for (int error : {EPROTO, ENFILE}) {
     FaultyMachine machine;
     Drive d(1);
-    d.toy.silenceList(true), d.awaitsList = false;
+    d.toy.setListUnresponsive(true), d.awaitsList = false;
     d.killAndStart();
     machine.fails(Call::accept, error);
     Client asks(d, false);
@@ -178,7 +178,7 @@
   machine.fails(Call::open, EMFILE);
   d.signal(SIGHUP);
   std::printf("no descriptor for it: moved %s\n",
-              yes(d.until("moved", [&] { return moved.watched(); })));
+              yes(d.until("moved", [&] { return moved.hasWatchers(); })));
   toy::Toy again(d.s);
   again.addStore(true, 7);
   int next = again.serveList();
@@ -187,7 +187,7 @@
   d.until("it is refused", [&] { return d.logged("reload_bad"); });
   d.configure(next);
   std::printf("half of it at first: moved %s\n",
-              yes(d.until("moved", [&] { return again.watched(); })));
+              yes(d.until("moved", [&] { return again.hasWatchers(); })));
 }
 
 const Case kCases[] = {{"acceptAlone", acceptAlone},
--- a/tests/support/drive.h
+++ b/tests/support/drive.h
@@ -56,14 +56,14 @@
         doors_(std::move(doors)) {
     for (int k = 0; k < stores; ++k) {
       toy.addStore(k == 0, 7);
-      if (!doors_.empty()) toy.speakCql(k);
+      if (!doors_.empty()) toy.enableCql(k);
     }
     // The last store stands behind all further entries of the list.
     for (int k = 0; k < aliases; ++k) toy.addAlias(stores - 1);
     if (aliases) toy.indentList(true);
     listPort_ = toy.serveList();
-    toy.spoilList(firstList);
-    toy.seen = [this](int store, const std::string& text) {
+    toy.overrideListResponse(firstList);
+    toy.onStatement = [this](int store, const std::string& text) {
       ++sent;
       if (show)
         std::printf("  store %d sees: %s\n", store, text.substr(0, text.find(",d=")).c_str());
@@ -71,7 +71,7 @@
     start(sockets);
   }
   ~Drive() {
-    toy.seen = [](int, const std::string&) {};
+    toy.onStatement = [](int, const std::string&) {};
     if (child_ > 0 && !logStands_) ends();
     if (child_ > 0) kill(child_, SIGKILL), waitpid(child_, nullptr, 0);
     unlink(path_.c_str());
@@ -142,7 +142,7 @@
                        "\",\"discovery\":\"127.0.0.1:" + std::to_string(listPort) +
                        "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"sockets\":" +
                        std::to_string(sockets_) + ",\"memory_mb\":" + std::to_string(memoryMb_) +
-                       "},\"known\":" + (known.empty() ? toy.roster() : known) +
+                       "},\"known\":" + (known.empty() ? toy.endpointListJson() : known) +
                        ",\"settings\":" + settings_ + "}";
     std::ofstream(path_) << text.substr(0, cutAt);
   }
@@ -238,8 +238,8 @@
   void comeBackOld(std::initializer_list<int> which) {
     for (int store : which) {
       toy.kill(store);
-      toy.lag(store, Duration{60'000'000});
-      toy.revive(store);
+      toy.setLag(store, Duration{60'000'000});
+      toy.restart(store);
     }
     std::string told = "id=toy-" + std::to_string(*(which.end() - 1)) +
                        " group=7 state=up primary=0 started_ms=1";
--- a/tests/support/pg_client.h
+++ b/tests/support/pg_client.h
@@ -130,7 +130,7 @@
  public:
   Seen(
       Drive& d, std::string key, std::function<void()> then = [] {}) {
-    d.toy.seen = [this, &d, before = d.toy.seen, key = "'" + key + "'", then](
+    d.toy.onStatement = [this, &d, before = d.toy.onStatement, key = "'" + key + "'", then](
                      int store, const std::string& text) {
       before(store, text);
       if (text.find(key) != std::string::npos) ++times, then();
