--- a/bench/doors.cpp
+++ b/bench/doors.cpp
@@ -1,6 +1,7 @@
-// Measures both doors: the same closed-loop client straight at a stand-in and through the front, in
-// one run. Three processes: the stand-in, the front, and this one, which is the client. All figures
-// are of simulated servers.
+// Measures the throughput and latency of both client protocols: the same closed-loop client
+// connects directly to a simulated store, and then through the proxy, in one run. Three processes
+// take part: the simulated stores, the proxy, and this one, which is the client. All figures are of
+// simulated servers.
 #include <sys/wait.h>
 #include <unistd.h>
 
@@ -23,10 +24,10 @@
 
 namespace {
 
-constexpr std::uint16_t kList = 7600, kFront = 7632, kCqlFront = 7642, kStore = 7601,
-                        kCqlStore = 7651;
-constexpr int kStores = 3;
-const std::string kRef = "SELECT payload FROM weather.entries WHERE ref = 'a'";
+constexpr std::uint16_t kListPort = 7600, kProxyPort = 7632, kCqlProxyPort = 7642,
+                        kFirstStorePort = 7601, kFirstCqlStorePort = 7651;
+constexpr int kStoreCount = 3;
+const std::string kQuery = "SELECT payload FROM weather.entries WHERE ref = 'a'";
 
 const char* kConfigEnd = R"(,"settings":{"classes":[
   {"name":"any","repeat":"repeatable","slo":1000000,"worth":1,"late_worth":0.2},
@@ -38,118 +39,121 @@
  "obligations":{"ask_every":10000000,"cold_from":0.27,"fall_multiple":2.5,"ramp_time":16000000,"tip_after":2000000},
  "prices":{"probe":0.016},"realms":[]}})";
 
-struct Run {
+// The number of statements by outcome, and the latencies of all of them.
+struct RunResult {
   std::uint64_t completed = 0, rejected = 0, other = 0;
-  std::map<std::string, int> others;  // what they said
-  std::vector<std::int64_t> tookUs;
+  std::map<std::string, int> otherErrors;  // their number, by error text
+  std::vector<std::int64_t> latenciesUs;
 };
 
 sockaddr_in at(std::uint16_t port) {
   return *runtime::parseAddress("127.0.0.1:" + std::to_string(port));
 }
 
-// One connection of PostgreSQL's, a statement after the other.
-runtime::Task<> postgres(runtime::Scheduler& s, std::uint16_t port, TimePoint until, Run& run,
-                         int& left, int number) {
+// A PostgreSQL connection that sends one statement at a time.
+runtime::Task<> postgres(runtime::Scheduler& s, std::uint16_t port, TimePoint deadline,
+                         RunResult& result, int& remaining, int connectionNumber) {
   runtime::Socket socket(s, runtime::startConnect(at(port)));
-  bool up = co_await runtime::awaitConnected(socket, until);
-  bool good = up && co_await runtime::writeAll(socket, pg::startup("web", "orders"), until);
+  bool isConnected = co_await runtime::awaitConnected(socket, deadline);
+  bool isOk = isConnected &&
+              co_await runtime::writeAll(socket, pg::startup("web", "orders"), deadline);
   std::string in;
-  bool greeted = false;
-  TimePoint begun = s.now();
-  for (std::uint64_t n = 0; good;) {
+  bool isGreeted = false;
+  TimePoint startTime = s.now();
+  for (std::uint64_t n = 0; isOk;) {
     pg::Message m;
-    char last = 0;
+    char lastType = 0;
     std::string code;
     while (pg::frame(in, 1 << 20, m) == pg::Framed::whole) {
-      if (m.type == 'D' || m.type == 'E') last = m.type;
+      if (m.type == 'D' || m.type == 'E') lastType = m.type;
       if (m.type == 'E') code = pg::errorField(m.payload, 'C');
-      bool ready = m.type == 'Z';
+      bool isReady = m.type == 'Z';
       in.erase(0, m.whole.size());
-      if (!ready) continue;
-      if (greeted) {
-        ++(last == 'D' ? run.completed : code == "53300" ? run.rejected : run.other);
-        run.tookUs.push_back((s.now() - begun).us);
+      if (!isReady) continue;
+      if (isGreeted) {
+        ++(lastType == 'D' ? result.completed : code == "53300" ? result.rejected : result.other);
+        result.latenciesUs.push_back((s.now() - startTime).us);
       }
-      greeted = true;
-      if (s.now() >= until) {
-        good = false;
+      isGreeted = true;
+      if (s.now() >= deadline) {
+        isOk = false;
         break;
       }
-      std::string id = std::to_string(number) + "-" + std::to_string(++n);
-      begun = s.now();
-      good = co_await runtime::writeAll(
-          socket, pg::query(kRef + " /* id=" + id + ",c=any,d=3000,cluster=1 */"),
-          until + Duration{3'000'000});
+      std::string id = std::to_string(connectionNumber) + "-" + std::to_string(++n);
+      startTime = s.now();
+      isOk = co_await runtime::writeAll(
+          socket, pg::query(kQuery + " /* id=" + id + ",c=any,d=3000,cluster=1 */"),
+          deadline + Duration{3'000'000});
       break;
     }
-    if (!good) break;
+    if (!isOk) break;
     if (pg::frame(in, 1 << 20, m) == pg::Framed::whole) continue;
     runtime::Socket::ReadStatus got = socket.read(in, 1 << 20);
     if (got == runtime::Socket::ReadStatus::closed) break;
     if (got == runtime::Socket::ReadStatus::noData)
-      good = co_await socket.readable.wait(until + Duration{3'000'000});
+      isOk = co_await socket.readable.wait(deadline + Duration{3'000'000});
   }
-  if (--left == 0) s.stop();
+  if (--remaining == 0) s.stop();
 }
 
-// One connection of Cassandra's with so many streams.
-runtime::Task<> cassandra(runtime::Scheduler& s, std::uint16_t port, TimePoint until, Run& run,
-                          int& left, int streams) {
+// A Cassandra connection with one request in flight on each of `streams` streams.
+runtime::Task<> cassandra(runtime::Scheduler& s, std::uint16_t port, TimePoint deadline,
+                          RunResult& result, int& remaining, int streams) {
   runtime::Socket socket(s, runtime::startConnect(at(port)));
   cql::Framing framing(1 << 20);
-  bool good = co_await runtime::awaitConnected(socket, until);
+  bool isOk = co_await runtime::awaitConnected(socket, deadline);
   std::string in, out, body;
   cql::addShort(body, 1), cql::addString(body, "CQL_VERSION"), cql::addString(body, "3.4.5");
   framing.put(out, false, 4, 0, 0, cql::Opcode::startup, body);
-  bool started = false;
-  std::vector<TimePoint> begun(static_cast<std::size_t>(streams));
-  int open = 0;
+  bool isStarted = false;
+  std::vector<TimePoint> startTimes(static_cast<std::size_t>(streams));
+  int pending = 0;
   std::uint64_t n = 0;
-  auto ask = [&](int stream) {
-    std::string id = std::to_string(++n), words;
-    cql::addBytesMap(words, {{"id", id}, {"c", "any"}, {"d", "3000"}, {"cluster", "1"}});
-    cql::addLongString(words, kRef);
-    cql::addShort(words, 1), cql::addByte(words, 0);
+  auto sendRequest = [&](int stream) {
+    std::string id = std::to_string(++n), requestBody;
+    cql::addBytesMap(requestBody, {{"id", id}, {"c", "any"}, {"d", "3000"}, {"cluster", "1"}});
+    cql::addLongString(requestBody, kQuery);
+    cql::addShort(requestBody, 1), cql::addByte(requestBody, 0);
     framing.put(out, false, 4, cql::kPayload, static_cast<std::int16_t>(stream), cql::Opcode::query,
-                words);
-    begun[static_cast<std::size_t>(stream)] = s.now();
-    ++open;
+                requestBody);
+    startTimes[static_cast<std::size_t>(stream)] = s.now();
+    ++pending;
   };
-  while (good) {
+  while (isOk) {
     std::size_t used = 0, step = 0;
     for (cql::Frame f;
          framing.next(std::string_view(in).substr(used), step, f) == cql::Framed::whole;) {
       used += step;
-      if (!started) {
-        started = true;
-        for (int k = 0; k < streams; ++k) ask(k);
+      if (!isStarted) {
+        isStarted = true;
+        for (int k = 0; k < streams; ++k) sendRequest(k);
         continue;
       }
-      --open;
+      --pending;
       cql::Reply r;
-      bool read = cql::readReply(f, r);
-      ++(read && f.opcode == cql::Opcode::result ? run.completed
-         : r.code == cql::kOverloaded            ? run.rejected
-                                                 : run.other);
-      if (!read || (f.opcode != cql::Opcode::result && r.code != cql::kOverloaded))
-        ++run.others[read ? std::to_string(r.code) + " " + std::string(r.text) : "unreadable"];
-      run.tookUs.push_back((s.now() - begun[static_cast<std::size_t>(f.stream)]).us);
-      if (s.now() < until) ask(f.stream);
+      bool isReadable = cql::readReply(f, r);
+      ++(isReadable && f.opcode == cql::Opcode::result ? result.completed
+         : r.code == cql::kOverloaded                  ? result.rejected
+                                                       : result.other);
+      if (!isReadable || (f.opcode != cql::Opcode::result && r.code != cql::kOverloaded))
+        ++result.otherErrors[isReadable ? std::to_string(r.code) + " " + std::string(r.text)
+                                        : "unreadable"];
+      result.latenciesUs.push_back((s.now() - startTimes[static_cast<std::size_t>(f.stream)]).us);
+      if (s.now() < deadline) sendRequest(f.stream);
     }
     in.erase(0, used);
     if (!out.empty()) {
-      std::string going = std::exchange(out, {});
-      good = co_await runtime::writeAll(socket, going, until + Duration{3'000'000});
+      std::string output = std::exchange(out, {});
+      isOk = co_await runtime::writeAll(socket, output, deadline + Duration{3'000'000});
       continue;
     }
-    if (started && open == 0) break;
+    if (isStarted && pending == 0) break;
     runtime::Socket::ReadStatus got = socket.read(in, 1 << 20);
     if (got == runtime::Socket::ReadStatus::closed) break;
     if (got == runtime::Socket::ReadStatus::noData)
-      good = co_await socket.readable.wait(until + Duration{3'000'000});
+      isOk = co_await socket.readable.wait(deadline + Duration{3'000'000});
   }
-  if (--left == 0) s.stop();
+  if (--remaining == 0) s.stop();
 }
 
 double cpuSeconds(pid_t pid) {
@@ -168,24 +172,24 @@
   return -1;
 }
 
-Run load(bool cql, std::uint16_t port, int streams, double seconds) {
-  Run run;
+RunResult runLoad(bool cql, std::uint16_t port, int streams, double seconds) {
+  RunResult result;
   runtime::Scheduler s;
-  TimePoint until = s.now() + Duration{static_cast<std::int64_t>(seconds * 1e6)};
-  int left = cql ? 1 : streams;
+  TimePoint deadline = s.now() + Duration{static_cast<std::int64_t>(seconds * 1e6)};
+  int remaining = cql ? 1 : streams;
   if (cql)
-    s.spawn(cassandra(s, port, until, run, left, streams));
+    s.spawn(cassandra(s, port, deadline, result, remaining, streams));
   else
-    for (int k = 0; k < streams; ++k) s.spawn(postgres(s, port, until, run, left, k));
+    for (int k = 0; k < streams; ++k) s.spawn(postgres(s, port, deadline, result, remaining, k));
   s.run([] {});
-  return run;
+  return result;
 }
 
-double middle(std::vector<std::int64_t> v, double share) {
-  if (v.empty()) return 0;
-  std::sort(v.begin(), v.end());
+double quantileMs(std::vector<std::int64_t> values, double quantile) {
+  if (values.empty()) return 0;
+  std::sort(values.begin(), values.end());
   return static_cast<double>(
-             v[static_cast<std::size_t>(static_cast<double>(v.size() - 1) * share)]) /
+             values[static_cast<std::size_t>(static_cast<double>(values.size() - 1) * quantile)]) /
          1000;
 }
 
@@ -194,29 +198,30 @@
   if (child != 0) return child;
   runtime::Scheduler s;
   toy::Toy toy(s);
-  for (std::uint16_t k = 0; k < kStores; ++k)
-    toy.enableCql(toy.addStore(k == 0, 1, static_cast<std::uint16_t>(kStore + k)),
-                 static_cast<std::uint16_t>(kCqlStore + k));
-  toy.serveList(kList);
+  for (std::uint16_t k = 0; k < kStoreCount; ++k)
+    toy.enableCql(toy.addStore(k == 0, 1, static_cast<std::uint16_t>(kFirstStorePort + k)),
+                  static_cast<std::uint16_t>(kFirstCqlStorePort + k));
+  toy.serveList(kListPort);
   s.run([] {});
   _exit(0);
 }
 
-pid_t startFront(const char* program, const std::string& folder, int memoryMb) {
-  std::string config = folder + "/measure.json", doors = folder + "/measure.hcl",
+pid_t startProxy(const char* program, const std::string& folder, int memoryMb) {
+  std::string config = folder + "/measure.json", settings = folder + "/measure.hcl",
               log = folder + "/measure.log";
-  std::ofstream(config) << "{\"name\":\"m\",\"listen\":\"127.0.0.1:" << kFront
-                        << "\",\"discovery\":\"127.0.0.1:" << kList
+  std::ofstream(config) << "{\"name\":\"m\",\"listen\":\"127.0.0.1:" << kProxyPort
+                        << "\",\"discovery\":\"127.0.0.1:" << kListPort
                         << "\",\"seed\":\"1\",\"limits\":{\"sockets\":4096,\"memory_mb\":"
                         << memoryMb << "},\"known\":{\"version\":0,\"full\":true,\"servers\":[]}"
                         << kConfigEnd;
-  std::ofstream(doors) << "cassandra {\n listen = \"127.0.0.1:" << kCqlFront
-                       << "\"\n streams = 4096\n map {\n workload = \"any\"\n group = 1\n }\n}\n";
+  std::ofstream(settings)
+      << "cassandra {\n listen = \"127.0.0.1:" << kCqlProxyPort
+      << "\"\n streams = 4096\n map {\n workload = \"any\"\n group = 1\n }\n}\n";
   pid_t child = fork();
   if (child != 0) return child;
   setenv("LB_CONFIG", config.c_str(), 1);
   if (!std::freopen(log.c_str(), "w", stderr)) _exit(1);
-  execl(program, program, "--settings", doors.c_str(), static_cast<char*>(nullptr));
+  execl(program, program, "--settings", settings.c_str(), static_cast<char*>(nullptr));
   _exit(127);
 }
 
@@ -232,32 +237,36 @@
   std::signal(SIGPIPE, SIG_IGN);
   pid_t toy = startToy();
   usleep(300'000);
-  pid_t front = startFront(argv[1], argv[2], memoryMb);
+  pid_t proxy = startProxy(argv[1], argv[2], memoryMb);
   usleep(1'000'000);
-  load(true, kCqlFront, 64, 1), load(false, kFront, 64, 1);  // limits have grown
+  runLoad(true, kCqlProxyPort, 64, 1),
+      runLoad(false, kProxyPort, 64, 1);  // warm-up: adaptive limits grow
   std::printf(
       "protocol,streams,straight_per_s,through_per_s,ratio,front_us_each,p50_ms,p99_ms,rejected,"
       "other\n");
   for (bool cql : {false, true})
     for (int streams : {1, 4, 16, 64, 256, 1000}) {
-      Run straight = load(cql, cql ? kCqlStore + 1 : kStore + 1, streams, seconds);
-      double before = cpuSeconds(front);
-      Run through = load(cql, cql ? kCqlFront : kFront, streams, seconds);
-      double used = cpuSeconds(front) - before;
-      double a = static_cast<double>(straight.completed) / seconds,
-             b = static_cast<double>(through.completed) / seconds;
+      RunResult direct = runLoad(cql, cql ? kFirstCqlStorePort + 1 : kFirstStorePort + 1, streams,
+                                 seconds);
+      double cpuBefore = cpuSeconds(proxy);
+      RunResult viaProxy = runLoad(cql, cql ? kCqlProxyPort : kProxyPort, streams, seconds);
+      double cpuUsed = cpuSeconds(proxy) - cpuBefore;
+      double directPerSecond = static_cast<double>(direct.completed) / seconds,
+             viaProxyPerSecond = static_cast<double>(viaProxy.completed) / seconds;
       double answered =
-          static_cast<double>(std::max<std::uint64_t>(1, through.completed + through.rejected));
+          static_cast<double>(std::max<std::uint64_t>(1, viaProxy.completed + viaProxy.rejected));
       std::printf("%s,%d,%.0f,%.0f,%.3f,%.1f,%.2f,%.2f,%llu,%llu\n", cql ? "cassandra" : "postgres",
-                  streams, a, b, b / a, used / answered * 1e6, middle(through.tookUs, 0.5),
-                  middle(through.tookUs, 0.99), static_cast<unsigned long long>(through.rejected),
-                  static_cast<unsigned long long>(through.other));
-      for (const auto& [said, times] : through.others)
-        std::printf("# other: %d times %s\n", times, said.c_str());
+                  streams, directPerSecond, viaProxyPerSecond, viaProxyPerSecond / directPerSecond,
+                  cpuUsed / answered * 1e6, quantileMs(viaProxy.latenciesUs, 0.5),
+                  quantileMs(viaProxy.latenciesUs, 0.99),
+                  static_cast<unsigned long long>(viaProxy.rejected),
+                  static_cast<unsigned long long>(viaProxy.other));
+      for (const auto& [error, count] : viaProxy.otherErrors)
+        std::printf("# other: %d times %s\n", count, error.c_str());
       std::fflush(stdout);
     }
-  std::printf("# the front's most memory: %d kB of %d MB\n", peakKb(front), memoryMb);
-  kill(front, SIGTERM), kill(toy, SIGKILL);
-  waitpid(front, nullptr, 0), waitpid(toy, nullptr, 0);
+  std::printf("# the front's most memory: %d kB of %d MB\n", peakKb(proxy), memoryMb);
+  kill(proxy, SIGTERM), kill(toy, SIGKILL);
+  waitpid(proxy, nullptr, 0), waitpid(toy, nullptr, 0);
   return 0;
 }
--- a/example/main.cpp
+++ b/example/main.cpp
@@ -1,4 +1,5 @@
-// reedchute_toy: something to try the front with. See example/README.md.
+// reedchute_toy: simulated stores to try out the proxy, and a client that sends one statement
+// through it. See example/README.md.
 #include <cstdio>
 #include <cstdlib>
 #include <cstring>
@@ -12,7 +13,7 @@
 namespace {
 
 constexpr std::uint16_t kListPort = 7400, kFirstStorePort = 7401, kFirstCqlPort = 7501;
-constexpr const char* kFront = "127.0.0.1:7432";
+constexpr const char* kProxyAddress = "127.0.0.1:7432";
 
 int serve() {
   runtime::Scheduler s;
@@ -36,12 +37,13 @@
   return 0;
 }
 
-runtime::Task<> ask(runtime::Scheduler& s, std::string workload, std::string key, int& status) {
-  TimePoint until = s.now() + Duration{10'000'000};
-  runtime::Socket socket(s, runtime::startConnect(*runtime::parseAddress(kFront)));
-  bool up = co_await runtime::awaitConnected(socket, until);
-  if (!up) {
-    std::fprintf(stderr, "no front at %s\n", kFront);
+runtime::Task<> sendStatement(runtime::Scheduler& s, std::string workload, std::string key,
+                              int& status) {
+  TimePoint deadline = s.now() + Duration{10'000'000};
+  runtime::Socket socket(s, runtime::startConnect(*runtime::parseAddress(kProxyAddress)));
+  bool isConnected = co_await runtime::awaitConnected(socket, deadline);
+  if (!isConnected) {
+    std::fprintf(stderr, "no front at %s\n", kProxyAddress);
     s.stop();
     co_return;
   }
@@ -53,25 +55,26 @@
                          : "SELECT payload FROM entries WHERE ref = '" + key + "'" + comment +
                                " */";
   bool sent = co_await runtime::writeAll(socket, pg::startup("web", "orders") + pg::query(text),
-                                         until);
-  TimePoint begun = s.now();
+                                         deadline);
+  TimePoint startTime = s.now();
   std::string in;
-  int readies = 0;
-  while (sent && readies < 2) {
+  int readyCount = 0;
+  while (sent && readyCount < 2) {
     pg::Message m;
     if (pg::frame(in, 1 << 20, m) == pg::Framed::whole) {
-      double ms = (s.now() - begun).seconds() * 1000;
-      if (m.type == 'Z') ++readies;
+      double ms = (s.now() - startTime).seconds() * 1000;
+      if (m.type == 'Z') ++readyCount;
       if (m.type == 'D') {
         std::printf("completed in %.1f ms: %s\n", ms,
                     std::string(pg::firstColumn(m.payload).value_or("NULL")).c_str());
         status = 0;
       }
       if (m.type == 'E') {
-        std::string code(pg::errorField(m.payload, 'C')), back(pg::errorField(m.payload, 'D'));
+        std::string code(pg::errorField(m.payload, 'C')),
+            retryAfter(pg::errorField(m.payload, 'D'));
         std::printf("%s in %.1f ms: %s%s\n", code == "53300" ? "rejected" : "aborted", ms,
                     std::string(pg::errorField(m.payload, 'M')).c_str(),
-                    back.empty() ? "" : (", come back after " + back + " ms").c_str());
+                    retryAfter.empty() ? "" : (", come back after " + retryAfter + " ms").c_str());
       }
       in.erase(0, m.whole.size());
       continue;
@@ -79,8 +82,8 @@
     runtime::Socket::ReadStatus got = socket.read(in, 1 << 20);
     if (got == runtime::Socket::ReadStatus::closed) break;
     if (got == runtime::Socket::ReadStatus::data) continue;
-    bool set = co_await socket.readable.wait(until);
-    if (!set) break;
+    bool isReadable = co_await socket.readable.wait(deadline);
+    if (!isReadable) break;
   }
   s.stop();
 }
@@ -94,7 +97,7 @@
     if (argc == 4 && !std::strcmp(argv[1], "ask")) {
       int status = 1;
       runtime::Scheduler s;
-      s.spawn(ask(s, argv[2], argv[3], status));
+      s.spawn(sendStatement(s, argv[2], argv[3], status));
       s.run([] {});
       return status;
     }
--- a/example/node/try.js
+++ b/example/node/try.js
@@ -1,5 +1,5 @@
-// The usual client libraries, unmodified: cassandra-driver at the one door, pg at the other, while a store dies.
-// Starts the toy and a front of the build in ../../build, and ends them. Exits with 1 if anything isn't as told.
+// Tests the proxy with unmodified client libraries, cassandra-driver and pg, while a store fails. Starts the toy and
+// the proxy of the build in ../../build, and stops them at the end. Exits with 1 if any check fails.
 import { spawn } from 'node:child_process';
 import { once } from 'node:events';
 import { setTimeout as sleep } from 'node:timers/promises';
@@ -10,15 +10,15 @@
 const start = (program, args, env = {}) =>
   spawn(`${root}build/${program}`, args, { cwd: root, env: { ...process.env, ...env }, stdio: ['ignore', 'ignore', 'ignore'] });
 
-let wrong = 0;
-function tell(what, good, detail = '') {
-  if (!good) wrong += 1;
-  console.log(`${good ? 'ok  ' : 'BAD '} ${what}${detail ? `: ${detail}` : ''}`);
+let failures = 0;
+function check(what, isOk, detail = '') {
+  if (!isOk) failures += 1;
+  console.log(`${isOk ? 'ok  ' : 'BAD '} ${what}${detail ? `: ${detail}` : ''}`);
 }
 
 const toy = start('reedchute_toy', ['serve']);
 await sleep(300);
-const front = start('reedchute', ['--settings', 'example/cassandra.hcl'], { LB_CONFIG: 'example/config.json' });
+const proxy = start('reedchute', ['--settings', 'example/cassandra.hcl'], { LB_CONFIG: 'example/config.json' });
 await sleep(700);
 
 const client = new cassandra.Client({
@@ -28,76 +28,76 @@
   encoding: { set: Set },
 });
 let number = 0;
-const payload = (workload, mark) => ({
+const payload = (workload, idempotencyKey) => ({
   customPayload: Object.fromEntries(
-    Object.entries({ id: `node-${(number += 1)}`, c: workload, d: '3000', cluster: '1', ...(mark ? { k: mark } : {}) })
+    Object.entries({ id: `node-${(number += 1)}`, c: workload, d: '3000', cluster: '1', ...(idempotencyKey ? { k: idempotencyKey } : {}) })
       .map(([name, value]) => [name, Buffer.from(value)])),
 });
 
 try {
   await client.connect();
-  tell('connects', true, `${client.hosts.length} host, protocol v${client.controlConnection.protocolVersion}`);
+  check('connects', true, `${client.hosts.length} host, protocol v${client.controlConnection.protocolVersion}`);
 
   const plain = await client.execute("SELECT payload FROM weather.entries WHERE ref = 'hello'");
-  tell('a plain read, mapped by keyspace', plain.rows[0].payload === 'value of hello');
+  check('a plain read, mapped by keyspace', plain.rows[0].payload === 'value of hello');
 
-  const bare = await client.execute("SELECT payload FROM entries WHERE ref = 'bare'");
-  tell('a bare name in the keyspace of the client', bare.rows[0].payload === 'value of bare');
+  const unqualified = await client.execute("SELECT payload FROM entries WHERE ref = 'bare'");
+  check('a bare name in the keyspace of the client', unqualified.rows[0].payload === 'value of bare');
 
-  let right = 0;
+  let correct = 0;
   for (let k = 0; k < 50; k += 1) {
     const got = await client.execute('SELECT payload FROM weather.entries WHERE ref = ?', [`k${k}`], { prepare: true });
-    right += got.rows[0].payload === `value of k${k}`;
+    correct += got.rows[0].payload === `value of k${k}`;
   }
-  tell('prepared reads', right === 50, `${right} of 50`);
+  check('prepared reads', correct === 50, `${correct} of 50`);
 
-  const together = await Promise.all(Array.from({ length: 500 }, (_, k) =>
+  const results = await Promise.all(Array.from({ length: 500 }, (_, k) =>
     client.execute('SELECT payload FROM weather.entries WHERE ref = ?', [`t${k}`], { prepare: true })
       .then((got) => got.rows[0].payload === `value of t${k}`, (error) => error.code)));
-  const good = together.filter((one) => one === true).length;
-  const turned = together.filter((one) => one === cassandra.types.responseErrorCodes.overloaded).length;
-  tell('500 at once, each its own or rejected', good + turned === 500, `${good} completed, ${turned} rejected`);
+  const completed = results.filter((one) => one === true).length;
+  const rejected = results.filter((one) => one === cassandra.types.responseErrorCodes.overloaded).length;
+  check('500 at once, each its own or rejected', completed + rejected === 500, `${completed} completed, ${rejected} rejected`);
 
   const pages = [];
   for await (const row of client.stream('SELECT payload FROM weather.entries WHERE ref = ?', ['pages3'],
     { prepare: true, fetchSize: 1, autoPage: true })) pages.push(row.payload);
-  tell('a read of three pages', pages.join() === 'page 1,page 2,page 3', pages.join());
+  check('a read of three pages', pages.join() === 'page 1,page 2,page 3', pages.join());
 
   await client.batch([
     { query: 'INSERT INTO weather.entries (ref) VALUES (?)', params: ['b1'] },
     { query: 'INSERT INTO weather.entries (ref) VALUES (?)', params: ['b2'] },
   ], { prepare: true, ...payload('write', 'mark-1') });
-  tell('a marked batch of prepared writes', true);
+  check('a marked batch of prepared writes', true);
 
-  const named = await client.execute('SELECT payload FROM weather.entries WHERE ref = ?', ['slow50'],
+  const withWorkload = await client.execute('SELECT payload FROM weather.entries WHERE ref = ?', ['slow50'],
     { prepare: true, ...payload('near') });
-  tell('a read with its workload in the custom payload', named.rows[0].payload === 'value of slow50');
+  check('a read with its workload in the custom payload', withWorkload.rows[0].payload === 'value of slow50');
 
   await client.execute("SELECT payload FROM nowhere.entries WHERE ref = 'a'")
-    .then(() => tell('what maps to nothing', false), (error) => tell('what maps to nothing is refused', error.code === 0x2200));
+    .then(() => check('what maps to nothing', false), (error) => check('what maps to nothing is refused', error.code === 0x2200));
 
-  const died = await client.execute('SELECT payload FROM weather.entries WHERE ref = ?', ['die-ok'], { prepare: true });
-  tell('a read whose store dies', died.rows[0].payload === 'value of die-ok');
-  let after = 0;
+  const afterFailure = await client.execute('SELECT payload FROM weather.entries WHERE ref = ?', ['die-ok'], { prepare: true });
+  check('a read whose store dies', afterFailure.rows[0].payload === 'value of die-ok');
+  let correctAfter = 0;
   for (let k = 0; k < 100; k += 1)
-    after += await client.execute('SELECT payload FROM weather.entries WHERE ref = ?', [`a${k}`], { prepare: true })
+    correctAfter += await client.execute('SELECT payload FROM weather.entries WHERE ref = ?', [`a${k}`], { prepare: true })
       .then((got) => got.rows[0].payload === `value of a${k}`, () => false);
-  tell('reads after it died', after === 100, `${after} of 100`);
+  check('reads after it died', correctAfter === 100, `${correctAfter} of 100`);
 
-  const other = new pg.Client({ host: '127.0.0.1', port: 7432, user: 'web', database: 'orders' });
-  await other.connect();
-  const simple = await other.query("SELECT payload FROM entries WHERE ref = 'pg' /* id=pg-1,c=any,d=3000,cluster=1 */");
-  tell('pg: a simple query at the other door', simple.rows[0].payload.toString() === 'value of pg');
-  await other.query('SELECT payload FROM entries WHERE ref = $1', ['pg'])
-    .then(() => tell('pg: parameters', false), (error) => tell('pg: parameters are told to be unknown here', error.code === '0A000'));
-  await other.end().catch(() => {});
+  const pgClient = new pg.Client({ host: '127.0.0.1', port: 7432, user: 'web', database: 'orders' });
+  await pgClient.connect();
+  const simple = await pgClient.query("SELECT payload FROM entries WHERE ref = 'pg' /* id=pg-1,c=any,d=3000,cluster=1 */");
+  check('pg: a simple query at the other door', simple.rows[0].payload.toString() === 'value of pg');
+  await pgClient.query('SELECT payload FROM entries WHERE ref = $1', ['pg'])
+    .then(() => check('pg: parameters', false), (error) => check('pg: parameters are told to be unknown here', error.code === '0A000'));
+  await pgClient.end().catch(() => {});
 } catch (error) {
-  tell('an unexpected error', false, String(error.stack));
+  check('an unexpected error', false, String(error.stack));
 } finally {
   await client.shutdown().catch(() => {});
-  front.kill('SIGTERM');
-  const [code] = await Promise.race([once(front, 'exit'), sleep(5000, ['late'])]);
-  tell('the front ends in order', code === 0);
+  proxy.kill('SIGTERM');
+  const [code] = await Promise.race([once(proxy, 'exit'), sleep(5000, ['late'])]);
+  check('the front ends in order', code === 0);
   toy.kill();
 }
-process.exit(wrong ? 1 : 0);
+process.exit(failures ? 1 : 0);
--- a/example/toy.h
+++ b/example/toy.h
@@ -26,9 +26,9 @@
   // Adds a store that listens on `port`, or on a port chosen by the system if `port` is 0. Returns
   // the number of the store.
   int addStore(bool primary, int group, std::uint16_t port = 0);
-  // Adds another entry to the endpoint list, with a long id, for `store` at another address of this
-  // machine. Returns the number of the entry.
-  int addAlias(int store);
+  // Adds another entry to the endpoint list, with a long id, for store `target` at another address
+  // of this machine. Returns the number of the entry.
+  int addAlias(int target);
   // Listens for Cassandra's protocol on `port` (0: chosen by the system) and adds the address to
   // the store's entry in the endpoint list.
   void enableCql(int store, std::uint16_t port = 0);
