--- a/tests/proxy/crossing_events_test.cpp
+++ b/tests/proxy/crossing_events_test.cpp
@@ -1,7 +1,7 @@
-// Two or three rare events at once, in the order that hurts, on real connections: found by going
-// through the rules path by path (docs/incidents). The front is stopped, by the test or by itself
-// before one of its system calls (tests/soak/faulty_machine.cpp); what is to cross is sent; it goes
-// on.
+// Tests of two or three rare events that coincide in the most harmful order, on real connections.
+// The cases were found by reviewing the rules path by path (docs/incidents). The proxy is stopped,
+// by the test or by itself before one of its system calls (tests/soak/faulty_machine.cpp); the
+// events are sent to it; it continues and sees them together.
 #include <cerrno>
 #include <csignal>
 #include <cstdio>
@@ -25,268 +25,274 @@
 
 namespace {
 
-// Leaves a connection that rests at each store.
-void usesAll(Client& c) {
-  std::string many;
-  for (int k = 0; k < 8; ++k) many += pg::query(Client::read("slow100"));
-  c.send(many);
+// Sends eight slow reads at once, which leave an idle connection to each store.
+void openIdleConnections(Client& c) {
+  std::string queries;
+  for (int k = 0; k < 8; ++k) queries += pg::query(Client::read("slow100"));
+  c.send(queries);
   c.get(8);
 }
 
-// Clients that ask again in the moment in which they are answered, as the front is told to end.
+// SIGTERM while clients send their next request as soon as they have an answer.
 void termBusy() {
   FaultyMachine machine;
   Drive d(2);
-  struct Busy {
+  struct BusyClient {
     std::unique_ptr<Client> client;
-    bool waits = false, over = false;
+    bool isWaiting = false, hasEnded = false;
   };
-  std::vector<Busy> all(24);
-  for (Busy& b : all) b.client = std::make_unique<Client>(d);
-  int asked = 0, answered = 0, lost = 0;
-  auto turn = [&](Busy& b) {
-    if (b.over) return;
+  std::vector<BusyClient> clients(24);
+  for (BusyClient& b : clients) b.client = std::make_unique<Client>(d);
+  int requests = 0, answered = 0, lost = 0;
+  auto advance = [&](BusyClient& b) {
+    if (b.hasEnded) return;
     Client& c = *b.client;
-    bool ended = c.socket->read(c.in, 1 << 20) == runtime::Socket::ReadStatus::closed;
-    std::string words = test::inWords(c.in);
-    bool last = words.find("FATAL") != std::string::npos;
-    if (last || words.find("ready") != std::string::npos) answered += b.waits, b.waits = false;
-    b.over = last;
-    if (ended) lost += b.waits, b.over = true;
-    if (b.over || b.waits) return;
+    bool isClosed = c.socket->read(c.in, 1 << 20) == runtime::Socket::ReadStatus::closed;
+    std::string received = test::inWords(c.in);
+    bool isFatal = received.find("FATAL") != std::string::npos;
+    if (isFatal || received.find("ready") != std::string::npos)
+      answered += b.isWaiting, b.isWaiting = false;
+    b.hasEnded = isFatal;
+    if (isClosed) lost += b.isWaiting, b.hasEnded = true;
+    if (b.hasEnded || b.isWaiting) return;
     c.send(pg::query(Client::read("a")));
-    ++asked, b.waits = true;
+    ++requests, b.isWaiting = true;
   };
-  TimePoint told = d.s.now() + test::ms(200);
-  bool signalled = false;
+  TimePoint signalAt = d.s.now() + test::ms(200);
+  bool isSignalled = false;
   d.until("all have ended", [&] {
-    bool over = true;
-    for (Busy& b : all) turn(b), over = over && b.over;
-    if (!signalled && d.s.now() >= told) d.signal(SIGTERM), signalled = true;
-    return over;
+    bool haveAllEnded = true;
+    for (BusyClient& b : clients) advance(b), haveAllEnded = haveAllEnded && b.hasEnded;
+    if (!isSignalled && d.s.now() >= signalAt) d.signal(SIGTERM), isSignalled = true;
+    return haveAllEnded;
   });
   std::printf(
       "24 clients that ask again at once: over a hundred asked %s, unanswered %d, without an "
       "answer at the "
       "end %d\n",
-      yes(asked > 100), asked - answered - lost, lost);
+      yes(requests > 100), requests - answered - lost, lost);
   std::printf("read after the end of a connection: %ld bytes\n", machine.readAndDropped());
   d.exits();
 }
 
-// A request crosses the end of a connection that rests: it is not read, so that its client asks it
-// elsewhere.
+// A request crosses the closing of its idle connection: the proxy doesn't read it, so that the
+// client sends it to another proxy.
 void termRests() {
   FaultyMachine machine;
   Drive d(1);
-  Client rests(d);
-  rests.ask(Client::read("a"));
+  Client idle(d);
+  idle.ask(Client::read("a"));
   d.signal(SIGTERM);
-  std::printf("one that rests: %s\n", rests.get().c_str());
-  rests.send(pg::query(Client::read("b")));
+  std::printf("one that rests: %s\n", idle.get().c_str());
+  idle.send(pg::query(Client::read("b")));
   d.exits();
   std::printf("what it asked as it was ended: %ld bytes of it read\n", machine.readAndDropped());
 }
 
-// The connection that a statement waits for comes up, then its client leaves; the front sees both
-// together, later than an attempt may begin for it.
+// The connection that a statement waits for is established, then its client disconnects. The proxy
+// sees both at once, when it is too late to begin an attempt for the statement.
 void leavesAsItComesUp() {
   Drive d(1);
-  Client c(d), leaves(d);
+  Client c(d), leaving(d);
   c.ask(Client::read("a"));
   d.holdBack(0);
-  Seen its(d, "b");
-  leaves.send(pg::query(Client::read("b")));
+  Seen executions(d, "b");
+  leaving.send(pg::query(Client::read("b")));
   d.until("the connection is dialled", [&] { return d.toy.holdsBack(0); });
   d.stop();
   d.toy.hold(0, false);
   comes(d, [&] { return d.faced(d.toy.port(0)).unread > 0; });
-  leaves.socket->close();
+  leaving.socket->close();
   comes(d, [&] { return d.faced(d.port, true).ended > 0; });
   d.pass(130);
   d.goOn();
   c.ask(Client::read("c"));
-  std::printf("gone as its connection came up: %d sent of it\n", its.times);
+  std::printf("gone as its connection came up: %d sent of it\n", executions.times);
 }
 
-// Sends a statement of which the first execution gets no answer; the store that has it.
-int sendSilent(Drive& d, Client& by) {
-  int at = -1;
-  auto before = d.toy.seen;
+// Sends a statement whose first execution gets no answer. Returns the store that received it.
+int sendUnanswered(Drive& d, Client& client) {
+  int receiver = -1;
+  auto observer = d.toy.seen;
   d.toy.seen = [&](int store, const std::string& text) {
-    before(store, text);
-    if (text.find("'silent-ok'") != std::string::npos) at = store;
+    observer(store, text);
+    if (text.find("'silent-ok'") != std::string::npos) receiver = store;
   };
-  by.send(pg::query(Client::read("silent-ok")));
-  d.until("it is out", [&] { return at >= 0; });
-  d.toy.seen = before;
-  return at;
+  client.send(pg::query(Client::read("silent-ok")));
+  d.until("it is out", [&] { return receiver >= 0; });
+  d.toy.seen = observer;
+  return receiver;
 }
 
-// The front is held up in the middle of a round, and a client leaves before its next attempt is
-// written: as the front reads that the first one broke, or before it looks at its clock.
-void leavesHeldUp(Call where, const char* what) {
+// The proxy stalls in the middle of a round, and a client disconnects before its next attempt is
+// written. The proxy stalls at `stopCall`: before it reads that the first attempt's connection
+// broke, or between its wait and reading the clock.
+void disconnectDuringStall(Call stopCall, const char* moment) {
   FaultyMachine machine;
   Drive d(2);
-  Client c(d), leaves(d);
-  usesAll(c);
-  Seen its(d, "silent-ok");
-  int at = sendSilent(d, leaves);
+  Client c(d), leaving(d);
+  openIdleConnections(c);
+  Seen executions(d, "silent-ok");
+  int store = sendUnanswered(d, leaving);
   d.pass(20);
-  machine.stopsAt(where);
-  d.toy.closeBusy(at);
+  machine.stopsAt(stopCall);
+  d.toy.closeBusy(store);
   d.until("the front stands", [&] { return d.stands(); });
-  leaves.socket->close();
+  leaving.socket->close();
   comes(d, [&] { return d.faced(d.port, true).ended > 0; });
   d.pass(130);
   d.goOn();
   c.ask(Client::read("c"));
-  std::printf("gone while the front was held up %s: %d sent of it after that\n", what,
-              its.times - 1);
+  std::printf("gone while the front was held up %s: %d sent of it after that\n", moment,
+              executions.times - 1);
 }
 
 void leavesInRound() {
-  leavesHeldUp(Call::receive, "in a round");
+  disconnectDuringStall(Call::receive, "in a round");
 }
 void leavesAfterWait() {
-  leavesHeldUp(Call::wait, "behind its wait");
+  disconnectDuringStall(Call::wait, "behind its wait");
 }
 
-// A client's end stands behind more events than one wait brings.
+// A client's disconnect is queued behind more events than one wait call returns.
 void leavesBehindMany() {
   Drive d(2, 1024, "automatic", "", false, 128);
-  std::vector<std::unique_ptr<Client>> many;
-  for (int k = 0; k < 320; ++k) many.push_back(std::make_unique<Client>(d));
-  Client c(d), leaves(d);
-  usesAll(c);
-  Seen its(d, "silent-ok");
-  int at = sendSilent(d, leaves);
+  std::vector<std::unique_ptr<Client>> others;
+  for (int k = 0; k < 320; ++k) others.push_back(std::make_unique<Client>(d));
+  Client c(d), leaving(d);
+  openIdleConnections(c);
+  Seen executions(d, "silent-ok");
+  int store = sendUnanswered(d, leaving);
   d.stop();
-  d.toy.closeBusy(at);
-  comes(d, [&] { return d.faced(d.toy.port(at)).ended > 0; });
-  for (auto& one : many) one->send("Q");
+  d.toy.closeBusy(store);
+  comes(d, [&] { return d.faced(d.toy.port(store)).ended > 0; });
+  for (auto& other : others) other->send("Q");
   comes(d, [&] { return d.faced(d.port, true).unread >= 320; });
-  leaves.socket->close();
+  leaving.socket->close();
   comes(d, [&] { return d.faced(d.port, true).ended > 0; });
   d.pass(130);
   d.goOn();
   c.ask(Client::read("c"));
-  std::printf("gone behind 320 other events: %d sent of it after that\n", its.times - 1);
+  std::printf("gone behind 320 other events: %d sent of it after that\n", executions.times - 1);
 }
 
-// Somebody needs a place, and all who could make room have just asked.
+// A new client needs a session when all are in use, and every idle client that could be closed for
+// it has just sent a request.
 void roomOfNone() {
   Drive d(1, 64);
-  std::vector<std::unique_ptr<Client>> all;
-  for (int k = 0; k < 27; ++k) all.push_back(std::make_unique<Client>(d));
-  d.pass(100);  // all have been silent for long enough
+  std::vector<std::unique_ptr<Client>> clients;
+  for (int k = 0; k < 27; ++k) clients.push_back(std::make_unique<Client>(d));
+  d.pass(100);  // all have been idle for long enough to be closed
   d.stop();
-  Client last(d, false);
-  last.send(pg::startup("web", "orders") + pg::query(Client::read("b")));
-  for (auto& c : all) c->send(pg::query(Client::read("a")));
+  Client newcomer(d, false);
+  newcomer.send(pg::startup("web", "orders") + pg::query(Client::read("b")));
+  for (auto& c : clients) c->send(pg::query(Client::read("a")));
   comes(d, [&] { return d.faced(d.port, true).unread >= 27; });
   d.goOn();
   int answered = 0;
-  for (auto& c : all) answered += c->get().find("ready") != std::string::npos;
+  for (auto& c : clients) answered += c->get().find("ready") != std::string::npos;
   std::printf("of 27 that asked as one more came: %d answered\n", answered);
-  std::string got = last.get(2);
+  std::string answer = newcomer.get(2);
   std::printf("that one: %s\n",
-              got.find("53300") != std::string::npos || got.find("row") != std::string::npos
+              answer.find("53300") != std::string::npos || answer.find("row") != std::string::npos
                   ? "one answer"
-                  : got.c_str());
+                  : answer.c_str());
 }
 
-// The same where several come in one round: what was read of a client as room was made for the
-// first must not be forgotten as room is made for the next.
+// The same with several new clients in one round: what was read from a client while room was made
+// for the first must not be lost while room is made for the next.
 void roomForSeveral() {
-  constexpr int kPlaces = 27;
+  constexpr int kSessions = 27;
   Drive d(1, 64);
-  std::vector<std::unique_ptr<Client>> all;
-  for (int k = 0; k < kPlaces; ++k) all.push_back(std::make_unique<Client>(d));
-  d.pass(100);  // all have been silent for long enough
+  std::vector<std::unique_ptr<Client>> clients;
+  for (int k = 0; k < kSessions; ++k) clients.push_back(std::make_unique<Client>(d));
+  d.pass(100);  // all have been idle for long enough to be closed
   d.stop();
   std::vector<std::unique_ptr<Client>> newcomers;
   for (int k = 0; k < 4; ++k) {
     newcomers.push_back(std::make_unique<Client>(d, false));
     newcomers.back()->send(pg::startup("web", "orders") + pg::query(Client::read("b")));
   }
-  for (auto& c : all) c->send(pg::query(Client::read("a")));
-  comes(d, [&] { return d.faced(d.port, true).unread >= kPlaces; });
+  for (auto& c : clients) c->send(pg::query(Client::read("a")));
+  comes(d, [&] { return d.faced(d.port, true).unread >= kSessions; });
   d.goOn();
   int answered = 0;
-  for (auto& c : all) answered += c->get().find("ready") != std::string::npos;
+  for (auto& c : clients) answered += c->get().find("ready") != std::string::npos;
   std::printf("of 27 that asked as four more came: %d answered\n", answered);
-  int one = 0;
+  int newcomersAnswered = 0;
   for (auto& c : newcomers) {
-    std::string got = c->get(2);
-    one += got.find("53300") != std::string::npos || got.find("row") != std::string::npos;
+    std::string answer = c->get(2);
+    newcomersAnswered += answer.find("53300") != std::string::npos ||
+                         answer.find("row") != std::string::npos;
   }
-  std::printf("of the four: %d answered\n", one);
+  std::printf("of the four: %d answered\n", newcomersAnswered);
 }
 
-// A client for whom there is no place sends more behind its first request, as it is told so.
+// A client that is rejected because all sessions are in use pipelines more requests after the
+// rejection.
 void rejectedPipeline() {
-  constexpr int kPlaces = 27;
+  constexpr int kSessions = 27;
   FaultyMachine machine;
   Drive d(4, 64);
-  std::vector<std::unique_ptr<Client>> all;
-  std::string half = pg::query(Client::read("a")).substr(0, 20);
-  for (int k = 0; k < kPlaces; ++k) {
-    all.push_back(std::make_unique<Client>(d));
-    all.back()->send(pg::query(Client::read("slow700", 5000)) + half);
+  std::vector<std::unique_ptr<Client>> clients;
+  std::string halfQuery = pg::query(Client::read("a")).substr(0, 20);
+  for (int k = 0; k < kSessions; ++k) {
+    clients.push_back(std::make_unique<Client>(d));
+    clients.back()->send(pg::query(Client::read("slow700", 5000)) + halfQuery);
   }
   d.pass(100);
   Client rejected(d, false);
   rejected.send(pg::startup("web", "orders"));
-  std::string got = rejected.get(1);
+  std::string answer = rejected.get(1);
   for (int k = 0; k < 3; ++k) rejected.send(pg::query(Client::read("b")));
   d.pass(50);
-  std::printf("one too many: %s; %ld bytes of what it asked then were read\n", got.c_str(),
+  std::printf("one too many: %s; %ld bytes of what it asked then were read\n", answer.c_str(),
               machine.readAndDropped());
 }
 
-// Several clients wait in the kernel while nobody can be accepted: the time of each runs from when
-// it asked, also where what it sent is read in pieces.
+// Several clients wait in the kernel's accept queue while accept fails with ENFILE: the deadline of
+// each counts from when it sent its request, also if the request is read in pieces.
 void waitsToBeAccepted() {
   for (bool inPieces : {false, true}) {
     FaultyMachine machine;
     Drive d(1);
     machine.failsOften(Call::accept, ENFILE, 1024);
     if (inPieces) machine.failsOften(Call::shortReceive, 0, 1024);
-    int before = d.sent;
-    std::vector<std::unique_ptr<Client>> all;
+    int sentBefore = d.sent;
+    std::vector<std::unique_ptr<Client>> clients;
     for (int k = 0; k < 4; ++k) {
-      all.push_back(std::make_unique<Client>(d, false));
-      all.back()->send(pg::startup("web", "orders") + pg::query(Client::write("a", 400, "once")));
+      clients.push_back(std::make_unique<Client>(d, false));
+      clients.back()->send(pg::startup("web", "orders") +
+                           pg::query(Client::write("a", 400, "once")));
     }
     d.pass(700);
     machine.failsOften(Call::accept, ENFILE, 0);
     int refused = 0;
-    for (auto& c : all) refused += c->get(2).find("ERROR 53300") != std::string::npos;
+    for (auto& c : clients) refused += c->get(2).find("ERROR 53300") != std::string::npos;
     std::printf("four that waited longer than they would%s: %d refused, %d sent\n",
-                inPieces ? ", read in pieces" : "", refused, d.sent - before);
+                inPieces ? ", read in pieces" : "", refused, d.sent - sentBefore);
   }
 }
 
-// SIGTERM is seen late, as the front was held up: what comes later than 0.7 s after it may find no
-// answer before SIGKILL.
+// The proxy stalls and sees SIGTERM late. Requests that arrive later than 0.7 s after the signal
+// are refused, because they may not be answered before SIGKILL.
 void termSeenLate() {
   Drive d(1);
   Client c(d);
-  int before = d.sent;
+  int sentBefore = d.sent;
   c.send(pg::query(Client::read("slow1500", 5000)));
-  seen(d, before);
+  seen(d, sentBefore);
   d.stop();
   d.signal(SIGTERM);
-  TimePoint at = d.s.now();
+  TimePoint signalledAt = d.s.now();
   d.pass(140);
   d.goOn();
   d.until("it is told", [&] { return d.logged("phase=leaving"); });
-  d.until("it is late", [&] { return d.s.now() >= at + test::ms(720); });
+  d.until("it is late", [&] { return d.s.now() >= signalledAt + test::ms(720); });
   c.send(pg::query(Client::read("b")));
-  std::string got = c.get(2);
+  std::string answer = c.get(2);
   std::printf("asked 0.72 s after SIGTERM: %s\n",
-              got.find("value of b") == std::string::npos ? "refused" : "taken");
+              answer.find("value of b") == std::string::npos ? "refused" : "taken");
   c.socket->close();
   d.exits();
 }
--- a/tests/proxy/races_test.cpp
+++ b/tests/proxy/races_test.cpp
@@ -1,6 +1,7 @@
-// Bad orders of events, made to happen each time on real connections: the front is stopped, both
-// events are sent to it, and it goes on; or a peer acts on what it has seen. docs/races.md names
-// each pair. Nothing here waits for a time to pass but where the time is what is tested.
+// Races between two events, reproduced deterministically on real connections: the proxy is stopped,
+// both events are sent to it, and it continues; or a peer acts on what it has received.
+// docs/races.md names each pair. The tests only wait for time to pass where the time itself is
+// tested.
 #include <csignal>
 #include <cstdio>
 #include <functional>
@@ -23,14 +24,15 @@
 
 namespace {
 
-// A front whose client has had an answer.
-struct Served : Drive {
-  explicit Served(int stores) : Drive(stores), c(*this) { c.ask(Client::read("a")); }
+// A proxy and a client that has received an answer.
+struct DriveWithClient : Drive {
+  explicit DriveWithClient(int stores) : Drive(stores), c(*this) { c.ask(Client::read("a")); }
   Client c;
 };
 
-// The front stands still, with the list's word unread that a store drains.
-void drainUnread(
+// Stops the proxy, then marks a store as draining. Returns once the update is in the proxy's
+// receive buffer, unread. `before` runs after the stop and before the update.
+void stopWithDrainUnread(
     Drive& d, int store, const std::function<void()>& before = [] {}) {
   d.until("watched", [&] { return d.toy.watched(); });
   d.stop();
@@ -39,97 +41,98 @@
   comes(d, [&] { return d.faced(d.listPort()).unread > 0; });
 }
 
-// A request and its client's going come together: it has gone before the front read what it asked.
+// A request and its client's disconnect arrive together: the client has disconnected before the
+// proxy reads the request.
 void goesAtOnce() {
   for (bool resets : {false, true}) {
-    Served d(1);
-    Client leaves(d);
-    Seen its(d, "b");
+    DriveWithClient d(1);
+    Client leaving(d);
+    Seen executions(d, "b");
     d.stop();
-    leaves.send(pg::query(Client::read("b")));
-    resets ? leaves.reset() : leaves.socket->close();
+    leaving.send(pg::query(Client::read("b")));
+    resets ? leaving.reset() : leaving.socket->close();
     comes(d, [&] {
       return resets ? d.faced(d.port, true).open == 1 : d.faced(d.port, true).ended > 0;
     });
     d.goOn();
     d.c.ask(Client::read("c"));
     std::printf("one that asks and %s at once: %d sent of it\n", resets ? "resets" : "closes",
-                its.times);
+                executions.times);
   }
 }
 
-// More than the front reads ahead stands before the end.
+// A client's disconnect is behind more pipelined data than the proxy reads ahead.
 void goesBehindMuch() {
   Drive d(1);
-  Client other(d), leaves(d);
-  int before = d.sent;
-  std::string many = pg::query(Client::write("silent"));  // nothing goes beside a write
-  for (int k = 0; k < 400; ++k) many += pg::query(Client::read("more" + std::to_string(k)));
-  leaves.send(many);
-  seen(d, before);
-  leaves.socket->close();
-  bool left = d.until("it is withdrawn", [&] { return d.logged("sessions=1 "); });
-  std::printf("400 statements behind one that is out, and gone: withdrawn %s, %d sent\n", yes(left),
-              d.sent - before);
+  Client other(d), leaving(d);
+  int sentBefore = d.sent;
+  std::string requests = pg::query(Client::write("silent"));  // no statement runs beside a write
+  for (int k = 0; k < 400; ++k) requests += pg::query(Client::read("more" + std::to_string(k)));
+  leaving.send(requests);
+  seen(d, sentBefore);
+  leaving.socket->close();
+  bool isWithdrawn = d.until("it is withdrawn", [&] { return d.logged("sessions=1 "); });
+  std::printf("400 statements behind one that is out, and gone: withdrawn %s, %d sent\n",
+              yes(isWithdrawn), d.sent - sentBefore);
   other.asks("another one's", Client::read("a"));
 }
 
-// Its client leaves while a statement waits for room, for a connection, or for its next execution.
+// A client disconnects while its statement waits for a connection, or for its next execution.
 void goesWaiting() {
   {
-    Served d(1);
-    Client leaves(d);
+    DriveWithClient d(1);
+    Client leaving(d);
     d.holdBack(0);
-    Seen its(d, "b");
-    leaves.send(pg::query(Client::read("b")));
+    Seen executions(d, "b");
+    leaving.send(pg::query(Client::read("b")));
     d.until("the connection is dialled", [&] { return d.toy.holdsBack(0); });
-    leaves.socket->close();
+    leaving.socket->close();
     d.c.ask("");
     d.toy.hold(0, false);
     d.c.ask(Client::read("c"));
-    std::printf("gone while its connection was dialled: %d sent of it\n", its.times);
+    std::printf("gone while its connection was dialled: %d sent of it\n", executions.times);
   }
   Drive d(1);
-  Client other(d), leaves(d);
-  int before = d.sent;
-  Seen its(d, "slow50-ok");
-  leaves.send(pg::query(Client::read("slow50-ok")));
-  seen(d, before);
+  Client other(d), leaving(d);
+  int sentBefore = d.sent;
+  Seen executions(d, "slow50-ok");
+  leaving.send(pg::query(Client::read("slow50-ok")));
+  seen(d, sentBefore);
   d.stop();
   d.toy.kill(0);
   d.toy.revive(0);
-  leaves.socket->close();
+  leaving.socket->close();
   comes(d, [&] { return d.faced(d.toy.port(0)).ended > 0 && d.faced(d.port, true).ended > 0; });
   d.goOn();
   d.until("another's is completed",
           [&] { return other.ask(Client::read("c")).find("row") != std::string::npos; });
   std::printf("gone as its execution's connection broke: %d sent of it after that\n",
-              its.times - 1);
+              executions.times - 1);
 }
 
-// A repeat within its window whose connection comes up after the window.
+// A retry begins within the deduplication window, and its connection is established after it.
 void windowEdge() {
   edits = {{"\"repeat_window\":3000000", "\"repeat_window\":400000"},
            {"\"connect_timeout\":250000", "\"connect_timeout\":2000000"}};
-  Served d(1);
-  // What else is open there must not take the repeat.
-  Seen its(d, "break-ok", [&] { d.toy.hold(0, true), d.toy.closeIdle(0); });
+  DriveWithClient d(1);
+  // Other open connections to the store must not receive the retry.
+  Seen executions(d, "break-ok", [&] { d.toy.hold(0, true), d.toy.closeIdle(0); });
   d.toy.closeIdle(0);
   d.c.send(pg::query(Client::write("break-ok", 6000)));
   d.until("it was taken",
-          [&] { return its.times > 0; });  // and its connection ended in the same step
+          [&] { return executions.times > 0; });  // its connection was closed in the same step
   d.until("the repeat's connection is dialled", [&] { return d.toy.holdsBack(0); });
   d.pass(600);
   d.toy.hold(0, false);
-  std::string got = d.c.get();
-  std::printf("a repeat whose connection came up too late: %s; %d sent\n", got.c_str(), its.times);
+  std::string answer = d.c.get();
+  std::printf("a repeat whose connection came up too late: %s; %d sent\n", answer.c_str(),
+              executions.times);
 }
 
-// A bounded read waits for its connection to the primary; meanwhile an answer tells that it is none
-// any more.
+// A bounded read waits for its connection to the primary; meanwhile an answer reports that this
+// store is no longer the primary.
 void roleLost() {
-  // The SLO time is long: the read waits until the new primary is found, however slow this machine
-  // is.
+  // The SLO is long, so that the read waits until the new primary is found even on a slow machine.
   edits = {{"\"lag_allowed\":[0,20000000", "\"lag_allowed\":[0,200000"},
            {"\"near\",\"repeat\":\"repeatable\",\"slo\":500000",
             "\"near\",\"repeat\":\"repeatable\",\"slo\":5000000"},
@@ -139,14 +142,14 @@
   Client c(d), other(d);
   c.ask(Client::write("a"));
   d.until("bounded reads go to the primary", [&] {
-    int had = d.toy.executions(0);
+    int executionsBefore = d.toy.executions(0);
     c.ask(Client::read("b", 3000, "near"));
-    return d.toy.executions(0) > had;
+    return d.toy.executions(0) > executionsBefore;
   });
   d.toy.promote(1), d.toy.lag(0, ms(60'000)), d.toy.lag(1, ms(0));
-  Seen its(d, "slow300");
+  Seen executions(d, "slow300");
   c.send(pg::query(Client::read("slow300", 3000, "near")));
-  d.until("one is out there", [&] { return its.times > 0; });
+  d.until("one is out there", [&] { return executions.times > 0; });
   d.toy.hold(0, true), d.toy.closeIdle(0);
   d.until("no connection rests there", [&] { return d.toy.connections(0) == 1; });
   d.toy.seen = [](int store, const std::string& text) {
@@ -154,36 +157,36 @@
   };
   other.send(pg::query(Client::read("waits", 12'000, "near")));
   d.until("its connection is dialled", [&] { return d.toy.holdsBack(0); });
-  c.get();                    // by which it is a replica, and its connection is free
-  c.ask(Client::write("c"));  // finds the new one
-  std::string got = other.get();
-  std::printf("a bounded read whose primary lost the role meanwhile: %s\n", got.c_str());
+  c.get();                    // reports that store 0 is a replica; its connection is free
+  c.ask(Client::write("c"));  // finds the new primary
+  std::string answer = other.get();
+  std::printf("a bounded read whose primary lost the role meanwhile: %s\n", answer.c_str());
 }
 
-// The last bytes of an idle connection come with its end, as a statement comes that must not run
-// twice.
+// A store closes an idle connection, with or without last bytes, as a statement arrives that must
+// not run twice.
 void endsWithWord() {
   for (const auto& [what, bytes] : {std::pair<const char*, std::string>{"nothing", ""},
                                     {"a parameter", pg::parameter("server_role", "writer")},
                                     {"half a line", std::string("S\0\0", 3)}}) {
-    Served d(1);
-    int before = d.sent;
+    DriveWithClient d(1);
+    int sentBefore = d.sent;
     d.stop();
-    int open = static_cast<int>(d.toy.connections(0));
+    int openBefore = static_cast<int>(d.toy.connections(0));
     d.toy.closeIdle(0, bytes);
-    comes(d, [&] { return d.faced(d.toy.port(0)).ended >= open; });
+    comes(d, [&] { return d.faced(d.toy.port(0)).ended >= openBefore; });
     d.c.send(pg::query(Client::write("b", 3000, "once")));
     d.goOn();
-    std::string got = d.c.get();
-    std::printf("an idle connection that ends with %s: %s; %d sent\n", what, got.c_str(),
-                d.sent - before);
+    std::string answer = d.c.get();
+    std::printf("an idle connection that ends with %s: %s; %d sent\n", what, answer.c_str(),
+                d.sent - sentBefore);
   }
 }
 
-// SIGTERM between a request's coming and its sending, and while its connection is dialled.
+// SIGTERM after a request has arrived and before it is sent, and while its connection is dialled.
 void termBetween() {
   {
-    Served d(1);
+    DriveWithClient d(1);
     d.stop();
     d.c.send(pg::query(Client::write("b", 3000, "once")));
     comes(d, [&] { return d.faced(d.port, true).unread > 0; });
@@ -192,7 +195,7 @@
     std::printf("SIGTERM with a request unread: %s\n", d.c.get().c_str());
     d.exits();
   }
-  Served d(1);
+  DriveWithClient d(1);
   d.holdBack(0);
   d.c.send(pg::query(Client::write("b", 3000, "once")));
   d.until("the connection is dialled", [&] { return d.toy.holdsBack(0); });
@@ -203,14 +206,14 @@
   d.exits();
 }
 
-// One that is owed an answer asks again long after SIGTERM: it is told so, as it could lose what it
-// asked.
+// A client with a pending answer sends another request long after SIGTERM: the request is refused
+// explicitly, because it could otherwise be lost.
 void termAsksAgain() {
   Drive d(1);
   Client c(d);
-  int before = d.sent;
+  int sentBefore = d.sent;
   c.send(pg::query(Client::read("slow1500", 5000)));
-  seen(d, before);
+  seen(d, sentBefore);
   d.signal(SIGTERM);
   d.until("it closes", [&] { return d.logged("phase=closing"); });
   d.pass(300);
@@ -221,8 +224,8 @@
   d.exits();
 }
 
-// A request on a resting connection in the moment in which that is shut; one that came before is
-// answered.
+// A request arrives on an idle connection just as the proxy shuts it; a request that arrived before
+// is answered.
 void restingShut() {
   Drive d(1);
   Client early(d), late(d);
@@ -230,15 +233,15 @@
   d.signal(SIGTERM);
   d.until("leaving", [&] { return d.logged("phase=leaving"); });
   d.stop();
-  d.pass(700);  // the time to close has come while it stood still
+  d.pass(700);  // the time to close passes while the proxy is stopped
   early.send(pg::query(Client::read("c")));
   comes(d, [&] { return d.faced(d.port, true).unread > 0; });
-  Seen its(d, "d");
+  Seen executions(d, "d");
   d.goOn();
-  std::string got = early.get(1);
-  bool one = got == "row 'value of c', ready" || got == "ERROR 53300, ready" ||
-             got == "FATAL 57P03, closed";
-  std::printf("asked before it was shut: %s\n", one ? "one answer" : got.c_str());
+  std::string answer = early.get(1);
+  bool isOneAnswer = answer == "row 'value of c', ready" || answer == "ERROR 53300, ready" ||
+                     answer == "FATAL 57P03, closed";
+  std::printf("asked before it was shut: %s\n", isOneAnswer ? "one answer" : answer.c_str());
   std::printf("then: %s\n", early.get(1).c_str());
   std::printf("one that rests: %s\n", late.get(1).c_str());
   late.send(pg::query(Client::read("d")));
@@ -246,28 +249,28 @@
   int error = -1;
   socklen_t size = sizeof error;
   getsockopt(late.socket->fd(), SOL_SOCKET, SO_ERROR, &error, &size);
-  std::printf("asked as it was shut: %d sent, reset %s\n", its.times, yes(error != 0));
+  std::printf("asked as it was shut: %d sent, reset %s\n", executions.times, yes(error != 0));
   late.socket->close(), early.socket->close();
   d.exits();
 }
 
-// What a watch has brought counts as told, though a signal moves the list elsewhere in the same
-// moment.
+// An update that a watch has returned counts as received, even if SIGHUP moves the endpoint list to
+// another address at the same moment.
 void moves() {
-  for (bool silent : {true, false}) {
-    Served d(2);
+  for (bool isSilent : {true, false}) {
+    DriveWithClient d(2);
     toy::Toy moved(d.s);
     moved.addStore(true, 7);
     int port = moved.serveList();
-    moved.silenceList(silent);
-    // The signal comes before the watch's answer, so that it is taken first.
-    drainUnread(d, 1, [&] { d.configure(port), d.signal(SIGHUP); });
+    moved.silenceList(isSilent);
+    // The signal is sent before the watch's answer, so that it is handled first.
+    stopWithDrainUnread(d, 1, [&] { d.configure(port), d.signal(SIGHUP); });
     d.goOn();
-    bool told = d.until("the change is heard",
-                        [&] { return d.logged("id=toy-1 group=7 state=draining"); });
+    bool isReceived = d.until("the change is heard",
+                              [&] { return d.logged("id=toy-1 group=7 state=draining"); });
     std::printf("SIGHUP while a watch brings a drain, the new service %s: heard %s\n",
-                silent ? "silent" : "answers", yes(told));
-    if (silent) {
+                isSilent ? "silent" : "answers", yes(isReceived));
+    if (isSilent) {
       d.toy.setState(1, "removed");
       std::printf("the old watch goes on meanwhile: %s\n",
                   yes(d.until("heard", [&] { return d.logged("state=gone"); })));
@@ -278,16 +281,16 @@
   }
 }
 
-// All times of the list stand far apart but for the grace, so that only calls made at once are in
-// time.
-void slowButForGrace() {
+// Makes all times for fetching the endpoint list long except for stop_sending_within, so that only
+// a call that is made at once is in time.
+void lengthenListTimes() {
   edits = {{"\"connect_timeout\":250000", "\"connect_timeout\":8000000"},
            {"\"ask_every\"", "\"stop_sending_within\":500000,\"ask_every\""}};
 }
 
 void watchReset() {
-  slowButForGrace();
-  Served d(2);
+  lengthenListTimes();
+  DriveWithClient d(2);
   d.until("watched", [&] { return d.toy.watched(); });
   d.stop();
   d.toy.resetList();
@@ -301,7 +304,7 @@
 }
 
 void listAway() {
-  slowButForGrace();
+  lengthenListTimes();
   Drive d(2);
   int port = d.listPort();
   d.toy.closeList();
@@ -315,9 +318,9 @@
               d.s.now() - since < ms(3000) ? "at once" : "late");
 }
 
-// The service takes calls and stays silent, and has a drain as it speaks again.
+// The list service accepts calls without answering; when it answers again, it reports a drain.
 void listSilent() {
-  slowButForGrace();
+  lengthenListTimes();
   Drive d(2);
   d.until("watched", [&] { return d.toy.watched(); });
   d.toy.silenceList(true);
@@ -345,13 +348,13 @@
   for (const char* kind :
        {"HTTP/1.1 100 Continue\r\n\r\n", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"}) {
     Drive d(2);
-    std::string many = kind;
-    bool interim = many.find("100") != std::string::npos;
-    for (std::string one = interim ? many : "1;" + std::string(1000, 'x') + "\r\n{\r\n";
-         many.size() < (8u << 20);)
-      many += one;
+    std::string response = kind;
+    bool isInterim = response.find("100") != std::string::npos;
+    for (std::string part = isInterim ? response : "1;" + std::string(1000, 'x') + "\r\n{\r\n";
+         response.size() < (8u << 20);)
+      response += part;
     Client c(d);
-    d.toy.spoilList(many);
+    d.toy.spoilList(response);
     d.toy.setState(1, "draining");
     c.asks("while the list's answer does not end", Client::read("a"));
     d.until("given up", [&] {
@@ -366,9 +369,9 @@
   Drive d(1);
   Client c(d), other(d);
   TimePoint since = d.s.now();
-  int before = d.sent;
+  int sentBefore = d.sent;
   c.send(pg::query(Client::write("endless", 20'000, "once")));
-  seen(d, before);
+  seen(d, sentBefore);
   other.asks("while a store's answer does not end", Client::read("a"));
   std::printf("an answer without end: %s, ", c.get().c_str());
   std::printf("%s\n", d.s.now() - since < ms(10'000) ? "long before its client's time" : "late");
@@ -376,7 +379,7 @@
   std::printf("logged: %s\n", yes(d.logged("upstream_protocol_error")));
 }
 
-// A connection that comes up late, or never.
+// Connections to a store that are established late or never.
 void dials() {
   Drive d(2);
   Client c(d);
@@ -389,76 +392,78 @@
   std::printf("connections that wait there: %s\n", d.toy.connections(1) < 4 ? "few" : "many");
   d.pass(1500);
   d.toy.hold(1, false);
-  int had = d.toy.executions(1);
-  bool back = d.until("it is used again",
-                      [&] { return c.ask(Client::read("b")), d.toy.executions(1) > had; });
-  std::printf("once they come up: used again %s\n", yes(back));
+  int executionsBefore = d.toy.executions(1);
+  bool isUsedAgain = d.until("it is used again", [&] {
+    return c.ask(Client::read("b")), d.toy.executions(1) > executionsBefore;
+  });
+  std::printf("once they come up: used again %s\n", yes(isUsedAgain));
 }
 
-// A drain comes together with what would bring a statement to that store.
+// A drain arrives together with an event that would send a statement to that store.
 void drainsEverywhere() {
   {
     Drive d(2);
     Client c(d);
     while (d.toy.executions(1) == 0) c.ask(Client::read("a"));
-    int had = d.toy.executions(1);
-    drainUnread(d, 1);
+    int executionsBefore = d.toy.executions(1);
+    stopWithDrainUnread(d, 1);
     c.send(pg::query(Client::read("b")));
     d.goOn();
     c.get();
     std::printf("a drain and a request, a connection in the pool: %d sent there\n",
-                d.toy.executions(1) - had);
+                d.toy.executions(1) - executionsBefore);
   }
   {
     Drive d(2);
     Client c(d), other(d);
     while (d.toy.executions(1) == 0) c.ask(Client::read("a"));
-    int had = d.toy.executions(1), before = d.sent;
-    // One is out at each store; the replica's connection breaks as it drains, and its statement
-    // needs another.
+    int executionsBefore = d.toy.executions(1), sentBefore = d.sent;
+    // One statement is in flight at each store. The replica's connection breaks as the replica
+    // drains, and its statement needs another execution.
     other.send(pg::query(Client::read("slow300-slow300")));
     c.send(pg::query(Client::read("slow300-ok")));
-    d.until("both are out", [&] { return d.sent >= before + 2; });
-    int out = d.toy.executions(1) - had;
-    drainUnread(d, 1);
+    d.until("both are out", [&] { return d.sent >= sentBefore + 2; });
+    int inFlight = d.toy.executions(1) - executionsBefore;
+    stopWithDrainUnread(d, 1);
     d.toy.kill(1), d.toy.revive(1);
     comes(d, [&] { return d.faced(d.toy.port(1)).ended > 0 && d.faced(d.toy.port(1)).open == 0; });
     d.goOn();
     c.get(), other.get();
     std::printf("a drain between two executions: %d more sent there\n",
-                d.toy.executions(1) - had - out);
+                d.toy.executions(1) - executionsBefore - inFlight);
   }
-  Served d(1);
+  DriveWithClient d(1);
   d.holdBack(0);
-  int had = d.toy.executions(0);
+  int executionsBefore = d.toy.executions(0);
   d.c.send(pg::query(Client::write("b", 1500, "once")));
   d.until("the connection is dialled", [&] { return d.toy.holdsBack(0); });
-  drainUnread(d, 0);
+  stopWithDrainUnread(d, 0);
   d.toy.hold(0, false);
   comes(d, [&] { return d.faced(d.toy.port(0)).unread > 0; });
   d.goOn();
   std::printf("a drain as the connection comes up: %s", d.c.get().c_str());
-  std::printf("; %d sent there\n", d.toy.executions(0) - had);
+  std::printf("; %d sent there\n", d.toy.executions(0) - executionsBefore);
 }
 
-// The answer and the end of its client's time come together: one final answer, and the next
+// The store's answer and the deadline coincide: the client gets one final answer, and the next
 // statement gets its own.
 void answerAtDeadline() {
-  Served d(1);
-  int before = d.sent;
+  DriveWithClient d(1);
+  int sentBefore = d.sent;
   d.c.send(pg::query(Client::write("slow100", 600, "once")));
-  seen(d, before);
+  seen(d, sentBefore);
   d.stop();
   comes(d, [&] { return d.faced(d.toy.port(0)).unread > 0; });
   d.pass(700);
   d.goOn();
-  std::string got = d.c.get();
-  bool one = got == "row 'value of slow100', ready" || got == "ERROR 57014, ready";
-  std::printf("an answer at the end of its time: %s\n", one ? "one" : got.c_str());
+  std::string answer = d.c.get();
+  bool isOneAnswer = answer == "row 'value of slow100', ready" || answer == "ERROR 57014, ready";
+  std::printf("an answer at the end of its time: %s\n", isOneAnswer ? "one" : answer.c_str());
   d.c.asks("the next one gets its own", Client::read("b"));
 }
 
-// Much stands unread as a client is told its last word.
+// The proxy sends a fatal error and closes while much of the client's data is unread: the client
+// receives the error, without a reset.
 void lastWord() {
   Drive d(1);
   Client c(d);
@@ -469,82 +474,85 @@
   other.asks("another one's", Client::read("a"));
 }
 
-// A client that reads slowly has its answer for as long as it waits; one that reads nothing holds
-// its place no longer.
+// A client that reads slowly gets its answer until its deadline; a client that reads nothing is
+// closed after its deadline.
 void readsSlowly() {
   Drive d(1, 256, "automatic", "", false, 64,
-          "600000");  // connections rest shorter than clients wait
-  Client slow(d, true, true), never(d, true, true);
-  int before = d.sent;
+          "600000");  // the keepalive is shorter than the clients' deadlines
+  Client slow(d, true, true), nonReading(d, true, true);
+  int sentBefore = d.sent;
   slow.send(pg::query(Client::read("big700000")));
-  seen(d, before);
-  d.pass(1200);  // twice that
-  std::string got = slow.get();
-  std::printf("it reads after twice that time: %s\n", got.substr(0, 8).c_str());
-  never.send(pg::query(Client::read("big700000", 900)));
-  bool ended = d.until("it is ended", [&] { return d.logged("sessions=1 "); });
-  std::printf("one that reads nothing is ended: %s\n", yes(ended));
+  seen(d, sentBefore);
+  d.pass(1200);  // twice the keepalive
+  std::string answer = slow.get();
+  std::printf("it reads after twice that time: %s\n", answer.substr(0, 8).c_str());
+  nonReading.send(pg::query(Client::read("big700000", 900)));
+  bool isClosed = d.until("it is ended", [&] { return d.logged("sessions=1 "); });
+  std::printf("one that reads nothing is ended: %s\n", yes(isClosed));
 }
 
-// The rest of a request comes behind a client for whom there is no room but its own.
+// The rest of a request arrives behind a new client that only fits if the sender of that request is
+// closed.
 void roomForOne() {
   Drive d(1, 64);
   Client slow(d);
   slow.ask(Client::read("a"));
-  std::string text = pg::query(Client::write("b", 3000, "once"));
-  slow.send(text.substr(0, 20));
-  std::vector<std::unique_ptr<Client>> silent;
-  for (int k = 0; k < 26; ++k) silent.push_back(std::make_unique<Client>(d));
-  d.pass(100);  // all have been silent for long enough
+  std::string request = pg::query(Client::write("b", 3000, "once"));
+  slow.send(request.substr(0, 20));
+  std::vector<std::unique_ptr<Client>> idle;
+  for (int k = 0; k < 26; ++k) idle.push_back(std::make_unique<Client>(d));
+  d.pass(100);  // all have been idle for long enough to be closed
   d.stop();
-  Client last(d, false);
-  last.send(pg::startup("web", "orders") + pg::query(Client::read("c")));
-  slow.send(text.substr(20));
+  Client newcomer(d, false);
+  newcomer.send(pg::startup("web", "orders") + pg::query(Client::read("c")));
+  slow.send(request.substr(20));
   comes(d, [&] { return d.faced(d.port, true).unread > 0; });
   d.goOn();
   std::printf("the rest of a request, behind one that needs room: %s\n", slow.get().c_str());
-  std::printf("that one: %s\n", last.get(2).c_str());
+  std::printf("that one: %s\n", newcomer.get(2).c_str());
 }
 
-// Connections that the kernel has taken in and the front has not, as it is told to end: they wait
-// for the list.
+// SIGTERM while connections that the kernel has established are not yet accepted by the proxy,
+// which waits for its first endpoint list.
 void termUnaccepted() {
   edits = {{"\"connect_timeout\":250000", "\"connect_timeout\":2000000"}};
   Drive d(1);
   d.toy.silenceList(true), d.awaitsList = false;
   d.killAndStart();
-  Client asks(d, false), silent(d, false);
-  asks.send(pg::startup("web", "orders") + pg::query(Client::write("b", 3000, "once")));
+  Client requesting(d, false), silent(d, false);
+  requesting.send(pg::startup("web", "orders") + pg::query(Client::write("b", 3000, "once")));
   silent.send(pg::startup("web", "orders"));
   d.signal(SIGTERM);
-  std::printf("one that has asked: %s\n", asks.get(2).c_str());
+  std::printf("one that has asked: %s\n", requesting.get(2).c_str());
   std::printf("one that has not: %s\n", silent.get(2).c_str());
   d.exits();
 }
 
-// A process that starts waits for its first list; the time of its clients runs meanwhile.
+// A process that starts waits for its first endpoint list; the deadlines of its clients run
+// meanwhile.
 void startsUnheard() {
   constexpr int kDeadlineMs = 300;
-  constexpr int kStillOwedMs = 500;  // after its time an answer earns nothing; later it is lost
+  // An answer after the deadline has no value; one that is later than this counts as lost.
+  constexpr int kLossDelayMs = 500;
   edits = {{"\"connect_timeout\":250000", "\"connect_timeout\":2000000"}};
   Drive d(1);
   d.toy.silenceList(true), d.awaitsList = false;
   d.killAndStart();
-  int before = d.sent;
+  int sentBefore = d.sent;
   Client hurried(d, false), patient(d, false);
-  TimePoint asked = d.s.now();
+  TimePoint sentAt = d.s.now();
   hurried.send(pg::startup("web", "orders") + pg::query(Client::read("a", kDeadlineMs)));
   patient.send(pg::startup("web", "orders") + pg::query(Client::write("b", 9'000, "once")));
-  std::string got = hurried.get(2);
-  bool inTime = d.s.now() - asked <= ms(kDeadlineMs + kStillOwedMs);
-  std::printf("asked for 0.3 s, the list silent: %s, in time %s, %d sent\n", test::outcomeOf(got),
-              yes(inTime), d.sent - before);
+  std::string answer = hurried.get(2);
+  bool isInTime = d.s.now() - sentAt <= ms(kDeadlineMs + kLossDelayMs);
+  std::printf("asked for 0.3 s, the list silent: %s, in time %s, %d sent\n",
+              test::outcomeOf(answer), yes(isInTime), d.sent - sentBefore);
   d.toy.silenceList(false);
   std::printf("asked for 9 s: %s\n", patient.get(2).c_str());
 }
 
-// Idle clients hold all places while the list's service is away; it and the stores are reached all
-// the same.
+// Idle clients use all client connections while the list service is unreachable: the proxy still
+// connects to the service and to the stores.
 void fullHouse() {
   Drive d(2, 64);
   Client first(d);
@@ -562,9 +570,10 @@
   d.toy.serveList(static_cast<std::uint16_t>(port));
   std::printf("the service is heard at its return: %s\n",
               yes(d.until("told", [&] { return d.logged("state=draining"); })));
-  int had = d.toy.executions(1);
+  int executionsBefore = d.toy.executions(1);
   idle.back()->ask(Client::read("c"));
-  std::printf("and heeded: %d sent to the one that drains\n", d.toy.executions(1) - had);
+  std::printf("and heeded: %d sent to the one that drains\n",
+              d.toy.executions(1) - executionsBefore);
 }
 
 const Case kCases[] = {{"goesAtOnce", goesAtOnce},
