--- a/tests/proxy/proxy_test.cpp
+++ b/tests/proxy/proxy_test.cpp
@@ -1,5 +1,6 @@
-// The whole front on loopback, a process of its own, against the toy of example/. Prints what
-// clients got and what the stores saw; no line depends on how fast the machine is.
+// Tests of the whole proxy as a separate process on loopback, with the toy of example/ as its
+// stores and endpoint list. Prints what clients received and what the stores received; no line
+// depends on the speed of the machine.
 #include <fcntl.h>
 #include <sys/socket.h>
 #include <sys/wait.h>
@@ -51,36 +52,37 @@
   std::printf("Terminate: %s\n", ssl.get().c_str());
 }
 
-// Each on a front of its own, so that none bears another's blocks and limits.
+// Each key has a proxy of its own, so that no case is affected by the ejections and limits of
+// another.
 void outcomes() {
   for (const char* key : {"error-ok", "full-ok", "miss-ok", "break-ok", "silent-ok", "half-ok",
                           "garbage-ok", "twice-ok", "long-ok", "away-ok"}) {
     Drive d(3);
     Client c(d);
     for (int k = 0; k < 40; ++k)
-      c.ask(Client::read("ok"));  // these earn the second execution of a silent one
+      c.ask(Client::read("ok"));  // these earn the budget for a second execution of silent-ok
     c.asks(key, Client::read(key));
   }
   Drive d(3);
-  Drive one(1);
-  Client c(one);
+  Drive single(1);
+  Client c(single);
   c.asks("more than was asked for", Client::read("more"));
   c.asks("the next one gets its own", Client::read("ok"));
   std::printf("full everywhere: %s\n", Client(d).ask(Client::read("full")).c_str());
 }
 
 void writes() {
-  auto one = [](const char* what, const std::string& text) {
+  auto printWrite = [](const char* what, const std::string& text) {
     Drive d(1);
     Client(d).asks(what, text);
   };
-  one("may have run, its group drops repeats", Client::write("error-ok"));
-  one("must not run twice, may have run", Client::write("error-ok", 3000, "once"));
-  one("must not run twice, its connection broke", Client::write("break-ok", 3000, "once"));
-  one("must not run twice, never ran", Client::write("full-ok", 3000, "once"));
-  one("a store's 57P03 does not become a rejection", Client::write("away", 3000, "once"));
-  one("no answer in its time", Client::write("silent", 500, "once"));
-  one("garbage for an answer", Client::write("garbage", 3000, "once"));
+  printWrite("may have run, its group drops repeats", Client::write("error-ok"));
+  printWrite("must not run twice, may have run", Client::write("error-ok", 3000, "once"));
+  printWrite("must not run twice, its connection broke", Client::write("break-ok", 3000, "once"));
+  printWrite("must not run twice, never ran", Client::write("full-ok", 3000, "once"));
+  printWrite("a store's 57P03 does not become a rejection", Client::write("away", 3000, "once"));
+  printWrite("no answer in its time", Client::write("silent", 500, "once"));
+  printWrite("garbage for an answer", Client::write("garbage", 3000, "once"));
 }
 
 void connections() {
@@ -97,35 +99,35 @@
   d.until("the list's change is read", [&] { return d.logged("version=2"); });
   c.asks("it is back", Client::read("e"));
   Client other(d);
-  int before = d.sent;
+  int sentBefore = d.sent;
   c.send(pg::query(Client::read("slow200")));
-  d.until("it is out", [&] { return d.sent > before; });
+  d.until("it is out", [&] { return d.sent > sentBefore; });
   c.socket->close();
   d.pass(400);
-  std::printf("a client left in the middle: %d sent\n", d.sent - before);
+  std::printf("a client left in the middle: %d sent\n", d.sent - sentBefore);
   other.asks("another one's", Client::read("f"));
 }
 
 void drains() {
   Drive d(2);
   Client c(d);
-  auto count = [&](const char* what) {
-    int had = d.toy.executions(1);
+  auto printReplicaShare = [&](const char* what) {
+    int executionsBefore = d.toy.executions(1);
     for (int k = 0; k < 5; ++k) c.ask(Client::read("a"));
-    std::printf("%s: the replica gets %d of 5\n", what, d.toy.executions(1) - had);
+    std::printf("%s: the replica gets %d of 5\n", what, d.toy.executions(1) - executionsBefore);
   };
-  count("both up");
+  printReplicaShare("both up");
   d.toy.setState(1, "draining");
   d.until("told", [&] { return d.logged("version=2"); });
-  count("it drains");
+  printReplicaShare("it drains");
   d.toy.setState(1, "removed");
   d.until("told", [&] { return d.logged("version=3"); });
-  count("it is gone");
+  printReplicaShare("it is gone");
   d.toy.setState(1, "up");
   d.until("told", [&] { return d.logged("version=4"); });
-  count("up again");
+  printReplicaShare("up again");
   d.toy.hold(1, true), d.toy.closeIdle(1);
-  int had = d.toy.executions(1);
+  int executionsBefore = d.toy.executions(1);
   c.send(pg::query(Client::read("b")));
   d.pass(20);
   d.toy.setState(1, "draining");
@@ -133,21 +135,22 @@
   d.toy.hold(1, false);
   std::printf("it drains while a statement waits for its connection: %s\n", c.get().c_str());
   d.pass(100);
-  std::printf("sent to it then: %d\n", d.toy.executions(1) - had);
+  std::printf("sent to it then: %d\n", d.toy.executions(1) - executionsBefore);
   d.toy.setState(1, "up");
   d.until("told", [&] { return d.logged("version=6"); });
-  for (const char* raw : {"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nnone",
-                          "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n",
-                          "HTTP/1.1 200 OK\r\nContent-Length: "
-                          "47\r\n\r\n{\"version\":9,\"full\":true,\"servers\":[{\"id\":\"x\"}]}"}) {
+  for (const char* response :
+       {"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nnone",
+        "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n",
+        "HTTP/1.1 200 OK\r\nContent-Length: "
+        "47\r\n\r\n{\"version\":9,\"full\":true,\"servers\":[{\"id\":\"x\"}]}"}) {
     d.log.clear();
-    d.toy.spoilList(raw);
+    d.toy.spoilList(response);
     d.toy.setState(1, "up");
     std::printf(
         "a broken list is %s\n",
         d.until("logged", [&] { return d.logged("discovery_invalid_response"); }) ? "logged" : "?");
     d.until("the next call", [&] { return d.logged(" endpoints_updated version="); });
-    count("and the next call brings");
+    printReplicaShare("and the next call brings");
   }
 }
 
@@ -160,12 +163,13 @@
   d.toy.spoilList("nonsense\r\n\r\n");
   d.toy.setState(1, "up");
   d.until("the watch breaks", [&] { return d.logged("discovery_invalid_response"); });
-  bool told = d.until("told", [&] { return d.logged("version=3"); });
-  std::printf("a broken watch is asked for anew: %s\n", told ? "yes" : "no");
+  bool isReceived = d.until("told", [&] { return d.logged("version=3"); });
+  std::printf("a broken watch is asked for anew: %s\n", isReceived ? "yes" : "no");
   Client(d).asks("and a read", Client::read("a"));
 }
 
-// What the list's agent has counts as told, whatever becomes of the call that would bring it.
+// A change counts as reported once the list service has it, whether or not the call that would
+// return it succeeds.
 void toldAnyway() {
   Drive d(2);
   d.toy.indentList(true);
@@ -173,27 +177,27 @@
   std::printf("a list with a line for each part: %s\n",
               d.until("told", [&] { return d.logged("version=2"); }) ? "read" : "?");
   d.toy.indentList(false);
-  auto silenced = [&](const char* state, const char* line) {
+  auto changeWhileSilent = [&](const char* state, const char* logText) {
     d.pass(50);
     d.toy.silenceList(true);
     d.toy.setState(1, state);
     TimePoint since = d.s.now();
     d.pass(200);
     d.toy.silenceList(false);
-    d.until("told", [&] { return d.logged(line); });
+    d.until("told", [&] { return d.logged(logText); });
     return d.s.now() - since < ms(6000) ? "told before that counts" : "told too late";
   };
-  std::printf("a watch that falls silent: %s\n", silenced("up", "version=3"));
-  std::printf("and the one after it: %s\n", silenced("draining", "version=4"));
+  std::printf("a watch that falls silent: %s\n", changeWhileSilent("up", "version=3"));
+  std::printf("and the one after it: %s\n", changeWhileSilent("draining", "version=4"));
   d.toy.setState(1, "up");
   d.until("told", [&] { return d.logged("version=5"); });
   d.known = d.toy.roster(), d.awaitsList = false;
   d.toy.setState(1, "draining");
   d.toy.delayList(ms(150));
   d.killAndStart();
-  int had = d.toy.executions(1);
+  int executionsBefore = d.toy.executions(1);
   Client(d).asks("a new process, the list known from before out of date", Client::read("a"));
-  std::printf("the store that drains got %d of it\n", d.toy.executions(1) - had);
+  std::printf("the store that drains got %d of it\n", d.toy.executions(1) - executionsBefore);
 }
 
 void logStands() {
@@ -230,46 +234,47 @@
   Client startup(d, false);
   startup.send(std::string("\0\0\0\2", 4));
   std::printf("a startup without sense: %s\n", startup.get().c_str());
-  Client old(d, false);
-  old.send(std::string("\0\0\0\x08\0\2\0\0", 8));
-  std::printf("version 2: %s\n", old.get().c_str());
+  Client oldVersion(d, false);
+  oldVersion.send(std::string("\0\0\0\x08\0\2\0\0", 8));
+  std::printf("version 2: %s\n", oldVersion.get().c_str());
   std::printf("%d were sent in all\n", d.sent);
   Client flood(d);
-  std::string many;
-  for (int k = 0; k < 100'000; ++k) many += pg::query("");
-  flood.socket->write(many);
+  std::string queries;
+  for (int k = 0; k < 100'000; ++k) queries += pg::query("");
+  flood.socket->write(queries);
   c.asks("while another sends without end", Client::read("d"));
   c.asks("the first connection still serves", Client::read("c"));
 }
 
 void crowd() {
   Drive d(2, 64);
-  std::vector<std::unique_ptr<Client>> many;
-  for (int k = 0; k < 60; ++k) many.push_back(std::make_unique<Client>(d));
+  std::vector<std::unique_ptr<Client>> clients;
+  for (int k = 0; k < 60; ++k) clients.push_back(std::make_unique<Client>(d));
   int closed = 0;
-  for (auto& c : many) {
+  for (auto& c : clients) {
     std::string in;
     closed += c->socket->read(in, 10) == Socket::ReadStatus::closed;
   }
   std::printf("60 idle connections: %s were closed, the last one serves: %s\n",
-              closed > 0 ? "some" : "none", many.back()->ask(Client::read("a")).c_str());
-  std::printf("the first: %s\n", many.front()->get().c_str());
-  many.clear();
+              closed > 0 ? "some" : "none", clients.back()->ask(Client::read("a")).c_str());
+  std::printf("the first: %s\n", clients.front()->get().c_str());
+  clients.clear();
   d.pass(50);
   for (int k = 0; k < 40; ++k) {
-    many.push_back(std::make_unique<Client>(d, false));
-    many.back()->send(pg::startup("web", "orders") + pg::query(Client::read("slow500", 5000)));
+    clients.push_back(std::make_unique<Client>(d, false));
+    clients.back()->send(pg::startup("web", "orders") + pg::query(Client::read("slow500", 5000)));
   }
   int served = 0, refused = 0, other = 0;
-  for (auto& c : many) {
-    std::string got = c->get(2);
-    bool row = got.find("row 'value of slow500'") != std::string::npos;
-    served += row, refused += !row && got.find("53300") != std::string::npos;
-    if (!row && got.find("53300") == std::string::npos) ++other, std::printf("%s\n", got.c_str());
+  for (auto& c : clients) {
+    std::string answer = c->get(2);
+    bool hasRow = answer.find("row 'value of slow500'") != std::string::npos;
+    served += hasRow, refused += !hasRow && answer.find("53300") != std::string::npos;
+    if (!hasRow && answer.find("53300") == std::string::npos)
+      ++other, std::printf("%s\n", answer.c_str());
   }
   std::printf("40 busy ones: some served: %s, some rejected: %s, without an answer: %d\n",
               served > 0 ? "yes" : "no", refused > 0 ? "yes" : "no", other);
-  many.clear();
+  clients.clear();
   d.pass(50);
   Client after(d);
   std::printf("afterwards: %s\n", after.ask(Client::read("b")).c_str());
@@ -279,8 +284,8 @@
   Drive d(2);
   Client idle(d), busy(d);
   busy.send(pg::query(Client::read("slow1500", 5000)));
-  int before = d.sent;
-  d.until("it is out", [&] { return d.sent > before || d.toy.executions(1) > 0; });
+  int sentBefore = d.sent;
+  d.until("it is out", [&] { return d.sent > sentBefore || d.toy.executions(1) > 0; });
   d.signal(SIGTERM);
   d.until("leaving", [&] { return d.logged("phase=leaving"); });
   Client late(d);
@@ -292,7 +297,7 @@
   d.exits();
 }
 
-// What the last tally says, against what clients heard and stores saw.
+// Compares the last counters line of the log with what clients and stores received.
 void tallied() {
   Drive d(2);
   {
@@ -301,28 +306,31 @@
     c.ask(Client::write("error-ok", 3000, "once"));
     c.ask(Client::write("full", 400, "once"));
     c.ask(Client::read("full-ok"));
-    c.ask(Client::read("wrong"));  // its client gets the store's word: completed
+    c.ask(Client::read("wrong"));  // its client gets the store's own error: completed
   }
   d.signal(SIGTERM);
   d.exits();
   d.logged("counters");
-  std::size_t at = d.log.rfind(" counters ");
-  std::string line = at == std::string::npos ? "none" : d.log.substr(at, d.log.find('\n', at) - at);
+  std::size_t lineStart = d.log.rfind(" counters ");
+  std::string line = lineStart == std::string::npos
+                         ? "none"
+                         : d.log.substr(lineStart, d.log.find('\n', lineStart) - lineStart);
   auto value = [&](const char* name) {
-    std::size_t from = line.find(std::string(" ") + name + "=");
-    return from == std::string::npos ? -1 : std::atoi(line.c_str() + from + std::strlen(name) + 2);
+    std::size_t found = line.find(std::string(" ") + name + "=");
+    return found == std::string::npos ? -1
+                                      : std::atoi(line.c_str() + found + std::strlen(name) + 2);
   };
   for (const char* name :
        {"taken", "open", "completed", "rejected", "aborted", "answered", "client_gone"})
     std::printf("%s %d\n", name, value(name));
   std::printf("executions: %s\n", value("executions") == d.sent ? "as stores saw" : line.c_str());
   std::printf("probes: %s\n", value("probes") > 0 ? "some" : "none");
-  bool kept = value("connects") >= 2 && value("connects") < value("executions");
-  std::printf("connects: %s\n", kept ? "kept ones serve many" : line.c_str());
+  bool areConnectionsReused = value("connects") >= 2 && value("connects") < value("executions");
+  std::printf("connects: %s\n", areConnectionsReused ? "kept ones serve many" : line.c_str());
 }
 
-// Each on a front of its own: what a spoilt answer says is not believed, the execution may have
-// run.
+// Malformed answers, each key on a proxy of its own: the content of such an answer is not trusted,
+// and the execution may have run.
 void spoilt() {
   for (const char* key : {"noise", "longer", "liar", "garbage", "long", "twice"}) {
     Drive d(2);
@@ -338,12 +346,12 @@
     c.asks("the next one gets its own", Client::read("ok"));
   }
   c.asks("the statement is at fault", Client::read("wrong-ok"));
-  int before = d.sent;
-  std::string good = Client::read("slow300"), same = good;
-  c.send(pg::query(good));
-  d.until("it is out", [&] { return d.sent > before; });
+  int sentBefore = d.sent;
+  std::string query = Client::read("slow300"), duplicate = query;
+  c.send(pg::query(query));
+  d.until("it is out", [&] { return d.sent > sentBefore; });
   Client other(d);
-  other.asks("an id that is open already", same);
+  other.asks("an id that is open already", duplicate);
   std::printf("the one that had it first: %s\n", c.get().c_str());
   c.asks("no k where it is needed",
          "INSERT INTO entries VALUES ('a') /* id=9,c=write,cluster=7,d=900 */");
@@ -354,7 +362,7 @@
 void reload() {
   Drive d(2);
   Client c(d);
-  auto heeds = [&](const char* what, const char* line) {
+  auto reloadAndPrint = [&](const char* what, const char* line) {
     d.log.clear();
     d.signal(SIGHUP);
     std::printf("%s: %s\n", what, d.until("logged", [&] { return d.logged(line); }) ? line : "?");
@@ -364,11 +372,12 @@
   for (int k = 0; k < 3; ++k) moved.addStore(k == 0, 7);
   int port = moved.serveList();
   d.configure(port, "t", 60);
-  heeds("cut off", "reload_bad");
+  reloadAndPrint("cut off", "reload_bad");
   d.configure(port, "t", 0);
-  heeds("empty", "reload_bad");
+  reloadAndPrint("empty", "reload_bad");
   d.configure(port, "other");
-  heeds("another address, and a name that only a restart takes", "reload_ignored field=name");
+  reloadAndPrint("another address, and a name that only a restart takes",
+                 "reload_ignored field=name");
   d.until("the new list", [&] { return d.logged("entries=3"); });
   std::printf("the list came from the new address\n");
   d.log.clear();
@@ -391,25 +400,25 @@
   usual.asks("one that will ask again", Client::read("0"));
   std::vector<std::unique_ptr<Client>> silent;
   for (int k = 0; k < 100; ++k) silent.push_back(std::make_unique<Client>(d, false));
-  Client half(d);
-  half.send(std::string("Q\0\0\0\x63SELECT", 11));
+  Client partial(d);
+  partial.send(std::string("Q\0\0\0\x63SELECT", 11));
   Client(d).asks("a hundred have said nothing; one that asks", Client::read("a"));
   usual.asks("the one that was there before them", Client::read("1"));
   d.pass(200);
   Client late(d);
   late.asks("one that comes then", Client::read("b"));
-  std::printf("the one with half a statement: %s\n", half.get().c_str());
+  std::printf("the one with half a statement: %s\n", partial.get().c_str());
   int ended = 0;
   for (auto& c : silent) c->get(), ended += c->ended;
   std::printf("%d of the silent were ended\n", ended);
-  std::vector<std::unique_ptr<Client>> once;
+  std::vector<std::unique_ptr<Client>> servedOnce;
   for (int k = 0; k < 14; ++k) {
-    once.push_back(std::make_unique<Client>(d));
-    once.back()->ask(Client::read("once"));
+    servedOnce.push_back(std::make_unique<Client>(d));
+    servedOnce.back()->ask(Client::read("once"));
   }
   d.pass(20);
   int kept = 0;
-  for (auto& c : once) {
+  for (auto& c : servedOnce) {
     std::string in;
     kept += c->socket->read(in, 1) != Socket::ReadStatus::closed;
   }
@@ -420,7 +429,7 @@
   Client(d).asks("and another that asks", Client::read("c"));
 }
 
-// The long day in small: what has come and gone leaves nothing behind.
+// A long run in miniature: stores and clients that were added and removed leave nothing behind.
 void passing() {
   Drive d(2, 128, "automatic", "", false, 32, "300000");
   int replica = 1;
@@ -433,49 +442,50 @@
     replica = next;
   }
   d.log.clear();
-  bool left = d.until("all have left",
-                      [&] { return d.logged("sessions=0 store_connections=0 stores=2 gone=0"); });
+  bool haveAllLeft = d.until(
+      "all have left", [&] { return d.logged("sessions=0 store_connections=0 stores=2 gone=0"); });
   std::printf("150 stores and clients came and went; only what is listed is held: %s\n",
-              left ? "yes" : "no");
+              haveAllLeft ? "yes" : "no");
   d.toy.setState(1, "up");
   d.pass(200);
   Client(d).asks("one of them is listed again", Client::read("a"));
 }
 
-// Sizes are counted by what the front says it holds.
+// Memory limits. The memory that clients use is taken from the proxy's client_memory_limit log
+// lines.
 void memory() {
   Drive d(2, 256, "automatic", "", false, 32);
-  std::vector<std::unique_ptr<Client>> many;
+  std::vector<std::unique_ptr<Client>> clients;
   for (int k = 0; k < 150; ++k) {
-    many.push_back(std::make_unique<Client>(d));
-    many.back()->send(std::string("Q\0\2\x49\xf0", 5) + std::string(140'000, 'a'));
+    clients.push_back(std::make_unique<Client>(d));
+    clients.back()->send(std::string("Q\0\2\x49\xf0", 5) + std::string(140'000, 'a'));
   }
   Client(d).asks("150 clients have sent most of a long statement; one that asks",
                  Client::read("a"));
   int refused = 0, closed = 0;
-  for (auto& c : many) {
-    std::string got = c->get();
-    refused += got.find("53200") != std::string::npos, closed += c->ended;
+  for (auto& c : clients) {
+    std::string answer = c->get();
+    refused += answer.find("53200") != std::string::npos, closed += c->ended;
   }
   std::printf("some were told that there is no memory: %s; ended: %d\n", refused > 0 ? "yes" : "no",
               closed);
-  std::size_t most = 0;
+  std::size_t peakBytes = 0;
   for (std::size_t at = 0; (at = d.log.find("client_memory_limit bytes=", at)) != std::string::npos;
        ++at)
-    most = std::max<std::size_t>(most,
-                                 static_cast<std::size_t>(std::atoi(d.log.c_str() + at + 22)));
+    peakBytes = std::max<std::size_t>(peakBytes,
+                                      static_cast<std::size_t>(std::atoi(d.log.c_str() + at + 22)));
   std::printf("they held more than a quarter of 32 MB and one message: %s\n",
-              most > (8u << 20) + (256u << 10) ? "yes" : "no");
-  many.clear();
+              peakBytes > (8u << 20) + (256u << 10) ? "yes" : "no");
+  clients.clear();
   for (int k = 0; k < 80; ++k) {
-    many.push_back(std::make_unique<Client>(d));
-    many.back()->send(pg::query(Client::read("slow700-" + std::string(130'000, 'a'), 5000)));
+    clients.push_back(std::make_unique<Client>(d));
+    clients.back()->send(pg::query(Client::read("slow700-" + std::string(130'000, 'a'), 5000)));
   }
   int served = 0, rejected = 0;
-  for (auto& c : many) {
-    std::string got = c->get();
-    served += got.find("row") != std::string::npos,
-        rejected += got.find("53300") != std::string::npos;
+  for (auto& c : clients) {
+    std::string answer = c->get();
+    served += answer.find("row") != std::string::npos,
+        rejected += answer.find("53300") != std::string::npos;
   }
   std::printf(
       "80 long statements at once: some completed: %s, some rejected: %s, without an answer: %d\n",
--- a/tests/proxy/settings.sh
+++ b/tests/proxy/settings.sh
@@ -1,4 +1,5 @@
-# The program with settings that it can't take: one line with file and line, and exit 1.
+# Starts the program with invalid settings files. For each, the program prints one line that names the
+# file and the line, and exits with 1. This script prints the first line; it doesn't check the status.
 program=$1
 folder=$(mktemp -d)
 trap 'rm -rf "$folder"' EXIT
--- a/tests/proxy/shutdown_test.cpp
+++ b/tests/proxy/shutdown_test.cpp
@@ -1,6 +1,6 @@
-// A proxy that shuts down is gone by 0.7 s after SIGTERM plus the longest time that it still owes
-// to a request that it has read: connections that owe nothing don't hold it, whatever state they
-// are in. The proxy is a process of its own.
+// A proxy that shuts down exits within 0.7 s of SIGTERM plus the longest time that remains to a
+// request that it has read. Connections without a pending answer don't delay it, whatever state
+// they are in. The proxy is a separate process.
 #include <csignal>
 #include <cstdio>
 #include <cstdlib>
@@ -22,19 +22,19 @@
 
 namespace {
 
-constexpr long kShutdownMs = 700;  // from SIGTERM, where nothing is owed
-constexpr long kHeldUpMs = 150;    // for which any process may stand still
+constexpr long kShutdownMs = 700;  // from SIGTERM, where no answer is pending
+constexpr long kStallMs = 150;     // any process may be stalled for so long
 
 const std::string kSslRequest("\0\0\0\x08\x04\xd2\x16\x2f", 8);
 const std::string kHugeMessage("Q\x7f\xff\xff\xff", 5);
 const std::string kHugeStartup("\x7f\xff\xff\xff\0\3\0\0", 8);
 
-// When the log says so, in ms by the proxy's clock.
+// The time of the first log line that contains `text`, in ms by the proxy's clock; -1 if none does.
 long loggedAt(const std::string& log, const char* text) {
   std::size_t found = log.find(text);
   if (found == std::string::npos) return -1;
   std::size_t line = log.rfind('\n', found) + 1;
-  // All but the lowest digits are the same within a test.
+  // The lowest digits are enough: the higher ones are the same throughout a test.
   return std::strtoll(log.c_str() + line, nullptr, 10) % 100'000'000;
 }
 
@@ -42,67 +42,69 @@
   return loggedAt(d.log, "phase=ended") - loggedAt(d.log, "signal number=15");
 }
 
-void tell(const char* what, Drive& d, long owedMs) {
+void printShutdown(const char* what, Drive& d, long pendingMs) {
   int status = d.hasEnded();
-  bool inTime = shutdownMs(d) <= kShutdownMs + kHeldUpMs + owedMs;
-  std::printf("%s: ended with %d, in time %s\n", what, status, yes(inTime));
-  if (!inTime) std::fprintf(stderr, "%ld ms after SIGTERM\n%s", shutdownMs(d), d.log.c_str());
+  bool isInTime = shutdownMs(d) <= kShutdownMs + kStallMs + pendingMs;
+  std::printf("%s: ended with %d, in time %s\n", what, status, yes(isInTime));
+  if (!isInTime) std::fprintf(stderr, "%ld ms after SIGTERM\n%s", shutdownMs(d), d.log.c_str());
 }
 
-// A client that has sent `bytes` and says no more, during the whole shutdown.
-void endsBeside(const char* what, const std::string& bytes, bool greets) {
-  for (bool comesLate : {false, true}) {
+// Shuts the proxy down beside a client that sends `bytes` and nothing more: once with a client that
+// connects before SIGTERM, once with one that connects 350 ms after it.
+void shutDownBeside(const char* what, const std::string& bytes, bool sendsStartup) {
+  for (bool connectsLate : {false, true}) {
     Drive d(1);
     std::unique_ptr<Client> client;
-    auto connects = [&] {
-      client = std::make_unique<Client>(d, greets);
+    auto connect = [&] {
+      client = std::make_unique<Client>(d, sendsStartup);
       client->send(bytes);
     };
-    if (!comesLate) connects();
+    if (!connectsLate) connect();
     d.pass(30);
     d.signal(SIGTERM);
     d.until("it drains", [&] { return d.logged("phase=leaving"); });
-    if (comesLate) {
+    if (connectsLate) {
       d.pass(350);
-      connects();
+      connect();
     }
-    std::string name = std::string(what) + (comesLate ? ", come after SIGTERM" : "");
-    tell(name.c_str(), d, 0);
+    std::string name = std::string(what) + (connectsLate ? ", come after SIGTERM" : "");
+    printShutdown(name.c_str(), d, 0);
     std::printf("  its client reads: %s\n", client->get().c_str());
   }
 }
 
 void shutdownIdle() {
   std::string query = pg::query(Client::read("a"));
-  endsBeside("nothing sent", "", false);
-  endsBeside("half a startup", pg::startup("web", "orders").substr(0, 9), false);
-  endsBeside("SSLRequest and silence", kSslRequest, false);
-  endsBeside("a startup that announces 2 GB", kHugeStartup, false);
-  endsBeside("resting", "", true);
-  endsBeside("half a query", query.substr(0, query.size() / 2), true);
-  endsBeside("a query that announces 2 GB", kHugeMessage, true);
+  shutDownBeside("nothing sent", "", false);
+  shutDownBeside("half a startup", pg::startup("web", "orders").substr(0, 9), false);
+  shutDownBeside("SSLRequest and silence", kSslRequest, false);
+  shutDownBeside("a startup that announces 2 GB", kHugeStartup, false);
+  shutDownBeside("resting", "", true);
+  shutDownBeside("half a query", query.substr(0, query.size() / 2), true);
+  shutDownBeside("a query that announces 2 GB", kHugeMessage, true);
 }
 
-// A byte now and then, before, during and after.
+// A client sends one byte every 60 ms, before SIGTERM and until the proxy has ended.
 void shutdownTrickle() {
   for (bool hasStarted : {false, true}) {
     Drive d(1);
     Client client(d, hasStarted);
     std::string message = hasStarted ? pg::query(Client::read("a")) : pg::startup("web", "orders");
     std::size_t sent = 0;
-    bool signalled = false;
-    TimePoint until = d.s.now() + test::ms(2'000);
-    while (d.s.now() < until && sent + 1 < message.size() && !d.logged("phase=ended")) {
+    bool isSignalled = false;
+    TimePoint end = d.s.now() + test::ms(2'000);
+    while (d.s.now() < end && sent + 1 < message.size() && !d.logged("phase=ended")) {
       client.send(message.substr(sent++, 1));
       d.pass(60);
-      if (sent == 4) d.signal(SIGTERM), signalled = true;
+      if (sent == 4) d.signal(SIGTERM), isSignalled = true;
     }
-    if (!signalled) std::printf("never signalled\n");
-    tell(hasStarted ? "a query of a byte at a time" : "a startup of a byte at a time", d, 0);
+    if (!isSignalled) std::printf("never signalled\n");
+    printShutdown(hasStarted ? "a query of a byte at a time" : "a startup of a byte at a time", d,
+                  0);
   }
 }
 
-// The same at the Cassandra door.
+// Silent, partial and idle clients of the Cassandra protocol.
 void shutdownCql() {
   Drive d(1, 256, "automatic", "", false, 64, "15000000", test::kDoor);
   sockaddr_in address = *runtime::parseAddress("127.0.0.1:" + std::to_string(d.cqlPort));
@@ -115,40 +117,40 @@
   }
   test::CqlClient resting(d);
   d.signal(SIGTERM);
-  tell("a Cassandra client silent, two with half a frame, one resting", d, 0);
+  printShutdown("a Cassandra client silent, two with half a frame, one resting", d, 0);
 }
 
-// What is owed is given its time, and no more.
+// A pending request may use its time until its deadline, and no more.
 void shutdownOwed() {
   constexpr int kDeadlineMs = 900;
   Drive d(1);
-  Client waits(d);
-  int before = d.sent;
-  waits.send(pg::query(Client::read("silent", kDeadlineMs)));
-  d.until("it is sent", [&] { return d.sent > before; });
+  Client waiting(d);
+  int sentBefore = d.sent;
+  waiting.send(pg::query(Client::read("silent", kDeadlineMs)));
+  d.until("it is sent", [&] { return d.sent > sentBefore; });
   d.signal(SIGTERM);
-  std::string got = waits.get();
-  std::printf("a store that hangs: %s\n", test::outcomeOf(got));
-  tell("with a request of 0.9 s", d, kDeadlineMs);
+  std::string answer = waiting.get();
+  std::printf("a store that hangs: %s\n", test::outcomeOf(answer));
+  printShutdown("with a request of 0.9 s", d, kDeadlineMs);
 }
 
-// A client that doesn't take its answer holds the process until its time is up. A reload meanwhile
-// is not needed any more.
+// A client that doesn't read its answer delays the exit until its deadline. SIGHUP meanwhile no
+// longer reloads.
 void shutdownUnread() {
   constexpr int kDeadlineMs = 1'500;
   Drive d(1);
-  Client never(d, true, true);
-  never.send(pg::query(Client::read("big700000", kDeadlineMs)));
+  Client nonReading(d, true, true);
+  nonReading.send(pg::query(Client::read("big700000", kDeadlineMs)));
   d.until("it is answered", [&] { return d.toy.executions(0) > 0; });
   d.pass(100);
   d.signal(SIGTERM);
   d.until("it closes", [&] { return d.logged("phase=closing"); });
   d.pass(50);
   for (int k = 0; k < 3; ++k) d.signal(SIGHUP), d.pass(20);
-  tell("with an answer of 700 KB that nobody reads", d, kDeadlineMs);
-  std::size_t lines = 0;
-  for (std::size_t k = 0; (k = d.log.find("reload", k)) != std::string::npos; ++k) ++lines;
-  std::printf("reloads told: %zu, list read again: %s\n", lines,
+  printShutdown("with an answer of 700 KB that nobody reads", d, kDeadlineMs);
+  std::size_t reloadLines = 0;
+  for (std::size_t k = 0; (k = d.log.find("reload", k)) != std::string::npos; ++k) ++reloadLines;
+  std::printf("reloads told: %zu, list read again: %s\n", reloadLines,
               yes(d.log.find("reload discovery=") != std::string::npos));
 }
 
--- a/tests/proxy/sizes_test.cpp
+++ b/tests/proxy/sizes_test.cpp
@@ -1,4 +1,4 @@
-// As many stores as there may be, before a front with the least that it is given.
+// Tests of the largest number of stores with the smallest limits on memory and descriptors.
 #include <algorithm>
 #include <csignal>
 #include <cstdio>
@@ -19,12 +19,13 @@
 
 namespace {
 
-// 1,024 entries, indented, with long ids; 32 MB and 256 descriptors, of which 77 are for stores.
+// An endpoint list of 1,024 entries, indented, with long ids; 32 MB of memory and 256 descriptors,
+// of which 77 are for connections to stores.
 void stores() {
   Drive d(2, 256, "automatic", "", false, 32, "15000000", "", 1022);
   std::printf("a list of 1,024 is taken: %s\n",
               yes(d.until("it is", [&] { return d.logged(" full=1 entries=1024"); })));
-  int most = 0, completed = 0, other = 0;
+  int peakDescriptors = 0, completed = 0, other = 0;
   std::vector<std::unique_ptr<Client>> clients;
   for (int k = 0; k < 20; ++k) clients.push_back(std::make_unique<Client>(d));
   for (int k = 0; k < 30; ++k) {
@@ -34,29 +35,29 @@
                                  : c % 5 == 1 ? Client::read(key, 3000, "near")
                                               : Client::read(key)));
     for (auto& c : clients) {
-      std::string got = c->get();
-      bool row = got.find("row") != std::string::npos;
-      ++(row ? completed : other);
-      if (!row) std::fprintf(stderr, "instead: %s\n", got.c_str());
+      std::string answer = c->get();
+      bool hasRow = answer.find("row") != std::string::npos;
+      ++(hasRow ? completed : other);
+      if (!hasRow) std::fprintf(stderr, "instead: %s\n", answer.c_str());
     }
-    most = std::max(most, d.descriptors());
+    peakDescriptors = std::max(peakDescriptors, d.descriptors());
   }
   std::printf("statements: %d completed, %d otherwise\n", completed, other);
-  std::fprintf(stderr, "at most %d KB and %d descriptors\n", d.peakKb(), most);
+  std::fprintf(stderr, "at most %d KB and %d descriptors\n", d.peakKb(), peakDescriptors);
   std::printf("within 32 MB: %s; within 256 descriptors: %s\n", yes(d.heldAtMost(32)),
-              yes(most <= 256));
-  int told = d.toy.executions(1);
+              yes(peakDescriptors <= 256));
+  int replicaExecutions = d.toy.executions(1);
   d.toy.setState(700, "draining");
   std::printf("a change is heard: %s\n",
               yes(d.until("it is", [&] { return d.logged(" full=0 entries=1"); })));
   clients[2]->asks("and the next", Client::read("a"));
-  std::printf("replicas were used: %s\n", yes(told > 0));
+  std::printf("replicas were used: %s\n", yes(replicaExecutions > 0));
   clients.clear();
   d.signal(SIGTERM);
   d.exits();
 }
 
-// A list of half a megabyte that has a hundred and seventy thousand values in it.
+// An endpoint list of 520 KB that contains about 170,000 JSON values.
 void noise() {
   Drive d(2, 256, "automatic", "", false, 32);
   std::string body = "{\"version\":9,\"full\":true,\"servers\":[[]";
@@ -73,12 +74,12 @@
   std::printf("within 32 MB: %s\n", yes(d.heldAtMost(32)));
 }
 
-// Of 64 descriptors 13 are for stores. Twenty-one replicas take connections and say nothing: each
-// of them is probed.
+// Of 64 descriptors, 13 are for connections to stores. 21 replicas accept connections and stay
+// silent, and each of them is probed.
 void places() {
   edits = {{"\"connect_timeout\":250000", "\"connect_timeout\":2000000"}};
   Drive d(22, 64);
-  d.toy.promote(21);  // the last of the list
+  d.toy.promote(21);  // the last entry of the endpoint list
   for (int k = 0; k < 21; ++k) d.toy.hold(k, true);
   d.killAndStart();
   Client c(d);
@@ -88,26 +89,26 @@
   std::printf("all places wanted for probes that wait: %d of 20 writes completed\n", completed);
 }
 
-// Statements hold all of them; what finds none waits, and its store counts as away no more than
-// before.
+// Statements use all 13 descriptors for stores. A statement that finds none free waits, and this
+// doesn't make its store count as unreachable.
 void noPlace() {
   Drive d(9, 64);
   for (int k = 0; k < 10; ++k) Client(d).ask(Client::read("warm"));
   int completed = 0, writes = 0;
   for (int round = 0; round < 3; ++round) {
-    std::vector<std::unique_ptr<Client>> many;
-    int before = d.sent;
+    std::vector<std::unique_ptr<Client>> clients;
+    int sentBefore = d.sent;
     for (int k = 0; k < 16; ++k) {
-      many.push_back(std::make_unique<Client>(d));
-      many.back()->send(pg::query(Client::read("slow120", 5000)));
+      clients.push_back(std::make_unique<Client>(d));
+      clients.back()->send(pg::query(Client::read("slow120", 5000)));
     }
-    d.until("all places are held", [&] { return d.sent >= before + 13; });
+    d.until("all places are held", [&] { return d.sent >= sentBefore + 13; });
     writes += Client(d).ask(Client::write("w", 5000)).find("row") != std::string::npos;
-    for (auto& m : many) {
-      std::string got = m->get();
-      bool row = got.find("row") != std::string::npos;
-      completed += row;
-      if (!row) std::fprintf(stderr, "instead: %s\n", got.c_str());
+    for (auto& client : clients) {
+      std::string answer = client->get();
+      bool hasRow = answer.find("row") != std::string::npos;
+      completed += hasRow;
+      if (!hasRow) std::fprintf(stderr, "instead: %s\n", answer.c_str());
     }
   }
   std::printf(
--- a/tests/proxy/system_call_faults_test.cpp
+++ b/tests/proxy/system_call_faults_test.cpp
@@ -1,5 +1,5 @@
-// A front whose system calls fail now and then, as Linux documents that they do: what its clients
-// were promised holds all the same. tests/soak/faulty_machine.cpp makes them fail.
+// Tests of a proxy whose system calls fail occasionally, in the ways that Linux documents: the
+// guarantees to its clients still hold. tests/soak/faulty_machine.cpp makes the calls fail.
 #include <cerrno>
 #include <csignal>
 #include <cstdio>
@@ -21,39 +21,40 @@
 
 namespace {
 
-// The network errors of a connection that waits are told by accept, and are no word on the next
-// one.
+// accept returns the pending network errors of the connection that it would return; they don't
+// concern the next connection.
 void acceptAlone() {
   FaultyMachine machine;
   Drive d(1);
   for (int error : {ECONNABORTED, EINTR, EPROTO, EPERM, ENETDOWN, ENETUNREACH, EHOSTUNREACH,
                     ETIMEDOUT, ENFILE, ENOBUFS}) {
     machine.fails(Call::accept, error);
-    Client alone(d, false);
-    alone.send(pg::startup("web", "orders") + pg::query(Client::read("a")));
-    std::printf("accept fails with %d: %s\n", error, alone.get(2).c_str());
+    Client client(d, false);
+    client.send(pg::startup("web", "orders") + pg::query(Client::read("a")));
+    std::printf("accept fails with %d: %s\n", error, client.get(2).c_str());
   }
 }
 
-// A moment without a descriptor costs no other client its connection.
+// If accept briefly lacks a descriptor or memory, no other client loses its connection.
 void acceptMoment() {
   FaultyMachine machine;
   Drive d(1);
-  std::vector<std::unique_ptr<Client>> others;
+  std::vector<std::unique_ptr<Client>> idle;
   for (int k = 0; k < 8; ++k)
-    others.push_back(std::make_unique<Client>(d)), others.back()->ask(Client::read("a"));
+    idle.push_back(std::make_unique<Client>(d)), idle.back()->ask(Client::read("a"));
   for (int error : {EMFILE, ENFILE, ENOBUFS, ENOMEM}) {
     machine.fails(Call::accept, error);
-    Client comes(d);
+    Client newcomer(d);
     std::printf("accept fails with %d: the one that comes: %s\n", error,
-                comes.ask(Client::read("b")).c_str());
+                newcomer.ask(Client::read("b")).c_str());
   }
   int open = 0;
-  for (auto& c : others) open += c->ask(Client::read("c")).find("row") != std::string::npos;
+  for (auto& c : idle) open += c->ask(Client::read("c")).find("row") != std::string::npos;
   std::printf("of eight others that rest, still there: %d\n", open);
 }
 
-// Who stands in the kernel's queue as the listener is to close has been taken in.
+// A connection that is in the kernel's accept queue when the listener is about to close is
+// accepted, even if accept fails once.
 void acceptLeaving() {
   edits = {{"\"connect_timeout\":250000", "\"connect_timeout\":2000000"}};
   for (int error : {EPROTO, ENFILE}) {
@@ -62,26 +63,26 @@
     d.toy.silenceList(true), d.awaitsList = false;
     d.killAndStart();
     machine.fails(Call::accept, error);
-    Client asks(d, false);
-    asks.send(pg::startup("web", "orders") + pg::query(Client::read("a")));
+    Client client(d, false);
+    client.send(pg::startup("web", "orders") + pg::query(Client::read("a")));
     d.signal(SIGTERM);
-    std::printf("accept fails with %d as the listener closes: %s\n", error, asks.get(2).c_str());
-    asks.socket->close();
+    std::printf("accept fails with %d as the listener closes: %s\n", error, client.get(2).c_str());
+    client.socket->close();
     d.exits();
   }
 }
 
-// No memory for a packet at this moment: the bytes are taken a moment later.
+// send and recv briefly lack memory for a packet: the bytes are sent or received a moment later.
 void memoryLacks() {
   FaultyMachine machine;
   Drive d(1);
   Client c(d);
   c.ask(Client::read("a"));
   for (int error : {ENOBUFS, ENOMEM}) {
-    // The first call is the one to the store, or the answer to the client.
-    for (int which : {1, 2}) {
-      machine.fails(Call::send, error, which);
-      std::printf("sending fails with %d, %d times: %s\n", error, which,
+    // The first call that fails sends the statement to the store or the answer to the client.
+    for (int times : {1, 2}) {
+      machine.fails(Call::send, error, times);
+      std::printf("sending fails with %d, %d times: %s\n", error, times,
                   c.ask(Client::write("b", 3000, "once")).c_str());
     }
     machine.fails(Call::receive, error, 2);
@@ -90,15 +91,15 @@
   }
 }
 
-// A descriptor that can't be watched at this moment is watched a moment later.
+// A descriptor that can't be registered for events is registered a moment later.
 void watchLacks() {
   FaultyMachine machine;
   Drive d(1);
   for (int error : {ENOMEM, ENOSPC}) {
     machine.fails(Call::registerEvents, error);
-    Client comes(d, false);
-    comes.send(pg::startup("web", "orders") + pg::query(Client::read("a")));
-    std::printf("a client's descriptor can't be watched, %d: %s\n", error, comes.get(2).c_str());
+    Client newcomer(d, false);
+    newcomer.send(pg::startup("web", "orders") + pg::query(Client::read("a")));
+    std::printf("a client's descriptor can't be watched, %d: %s\n", error, newcomer.get(2).c_str());
   }
   Client c(d);
   d.toy.closeIdle(0);
@@ -107,7 +108,8 @@
   std::printf("a store's: %s\n", c.ask(Client::write("b", 3000, "once")).c_str());
 }
 
-// Interrupted, a connection comes up all the same; it says nothing of its store.
+// A connect that is interrupted or briefly lacks memory still leads to a connection, and doesn't
+// count against the store.
 void connectInterrupted() {
   FaultyMachine machine;
   Drive d(1);
@@ -122,7 +124,7 @@
   }
 }
 
-// A signal is read in the end.
+// A signal is handled even if reading it is interrupted (EINTR) twice.
 void signalsInterrupted() {
   FaultyMachine machine;
   Drive d(1);
@@ -138,7 +140,7 @@
   c.socket->close();
 }
 
-// What can't be had as it starts is had a moment later.
+// A resource that the proxy can't get at its start is acquired a moment later.
 void startLacks() {
   for (const auto& [what, call, error] : {std::tuple{"its listening socket", Call::socket, ENFILE},
                                           {"its address", Call::bind, EADDRINUSE},
@@ -153,7 +155,7 @@
   }
 }
 
-// A signal comes while the libraries are being loaded.
+// A signal arrives while the proxy's shared libraries are being loaded.
 void startSignalled() {
   for (int number : {SIGHUP, SIGTERM}) {
     FaultyMachine machine;
@@ -167,7 +169,7 @@
   }
 }
 
-// A configuration that can't be read as the signal comes is read a moment later.
+// A configuration that can't be read when SIGHUP arrives is read a moment later.
 void reloadLacks() {
   FaultyMachine machine;
   Drive d(1);
@@ -182,7 +184,7 @@
   toy::Toy again(d.s);
   again.addStore(true, 7);
   int next = again.serveList();
-  d.configure(next, "t", 200);  // half of it
+  d.configure(next, "t", 200);  // cut off after 200 bytes
   d.signal(SIGHUP);
   d.until("it is refused", [&] { return d.logged("reload_bad"); });
   d.configure(next);
