--- a/example/toy.cpp
+++ b/example/toy.cpp
@@ -288,7 +288,8 @@
   pg::Fields f;
   pg::readStatement(text, f);
   bool write = text.rfind("INSERT", 0) == 0;
-  Deed deed = begin(number, std::string(f.id), f.key, write, std::string(f.mark), text);
+  Deed deed = begin(number, std::string(f.id), f.sessionKey, write, std::string(f.idempotencyKey),
+                    text);
   std::string word = deed.word;
   std::string role = pg::parameter("server_role", store.primary ? "writer" : "reader");
   std::string out;
@@ -355,8 +356,8 @@
   } else if (word == "twice") {
     out = row("one") + row("two") + pg::message('C', std::string("SELECT 1\0", 9)) + pg::ready();
   } else {
-    out = row("value of " + std::string(f.key)) + pg::message('C', std::string("SELECT 1\0", 9)) +
-          role;
+    out = row("value of " + std::string(f.sessionKey)) +
+          pg::message('C', std::string("SELECT 1\0", 9)) + role;
     if (write) out += pg::parameter("commit_clock", std::to_string(wallNow().us / 1000));
     out += pg::ready();
   }
--- a/src/codec/pg/messages.cpp
+++ b/src/codec/pg/messages.cpp
@@ -6,12 +6,12 @@
 constexpr std::size_t kTypeSize = 1;                             // bytes
 constexpr std::size_t kLengthSize = 4;                           // bytes
 constexpr std::size_t kHeaderSize = kTypeSize + kLengthSize;     // bytes
-constexpr std::size_t kMinStartupLength = 8;                     // bytes: a length and a code
+constexpr std::size_t kMinStartupLength = 8;                     // bytes: length and request code
 constexpr std::size_t kColumnCountSize = 2;                      // bytes
-constexpr std::size_t kColumnHeaderSize = kColumnCountSize + 4;  // bytes: a count and a length
-constexpr std::size_t kColumnAttributesSize = 18;                // bytes behind a column's name
+constexpr std::size_t kColumnHeaderSize = kColumnCountSize + 4;  // bytes: count and value length
+constexpr std::size_t kColumnAttributesSize = 18;                // bytes after a column's name
 constexpr std::size_t kSqlstateSize = 5;                         // characters
-constexpr std::uint32_t kNullLength = 0xffffffff;                // a NULL's length field, -1
+constexpr std::uint32_t kNullLength = 0xffffffff;                // length field of a NULL value: -1
 constexpr std::string_view kOneColumnCount("\0\1", kColumnCountSize);
 
 std::uint32_t read32(std::string_view bytes) {
@@ -48,10 +48,10 @@
   return message('S', payload);
 }
 
-Framed frame(std::string_view bytes, std::size_t most, Message& message) {
+Framed frame(std::string_view bytes, std::size_t maxLength, Message& message) {
   if (bytes.size() < kHeaderSize) return Framed::partial;
   std::uint32_t length = read32(bytes.substr(kTypeSize));
-  if (length < kLengthSize || length > most) return Framed::bad;
+  if (length < kLengthSize || length > maxLength) return Framed::bad;
   std::size_t size = kTypeSize + static_cast<std::size_t>(length);
   if (bytes.size() < size) return Framed::partial;
   message.type = bytes[0];
@@ -60,11 +60,11 @@
   return Framed::whole;
 }
 
-Framed frameStartup(std::string_view bytes, std::size_t most, std::int32_t& code,
+Framed frameStartup(std::string_view bytes, std::size_t maxLength, std::int32_t& code,
                     std::size_t& size) {
   if (bytes.size() < kLengthSize) return Framed::partial;
   std::uint32_t length = read32(bytes);
-  if (length < kMinStartupLength || length > most) return Framed::bad;
+  if (length < kMinStartupLength || length > maxLength) return Framed::bad;
   if (bytes.size() < length) return Framed::partial;
   code = static_cast<std::int32_t>(read32(bytes.substr(kLengthSize)));
   size = length;
@@ -75,14 +75,15 @@
 
 constexpr std::size_t kMaxDescriptionLength = 8 * 1024;  // bytes: columns, errors, parameters
 constexpr std::size_t kMaxCommandTagLength = 256;        // bytes
-constexpr std::size_t kMaxAuthenticationLength = 64;     // bytes: also the key for cancelling
+constexpr std::size_t kMaxAuthenticationLength = 64;     // bytes: Authentication and BackendKeyData
 constexpr std::size_t kReadyForQueryLength = 5;          // bytes
 
-// The largest length that a server message of this type may state; 0 for an unknown type.
-std::size_t maxLengthOf(char type, std::size_t mostRow) {
+// Returns the largest length that a server message of this type may state; 0 for an unknown type.
+// Lengths are in bytes and include the length field itself. `maxRowLength` applies to DataRow.
+std::size_t maxLengthOf(char type, std::size_t maxRowLength) {
   switch (type) {
     case 'D':
-      return mostRow;
+      return maxRowLength;
     case 'T':
     case 'E':
     case 'N':
@@ -100,13 +101,15 @@
   }
 }
 
-bool isOneColumnDescription(std::string_view payload) {
+// Whether the payload of a RowDescription describes exactly one column.
+bool isSingleColumnDescription(std::string_view payload) {
   if (payload.substr(0, kColumnCountSize) != kOneColumnCount) return false;
   payload.remove_prefix(kColumnCountSize);
   return takeString(payload) && payload.size() == kColumnAttributesSize;
 }
 
-// An ErrorResponse or NoticeResponse: fields of a code and a string each, then a zero byte.
+// Whether the payload is that of an ErrorResponse or NoticeResponse: fields that consist of a code
+// and a zero-terminated string, then a zero byte.
 bool isFieldList(std::string_view payload) {
   while (!payload.empty() && payload[0] != '\0') {
     payload.remove_prefix(1);
@@ -122,15 +125,16 @@
   return kTypeSize + read32(bytes.substr(kTypeSize));
 }
 
-bool storeMessageMayFollow(std::string_view bytes, std::size_t mostRow) {
+bool isServerMessagePrefix(std::string_view bytes, std::size_t maxRowLength) {
   if (bytes.empty()) return true;
-  std::size_t maxLength = maxLengthOf(bytes[0], mostRow);
+  std::size_t maxLength = maxLengthOf(bytes[0], maxRowLength);
   if (maxLength == 0) return false;
   if (bytes.size() < kHeaderSize) return true;
   std::uint32_t length = read32(bytes.substr(kTypeSize));
   if (length < kLengthSize || length > maxLength) return false;
   if (bytes[0] != 'D' || bytes.size() < kHeaderSize + kColumnHeaderSize) return true;
-  // A row that states a longer value than it has would swallow the messages that follow.
+  // If the value's length disagreed with the row's, the bytes of the messages that follow could be
+  // taken as part of the value.
   std::string_view row = bytes.substr(kHeaderSize);
   if (row.substr(0, kColumnCountSize) != kOneColumnCount) return false;
   std::uint32_t valueLength = read32(row.substr(kColumnCountSize));
@@ -138,13 +142,13 @@
   return length == kLengthSize + kColumnHeaderSize + valueSize;
 }
 
-bool wellFormed(const Message& message) {
+bool isWellFormed(const Message& message) {
   std::string_view rest = message.payload;
   switch (message.type) {
     case 'T':
-      return isOneColumnDescription(rest);
+      return isSingleColumnDescription(rest);
     case 'D':
-      return oneColumn(rest);
+      return isSingleColumnRow(rest);
     case 'C':
       return takeString(rest) && rest.empty();
     case 'S':
@@ -179,7 +183,7 @@
   return {};
 }
 
-bool oneColumn(std::string_view payload) {
+bool isSingleColumnRow(std::string_view payload) {
   if (payload.size() < kColumnHeaderSize) return false;
   if (payload.substr(0, kColumnCountSize) != kOneColumnCount) return false;
   std::uint32_t length = read32(payload.substr(kColumnCountSize));
@@ -188,7 +192,7 @@
 }
 
 std::optional<std::string_view> firstColumn(std::string_view payload) {
-  if (!oneColumn(payload)) return std::nullopt;
+  if (!isSingleColumnRow(payload)) return std::nullopt;
   if (read32(payload.substr(kColumnCountSize)) == kNullLength) return std::nullopt;
   return payload.substr(kColumnHeaderSize);
 }
@@ -212,14 +216,14 @@
   return message('Q', payload);
 }
 
-std::string error(bool fatal, std::string_view code, std::string_view text,
+std::string error(bool isFatal, std::string_view code, std::string_view text,
                   std::string_view detail) {
   std::string payload;
   auto addField = [&](char name, std::string_view value) {
     payload.push_back(name);
     addString(payload, value);
   };
-  std::string_view severity = fatal ? "FATAL" : "ERROR";
+  std::string_view severity = isFatal ? "FATAL" : "ERROR";
   addField('S', severity);
   addField('V', severity);
   addField('C', code);
--- a/src/codec/pg/statement.cpp
+++ b/src/codec/pg/statement.cpp
@@ -5,7 +5,7 @@
 namespace reedchute::pg {
 namespace {
 
-constexpr std::size_t kCommentMarkSize = 2;  // bytes of "/*", "*/" and "--"
+constexpr std::size_t kCommentDelimiterSize = 2;  // bytes of "/*", "*/" and "--"
 
 bool isBlank(char character) {
   return character == ' ' || character == '\t' || character == '\n' || character == '\r' ||
@@ -23,29 +23,29 @@
   return to.has_value();
 }
 
-// Reads the wait time and records where its digits stand in `text`, which holds `value`.
-bool readWait(std::string_view text, std::string_view value, Fields& fields) {
-  if (!readInteger(value, fields.waitMs) || *fields.waitMs < 0) return false;
-  fields.waitAt = static_cast<std::size_t>(value.data() - text.data());
-  fields.waitSize = value.size();
+// Reads the timeout and records the position of its digits in `text`, which contains `value`.
+bool readTimeout(std::string_view text, std::string_view value, Fields& fields) {
+  if (!readInteger(value, fields.timeoutMs) || *fields.timeoutMs < 0) return false;
+  fields.timeoutOffset = static_cast<std::size_t>(value.data() - text.data());
+  fields.timeoutSize = value.size();
   return true;
 }
 
-// Unknown names are ignored; false if the value of a known one can't be read.
+// Reads one field and ignores unknown names; returns false if the value is invalid.
 bool readField(std::string_view text, std::string_view name, std::string_view value,
                Fields& fields) {
   if (name == "id") fields.id = value;
   if (name == "c") fields.workload = value;
-  if (name == "k") fields.mark = value;
+  if (name == "k") fields.idempotencyKey = value;
   if (name == "tenant") fields.tenant = value;
-  if (name == "r") fields.repeated = value == "1";
+  if (name == "r") fields.isRetry = value == "1";
   if (name == "cluster") return readInteger(value, fields.group);
   if (name == "after") return readInteger(value, fields.afterMs);
-  if (name == "d") return readWait(text, value, fields);
+  if (name == "d") return readTimeout(text, value, fields);
   return true;
 }
 
-// Reads name=value pairs separated by commas; false if a value can't be read.
+// Reads name=value pairs separated by commas; returns false if a value is invalid.
 bool readComment(std::string_view text, std::string_view comment, Fields& fields) {
   while (!comment.empty()) {
     std::size_t comma = comment.find(',');
@@ -60,86 +60,90 @@
   return true;
 }
 
-// Walks over a statement's text once, token by token.
+// Scans a statement's text once, token by token.
 class Scanner {
  public:
   Scanner(std::string_view text, Fields& fields) : text_(text), fields_(fields) {}
 
-  Read run() {
+  ReadResult run() {
     while (position_ < text_.size()) {
-      Read result = step();
-      if (result != Read::good) return result;
+      ReadResult result = step();
+      if (result != ReadResult::good) return result;
     }
-    if (!hasStatement_) return Read::empty;
-    bool isComplete = !fields_.id.empty() && !fields_.workload.empty() && fields_.waitMs &&
+    if (!hasStatement_) return ReadResult::empty;
+    bool isComplete = !fields_.id.empty() && !fields_.workload.empty() && fields_.timeoutMs &&
                       fields_.group;
-    return isComplete ? Read::good : Read::noFields;
+    return isComplete ? ReadResult::good : ReadResult::missingFields;
   }
 
  private:
-  Read step() {
+  ReadResult step() {
     char character = text_[position_];
     if (isBlank(character)) {
       ++position_;
-      return Read::good;
+      return ReadResult::good;
     }
     if (character == ';') {
       hasEnded_ = hasStatement_;
       ++position_;
-      return Read::good;
+      return ReadResult::good;
     }
-    std::string_view mark = text_.substr(position_, kCommentMarkSize);
-    if (mark == "/*") return scanBlockComment();
-    if (mark == "--") return skipLineComment();
-    if (hasEnded_) return Read::several;
+    std::string_view delimiter = text_.substr(position_, kCommentDelimiterSize);
+    if (delimiter == "/*") return scanBlockComment();
+    if (delimiter == "--") return skipLineComment();
+    if (hasEnded_) return ReadResult::multipleStatements;
     hasStatement_ = true;
     if (character == '\'' || character == '"') return scanQuoted(character);
     ++position_;
-    return Read::good;
+    return ReadResult::good;
   }
 
-  Read scanBlockComment() {
-    std::size_t begin = position_ + kCommentMarkSize;
+  ReadResult scanBlockComment() {
+    std::size_t begin = position_ + kCommentDelimiterSize;
     std::size_t end = text_.find("*/", begin);
-    if (end == std::string_view::npos) return Read::unclosed;
-    if (!readComment(text_, text_.substr(begin, end - begin), fields_)) return Read::badField;
-    position_ = end + kCommentMarkSize;
-    return Read::good;
+    if (end == std::string_view::npos) return ReadResult::unclosed;
+    if (!readComment(text_, text_.substr(begin, end - begin), fields_))
+      return ReadResult::invalidField;
+    position_ = end + kCommentDelimiterSize;
+    return ReadResult::good;
   }
 
-  Read skipLineComment() {
+  ReadResult skipLineComment() {
     std::size_t end = text_.find('\n', position_);
     position_ = end == std::string_view::npos ? text_.size() : end + 1;
-    return Read::good;
+    return ReadResult::good;
   }
 
-  // A doubled quote begins the next literal, which changes nothing here.
-  Read scanQuoted(char quote) {
+  // Skips a quoted literal or identifier. A doubled quote is treated as the start of another
+  // literal; this doesn't affect the result.
+  ReadResult scanQuoted(char quote) {
     std::size_t begin = position_ + 1;
     std::size_t end = text_.find(quote, begin);
-    if (end == std::string_view::npos) return Read::unclosed;
-    if (quote == '\'' && fields_.key.empty()) fields_.key = text_.substr(begin, end - begin);
+    if (end == std::string_view::npos) return ReadResult::unclosed;
+    if (quote == '\'' && fields_.sessionKey.empty())
+      fields_.sessionKey = text_.substr(begin, end - begin);
     position_ = end + 1;
-    return Read::good;
+    return ReadResult::good;
   }
 
   std::string_view text_;
   Fields& fields_;
   std::size_t position_ = 0;
-  bool hasStatement_ = false;  // something beside blanks, semicolons and comments was there
-  bool hasEnded_ = false;      // and a semicolon behind it
+  bool hasStatement_ = false;  // there was text other than whitespace, semicolons and comments
+  bool hasEnded_ = false;      // and a semicolon after it
 };
 
 }  // namespace
 
-Read readStatement(std::string_view text, Fields& fields) {
+ReadResult readStatement(std::string_view text, Fields& fields) {
   return Scanner(text, fields).run();
 }
 
-std::string withWait(std::string_view text, std::size_t at, std::size_t size, std::int64_t ms) {
-  std::string changed(text.substr(0, at));
+std::string withTimeout(std::string_view text, std::size_t offset, std::size_t size,
+                        std::int64_t ms) {
+  std::string changed(text.substr(0, offset));
   changed += std::to_string(ms);
-  changed += text.substr(at + size);
+  changed += text.substr(offset + size);
   return changed;
 }
 
--- a/src/codec/pg/statement.h
+++ b/src/codec/pg/statement.h
@@ -1,5 +1,5 @@
-// Reads a PostgreSQL statement's text as far as routing needs it: the fields in its block comments
-// and its first quoted literal. The only rewriting is that of the wait time. No I/O.
+// Scans the text of a PostgreSQL statement for what routing needs: the fields in its block comments
+// and its first quoted literal. Only the timeout can be rewritten. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -9,34 +9,36 @@
 
 namespace reedchute::pg {
 
-// The fields of a statement's comments. Views point into the statement's text.
+// The fields of a statement's comments, with their names there. Views point into the statement's
+// text.
 struct Fields {
-  std::string_view id;                  // `id`
-  std::string_view workload;            // `c`
-  std::string_view mark;                // `k`, the idempotency key
-  std::string_view key;                 // the statement's first single-quoted literal
-  std::string_view tenant;              // `tenant`
-  std::optional<std::int64_t> waitMs;   // `d`, never negative
-  std::optional<std::int64_t> group;    // `cluster`
-  std::optional<std::int64_t> afterMs;  // `after`
-  bool repeated = false;                // `r` is 1: the client sent this before
-  std::size_t waitAt = 0;               // offset of the digits of `d` in the text
-  std::size_t waitSize = 0;             // and their number
+  std::string_view id;                    // `id`
+  std::string_view workload;              // `c`
+  std::string_view idempotencyKey;        // `k`
+  std::string_view sessionKey;            // the first single-quoted literal of the statement
+  std::string_view tenant;                // `tenant`
+  std::optional<std::int64_t> timeoutMs;  // `d`, not negative
+  std::optional<std::int64_t> group;      // `cluster`
+  std::optional<std::int64_t> afterMs;    // `after`: Unix time of the client's last write
+  bool isRetry = false;                   // `r` is 1: the client sent this statement before
+  std::size_t timeoutOffset = 0;          // offset of the digits of `d` in the text
+  std::size_t timeoutSize = 0;            // number of these digits
 };
 
-enum class Read {
+enum class ReadResult {
   good,
-  empty,     // nothing but blanks, semicolons and comments
-  several,   // more than one statement
-  unclosed,  // a literal or comment without its end
-  noFields,  // no comment with the fields that every statement carries
-  badField,  // a field whose value can't be read
+  empty,               // only whitespace, semicolons and comments
+  multipleStatements,  // more than one statement
+  unclosed,            // a literal or comment is not terminated
+  missingFields,       // id, c, d or cluster is missing or empty
+  invalidField,        // the value of d, cluster or after is invalid
 };
 
-// Reads `text` into `fields`. Unless the result is `good`, `fields` may be set in part.
-Read readStatement(std::string_view text, Fields& fields);
+// Reads the fields of `text` into `fields`. If the result isn't `good`, `fields` may be partly set.
+ReadResult readStatement(std::string_view text, Fields& fields);
 
-// Returns `text` with the `size` bytes at `at`, the digits of `d`, replaced by `ms`.
-std::string withWait(std::string_view text, std::size_t at, std::size_t size, std::int64_t ms);
+// Returns `text` with the digits of `d`, `size` bytes at `offset`, replaced by `ms`.
+std::string withTimeout(std::string_view text, std::size_t offset, std::size_t size,
+                        std::int64_t ms);
 
 }  // namespace reedchute::pg
--- a/src/protocols/postgres/client_codec.cpp
+++ b/src/protocols/postgres/client_codec.cpp
@@ -11,23 +11,24 @@
 namespace pg = reedchute::pg;
 namespace {
 
-// Bytes: a value of 64 KiB in hex digits, and the rest.
+// A 64 KiB value as hex digits, plus the rest of the statement.
 constexpr std::size_t kMaxMessageBytes = 160 * 1024;
-constexpr std::size_t kMaxStartupBytes = 10'000;  // as PostgreSQL has it
+constexpr std::size_t kMaxStartupBytes = 10'000;  // same limit as PostgreSQL
 constexpr std::int32_t kProtocolMajorVersion = 3;
 
-constexpr std::string_view kShuttingDown = "57P03";  // cannot_connect_now
-constexpr std::string_view kShuttingDownText = "this server is shutting down: ask another";
+constexpr std::string_view kShuttingDownCode = "57P03";  // cannot_connect_now
+constexpr std::string_view kShuttingDownText =
+    "this server is shutting down; connect to another server";
 
-// Message types of extended queries and copies, which are skipped up to the next Sync.
+// Message types of the extended query and COPY protocols, which are ignored until the next Sync.
 constexpr std::string_view kSkippedTypes = "BEDCHdcfp";
 
-// One client's connection. Statements of one client run side by side as far as only their timing
-// shows it: replies go out in the order of the statements, a write waits for the replies to all
-// statements before it, and statements behind a write wait for its reply.
+// One client connection. Pipelined statements of a client run concurrently, as long as the client
+// can observe this only through timing: replies are sent in statement order, a write waits for the
+// replies to all earlier statements, and statements after a write wait for its reply.
 class Session : public client::ClientCodec, public request::ResponseSink {
  public:
-  // `bufferedReplyBytes`: replies that wait for their turn, of all clients.
+  // `bufferedReplyBytes`: bytes of the replies of all clients that wait for an earlier reply.
   Session(const CodecContext& context, std::size_t& bufferedReplyBytes,
           client::ClientChannel& channel)
       : context_(context),
@@ -55,10 +56,11 @@
     replies_.complete(requestId, std::move(response.bytes) + pg::ready());
   }
   void onRejected(int requestId, Duration retryAfter) override;
-  // Not 53300 or 57P03, which tell a client that a retry is harmless: the statement may have run.
+  // The statement may have run, so the code must not be 53300 or 57P03, which state that a retry is
+  // safe.
   void onAborted(int requestId) override {
-    replies_.complete(requestId,
-                      pg::error(false, "57014", "aborted: it may have run") + pg::ready());
+    replies_.complete(
+        requestId, pg::error(false, "57014", "aborted: the statement may have run") + pg::ready());
   }
   bool isClientGone() const override { return channel_.isClientGone(); }
 
@@ -67,7 +69,7 @@
   void replyError(std::string_view sqlState, std::string_view text) {
     reply(pg::error(false, sqlState, text) + pg::ready());
   }
-  // Sends a fatal error as the last reply of the connection.
+  // Sends a fatal error as the connection's last reply.
   void close(std::string_view sqlState, std::string_view text,
              AfterReply after = AfterReply::close) {
     replies_.addComplete(pg::error(true, sqlState, text), after);
@@ -101,21 +103,20 @@
     case client::DisconnectReason::atCapacity:
       return close("53300", "too many clients");
     case client::DisconnectReason::memoryLimit:
-      return close("53200", "no memory is left for so long a message");
+      return close("53200", "out of memory: message is too long to buffer");
     case client::DisconnectReason::startupTimeout:
-      return close("08P01", "no startup message in time");
+      return close("08P01", "timed out waiting for the startup message");
     case client::DisconnectReason::messageTimeout:
-      return close("08P01", "a message that was not finished in time");
+      return close("08P01", "timed out waiting for the rest of a message");
     case client::DisconnectReason::draining:
-      return close(kShuttingDown, kShuttingDownText, AfterReply::closeForDrain);
+      return close(kShuttingDownCode, kShuttingDownText, AfterReply::closeForDrain);
   }
 }
 
 void Session::onRejected(int requestId, Duration retryAfter) {
   std::string retryAfterMs;
   if (retryAfter > Duration{}) retryAfterMs = std::to_string(retryAfter.us / 1000);
-  std::string error = pg::error(false, "53300", "rejected: trying again does no harm",
-                                retryAfterMs);
+  std::string error = pg::error(false, "53300", "rejected: retrying is safe", retryAfterMs);
   replies_.complete(requestId, error + pg::ready());
 }
 
@@ -126,7 +127,7 @@
   if (framed == pg::Framed::bad) {
     used = 0;
     log::line("client_protocol_error", "what=startup");
-    close("08P01", "the startup message can't be read");
+    close("08P01", "startup message has an invalid length");
     return true;
   }
   onStartup(code);
@@ -137,7 +138,7 @@
   if (code == pg::kSslCode || code == pg::kGssCode) return reply("N");
   if (code == pg::kCancelCode) return channel_.closeNow();
   if (code >> 16 != kProtocolMajorVersion)
-    return close("0A000", "only version 3 of the protocol is spoken here");
+    return close("0A000", "unsupported protocol version: only version 3 is supported");
   reply(pg::greeting());
   hasCompletedStartup_ = true;
 }
@@ -149,7 +150,7 @@
   if (framed == pg::Framed::partial) return false;
   if (framed == pg::Framed::bad) {
     log::line("client_protocol_error", "what=message");
-    close("08P01", "a message whose length makes no sense");
+    close("08P01", "message has an invalid length");
     return true;
   }
   used = message.whole.size();
@@ -161,37 +162,37 @@
   if (text && message.payload.empty())
     onQuery(*text, arrivals.arrivalOf(used), used == bytes.size(), used);
   else
-    replyError("08P01", "a query without its end");
+    replyError("08P01", "Query message is not a single zero-terminated string");
   return true;
 }
 
-// Only simple queries are spoken. The error to an extended query comes without ReadyForQuery, which
-// is the reply to its Sync.
+// Only the simple query protocol is supported. The error for an extended query is sent without
+// ReadyForQuery, because ReadyForQuery is the reply to the Sync that follows.
 void Session::onOtherMessage(char type) {
-  constexpr std::string_view kOnlySimple = "only simple queries are spoken here";
+  constexpr std::string_view kOnlySimpleQueries = "only the simple query protocol is supported";
   switch (type) {
     case 'X':  // Terminate
       return replies_.addComplete({}, AfterReply::close);
     case 'S':  // Sync
       return reply(pg::ready());
     case 'P':  // Parse
-      return reply(pg::error(false, "0A000", kOnlySimple));
+      return reply(pg::error(false, "0A000", kOnlySimpleQueries));
     case 'F':  // FunctionCall
-      return replyError("0A000", kOnlySimple);
+      return replyError("0A000", kOnlySimpleQueries);
     default:
       if (kSkippedTypes.find(type) != std::string_view::npos) return;
       log::line("client_protocol_error", "what=type");
-      close("08P01", "a message of an unknown type");
+      close("08P01", "unknown message type");
   }
 }
 
-// `isLast`: no bytes have arrived behind the query. `used` becomes 0 if the query has to wait for
-// replies to earlier ones; it is decoded again then.
+// `isLast`: no bytes have been received after the query. Sets `used` to 0 if the query has to wait
+// for the replies to earlier ones; it is then decoded again.
 void Session::onQuery(std::string_view text, TimePoint receivedAt, bool isLast, std::size_t& used) {
-  // A client that sends its next request at once would meet the end of the connection with it. It
-  // is told with this one instead, of which nothing has run.
+  // While draining: if the connection were closed after this query's reply, a client that sends its
+  // next request immediately could lose it. Instead, this query is refused before any of it runs.
   if (isLast && replies_.empty() && !context_.handler.acceptsReceivedAt(receivedAt))
-    return close(kShuttingDown, kShuttingDownText, AfterReply::closeForDrain);
+    return close(kShuttingDownCode, kShuttingDownText, AfterReply::closeForDrain);
   auto decoded = context_.decoder.decode(text, context_.scheduler.now(),
                                          context_.scheduler.wallClock());
   if (auto* immediate = std::get_if<ImmediateReply>(&decoded))
@@ -210,7 +211,7 @@
 void Session::admit(request::ReceivedStatement statement, bool isWrite) {
   int requestId = replies_.addPending(isWrite, statement.receivedAt + statement.timeout);
   int index = context_.handler.admit(std::move(statement), *this, requestId);
-  bool isAdmitted = index >= 0;  // otherwise its reply has been completed already
+  bool isAdmitted = index >= 0;  // if not, its reply has already been completed
   if (isAdmitted) replies_.setStatement(index);
 }
 
--- a/src/protocols/postgres/client_codec.h
+++ b/src/protocols/postgres/client_codec.h
@@ -1,4 +1,5 @@
-// PostgreSQL towards the clients: simple queries of protocol version 3, replied to in their order.
+// The client side of the PostgreSQL protocol: simple queries of protocol version 3, whose replies
+// are sent in the order of the queries.
 #pragma once
 
 #include "client/client_protocol.h"
@@ -9,18 +10,18 @@
 
 namespace reedchute::protocols::postgres {
 
-// Limits of statements that stand behind others on their connection.
+// Limits on the statements that a client pipelines on its connection.
 struct PipelineLimits {
-  std::size_t maxStatements = 1;     // open at a time, of one client
-  std::size_t maxBufferedBytes = 0;  // of replies that wait for their turn, of all clients
+  std::size_t maxStatements = 1;     // open at a time per client
+  std::size_t maxBufferedBytes = 0;  // of the replies of all clients that wait for earlier ones
 };
 
-// What the codecs of all clients share.
+// State shared by the codecs of all clients. The references must outlive the codecs.
 struct CodecContext {
   runtime::Scheduler& scheduler;
   request::StatementHandler& handler;
   StatementDecoder decoder;
-  request::ProtocolVersion version;  // in which statements are sent to stores
+  request::ProtocolVersion version;  // version in which statements are sent to stores
   PipelineLimits pipeline;
 };
 
@@ -33,7 +34,7 @@
 
  private:
   CodecContext context_;
-  std::size_t bufferedReplyBytes_ = 0;  // replies that wait for their turn, of all clients
+  std::size_t bufferedReplyBytes_ = 0;  // replies of all clients that wait for an earlier reply
 };
 
 }  // namespace reedchute::protocols::postgres
--- a/src/protocols/postgres/message_buffer.cpp
+++ b/src/protocols/postgres/message_buffer.cpp
@@ -6,36 +6,37 @@
 namespace reedchute::protocols::postgres {
 namespace {
 
-// Bytes of parameters and notices in one response, or between two.
-constexpr std::size_t kMaxUnrequested = 64 * 1024;
-constexpr std::size_t kUsualTail = 256;  // bytes that follow a row
+// Bytes of ParameterStatus and NoticeResponse messages within one response or between two.
+constexpr std::size_t kMaxUnsolicitedBytes = 64 * 1024;
+constexpr std::size_t kTypicalTrailerSize = 256;  // bytes that usually follow a row
 
 }  // namespace
 
-// A row says early how long it is: its place is taken once, and not again and again as it grows.
+// The header of a row states its length, so its memory is reserved once instead of being
+// reallocated repeatedly as the row is received.
 std::size_t MessageBuffer::reserveMessage() {
-  std::size_t whole = keptSize_ + pg::statedSize(std::string_view(bytes_).substr(keptSize_));
-  if (whole > bytes_.capacity()) bytes_.reserve(whole + kUsualTail);
-  return whole;
+  std::size_t messageEnd = keptSize_ + pg::statedSize(std::string_view(bytes_).substr(keptSize_));
+  if (messageEnd > bytes_.capacity()) bytes_.reserve(messageEnd + kTypicalTrailerSize);
+  return messageEnd;
 }
 
-// Parameters and notices without end, as fast as they can be read, would have this thread for
-// themselves.
+// A store that sends parameters and notices endlessly, as fast as they can be read, would
+// monopolize this thread, so their total size is limited.
 MessageBuffer::Peek MessageBuffer::peek(pg::Message& message) {
   Peek result = parse(message);
   if (result == Peek::message && (message.type == 'S' || message.type == 'N'))
-    unrequestedBytes_ += message.whole.size();
-  return unrequestedBytes_ > kMaxUnrequested ? Peek::malformed : result;
+    unsolicitedBytes_ += message.whole.size();
+  return unsolicitedBytes_ > kMaxUnsolicitedBytes ? Peek::malformed : result;
 }
 
 MessageBuffer::Peek MessageBuffer::parse(pg::Message& message) {
   peekedSize_ = 0;
   std::string_view rest = std::string_view(bytes_).substr(keptSize_);
-  if (!pg::storeMessageMayFollow(rest, maxRowBytes_)) return Peek::malformed;
+  if (!pg::isServerMessagePrefix(rest, maxRowBytes_)) return Peek::malformed;
   switch (pg::frame(rest, maxRowBytes_, message)) {
     case pg::Framed::whole:
       peekedSize_ = message.whole.size();
-      return pg::wellFormed(message) ? Peek::message : Peek::malformed;
+      return pg::isWellFormed(message) ? Peek::message : Peek::malformed;
     case pg::Framed::partial:
       return Peek::none;
     default:
--- a/src/protocols/postgres/ordered_replies.h
+++ b/src/protocols/postgres/ordered_replies.h
@@ -1,6 +1,5 @@
-// The replies that one client is waiting for, in the order of its messages. A reply that is
-// complete waits here until all before it have been sent. No I/O: replies whose turn has come go to
-// the client's channel.
+// Queue of the replies to one client, in the order of its messages. A complete reply is buffered
+// until all earlier replies have been sent. No I/O: replies are passed to the client's channel.
 #pragma once
 
 #include <cstddef>
@@ -17,35 +16,38 @@
 
 class OrderedReplies {
  public:
-  // `totalBytes` counts the bytes of waiting replies over all clients.
+  // `totalBytes` counts the bytes of buffered replies of all clients. Both references must outlive
+  // this object.
   OrderedReplies(client::ClientChannel& channel, std::size_t& totalBytes)
       : channel_(channel), totalBytes_(totalBytes) {}
   ~OrderedReplies() { setBufferedBytes(0); }
   OrderedReplies(const OrderedReplies&) = delete;
   OrderedReplies& operator=(const OrderedReplies&) = delete;
 
-  // Adds the reply to a statement that is about to be admitted; returns its request id.
+  // Adds a pending reply to a statement that is about to be admitted; returns its request id.
+  // `deadline` is the client's.
   int addPending(bool isWrite, TimePoint deadline);
-  // Names the statement of the newest pending reply.
+  // Sets the statement index of the newest reply, which is pending.
   void setStatement(int statement) { replies_.back().statement = statement; }
-  // The reply to a pending statement is whole.
+  // Completes a pending reply with its bytes.
   void complete(int requestId, std::string bytes);
-  // Adds a reply that is whole.
+  // Adds a complete reply.
   void addComplete(std::string bytes, AfterReply after);
 
   bool empty() const { return replies_.empty(); }
   std::size_t size() const { return replies_.size(); }
-  // Nothing that comes behind the newest reply is answered.
+  // Whether the connection closes after the newest reply, so that later messages get no reply.
+  // There must be a reply.
   bool endsConnection() const { return replies_.back().after != AfterReply::keepOpen; }
-  // Must the next statement wait for replies to those before it? A read that overtakes a write
-  // would not see it, and writes keep their order. If so, isBlocked() is true until a reply is
-  // sent.
+  // Returns whether the next statement has to wait for the replies to earlier statements: a read
+  // that overtakes a write would not see it, and writes keep their order. If so, isBlocked() is
+  // true until a reply is sent.
   bool blockIfOrdered(bool isWrite);
   bool isBlocked() const { return isBlocked_; }
-  // Complete replies to statements that wait for their turn.
+  // Number of complete replies to statements that wait for an earlier reply.
   std::size_t bufferedResponses() const;
 
-  // Drops all replies and calls `onStatement` with each statement that is still open.
+  // Drops all replies and calls `onStatement` with the index of each statement that is still open.
   template <class OnStatement>
   void clear(OnStatement onStatement) {
     std::deque<Reply> dropped;
@@ -57,11 +59,11 @@
 
  private:
   struct Reply {
-    int statement = -1;  // -1: none, or no longer open
+    int statement = -1;  // index of the statement; -1: none, or no longer open
     bool isWrite = false;
-    bool isComplete = false;  // `bytes` are the whole of it
+    bool isComplete = false;  // `bytes` holds the whole reply
     AfterReply after = AfterReply::keepOpen;
-    TimePoint deadline = kNever;  // of the client; kNever: it replies to no statement
+    TimePoint deadline = kNever;  // of the client; kNever: not a reply to a statement
     std::string bytes;
   };
 
--- a/src/protocols/postgres/response_reader.cpp
+++ b/src/protocols/postgres/response_reader.cpp
@@ -48,14 +48,14 @@
 }
 
 ResponseReader::Verdict ResponseReader::onError(const pg::Message& message) {
-  bool mayFollow = !isComplete() && !hasFailed();
+  bool isAllowed = !isComplete() && !hasFailed();
   state_ = State::failed;
   std::string_view sqlState = pg::errorField(message.payload, 'C');
   request_.response.bytes = message.whole;
   request_.outcome = outcomeOf(sqlState);
   if (isLogged(sqlState) && request_.statement >= 0)
     log::line("store_error", "store=%d code=%.5s", request_.store, std::string(sqlState).c_str());
-  return mayFollow ? Verdict::drop : Verdict::malformed;
+  return isAllowed ? Verdict::drop : Verdict::malformed;
 }
 
 void ResponseReader::onParameter(std::string_view payload, WallTime newest) {
--- a/src/protocols/postgres/response_reader.h
+++ b/src/protocols/postgres/response_reader.h
@@ -1,6 +1,6 @@
-// The state machine of a store's response to one simple query: a row's description, one row and its
-// completion, or an error in the place of any of them, and at last ReadyForQuery. It notes in the
-// request what the response says of the store. No I/O.
+// State machine for a store's response to one simple query: a RowDescription, one DataRow and a
+// CommandComplete, or an ErrorResponse in place of any of them, and finally ReadyForQuery. Records
+// the store's role, position and load report, which the response contains, in the request. No I/O.
 #pragma once
 
 #include <string_view>
@@ -15,17 +15,17 @@
  public:
   explicit ResponseReader(request::UpstreamRequest& request) : request_(request) {}
 
-  // What becomes of the message that was read.
+  // What to do with a message that was read.
   enum class Verdict {
-    keep,       // it goes on to the client
-    drop,       // it was of use here alone
-    finished,   // it was the last one
-    malformed,  // it can't stand here
+    keep,       // forward it to the client
+    drop,       // don't forward it; it concerns only the proxy
+    finished,   // it is the last message of the response
+    malformed,  // the protocol doesn't allow it at this point
   };
-  // `newest`: the latest position that a store may truthfully report now.
+  // `newest`: the latest position that is plausible now; later ones are ignored.
   Verdict onMessage(const pg::Message& message, WallTime newest);
 
-  // A store may not pause for long once its response has begun.
+  // Whether the response has begun; from then on, the store may not pause for long.
   bool hasBegun() const { return state_ != State::initial; }
   bool isComplete() const { return state_ == State::complete; }
   bool hasFailed() const { return state_ == State::failed; }
--- a/src/protocols/postgres/sql_state.cpp
+++ b/src/protocols/postgres/sql_state.cpp
@@ -10,16 +10,16 @@
 constexpr std::string_view kSnapshotTooOld = "72000";
 constexpr std::string_view kTooManyConnections = "53300";
 constexpr std::string_view kInternalError = "XX000";
-constexpr std::size_t kClassSize = 2;  // characters of a SQLSTATE that name its class
+constexpr std::size_t kClassSize = 2;  // leading characters of a SQLSTATE that state its class
 
-// Classes by which a store says that the statement is at fault, wherever it is sent.
-constexpr std::array<std::string_view, 7> kStatementFaults{"0A", "21", "22", "23",
-                                                           "42", "44", "54"};
+// Classes of errors that the statement itself causes, whichever store it is sent to.
+constexpr std::array<std::string_view, 7> kStatementErrorClasses{"0A", "21", "22", "23",
+                                                                 "42", "44", "54"};
 
-bool blamesStatement(std::string_view sqlState) {
-  std::string_view kind = sqlState.substr(0, kClassSize);
-  return std::find(kStatementFaults.begin(), kStatementFaults.end(), kind) !=
-         kStatementFaults.end();
+bool isStatementError(std::string_view sqlState) {
+  std::string_view sqlStateClass = sqlState.substr(0, kClassSize);
+  return std::find(kStatementErrorClasses.begin(), kStatementErrorClasses.end(), sqlStateClass) !=
+         kStatementErrorClasses.end();
 }
 
 }  // namespace
@@ -28,7 +28,7 @@
   if (sqlState == kReadOnlyTransaction || sqlState == kSnapshotTooOld)
     return AttemptOutcome::notServedHere;
   if (sqlState == kTooManyConnections) return AttemptOutcome::overloaded;
-  return blamesStatement(sqlState) ? AttemptOutcome::invalid : AttemptOutcome::error;
+  return isStatementError(sqlState) ? AttemptOutcome::invalid : AttemptOutcome::error;
 }
 
 bool isLogged(std::string_view sqlState) {
--- a/src/protocols/postgres/sql_state.h
+++ b/src/protocols/postgres/sql_state.h
@@ -1,4 +1,4 @@
-// What a store's SQLSTATE says of the attempt that met it. No I/O.
+// Classification of the SQLSTATE with which a store fails an attempt. No I/O.
 #pragma once
 
 #include <string_view>
@@ -7,9 +7,11 @@
 
 namespace reedchute::protocols::postgres {
 
+// Returns the outcome of an attempt that failed with this SQLSTATE.
 AttemptOutcome outcomeOf(std::string_view sqlState);
 
-// Is the error worth a line in the log? Those by which a store sends an attempt elsewhere are not.
+// Whether the error is logged. Errors by which a store only sends the attempt elsewhere are
+// not, and neither is XX000 (internal_error).
 bool isLogged(std::string_view sqlState);
 
 }  // namespace reedchute::protocols::postgres
--- a/src/protocols/postgres/statement_decoder.cpp
+++ b/src/protocols/postgres/statement_decoder.cpp
@@ -17,15 +17,15 @@
 
 namespace {
 
-// Bytes: a value of 64 KiB in hex digits, and the rest.
-constexpr std::size_t kMaxText = 64 * 1024 * 2 + 4096;
-constexpr std::int64_t kMaxWaitMs = 86'400'000;
-// Unix time: far ahead, and far from what microseconds can hold.
+// A 64 KiB value as hex digits, plus the rest of the statement.
+constexpr std::size_t kMaxTextBytes = 64 * 1024 * 2 + 4096;
+constexpr std::int64_t kMaxTimeoutMs = 86'400'000;
+// Unix time far in the future, yet far below the largest int64 number of microseconds.
 constexpr std::int64_t kMaxPositionMs = 100'000'000'000'000;
 constexpr std::uint64_t kFnvOffset = 14695981039346656037ULL;
 constexpr std::uint64_t kFnvPrime = 1099511628211ULL;
 
-// An error as the client gets it, by its SQLSTATE and text.
+// An error that is returned to the client: its SQLSTATE and text.
 struct Refusal {
   std::string_view sqlState, text;
 };
@@ -36,23 +36,26 @@
   return {pg::error(false, refusal.sqlState, refusal.text) + pg::ready()};
 }
 
-// Why the text can't be read, if it can't; an empty query is no error.
-std::optional<Refusal> refusalOf(pg::Read result) {
+// Returns the error if the text can't be parsed. An empty query isn't an error.
+std::optional<Refusal> refusalOf(pg::ReadResult result) {
   switch (result) {
-    case pg::Read::several:
-      return Refusal{"42601", "several statements in one query"};
-    case pg::Read::unclosed:
-      return Refusal{"42601", "a literal or comment without its end"};
-    case pg::Read::noFields:
-      return Refusal{"42601", "the comment with id, c, d and cluster is missing"};
-    case pg::Read::badField:
-      return Refusal{"22023", "a field of the comment can't be read"};
+    case pg::ReadResult::multipleStatements:
+      return Refusal{"42601", "a query must contain exactly one statement"};
+    case pg::ReadResult::unclosed:
+      return Refusal{"42601", "unterminated literal or comment"};
+    case pg::ReadResult::missingFields:
+      return Refusal{"42601", "the comment fields id, c, d and cluster are required"};
+    case pg::ReadResult::invalidField:
+      return Refusal{
+          "22023",
+          "invalid comment field: d must be a non-negative integer, cluster and after integers"};
     default:
       return std::nullopt;
   }
 }
 
-// A session's key: its hex digits as a number, or a hash of whatever else it is.
+// Returns the session of a session key: the number if the key is hex digits, otherwise its FNV-1a
+// hash.
 std::uint64_t sessionOf(std::string_view key) {
   if (std::optional<std::uint64_t> digits = parseNumber<std::uint64_t>(key, 16)) return *digits;
   std::uint64_t hash = kFnvOffset;
@@ -60,23 +63,24 @@
   return hash;
 }
 
-// What is wrong with the fields beside workload and group.
+// Returns the error if a field other than workload and group is invalid.
 std::optional<Refusal> checkFields(const pg::Fields& fields, bool needsKey, bool isOpen) {
-  // Of two open statements with one id, the later would pass for the earlier wherever ids are told
-  // apart.
-  if (isOpen) return Refusal{"22023", "an id that is open already"};
-  if (needsKey && fields.mark.empty()) return Refusal{"22023", "no k where the workload needs one"};
+  // Two open statements with the same id would be confused wherever statements are identified by
+  // their id.
+  if (isOpen) return Refusal{"22023", "id belongs to a statement that is still open"};
+  if (needsKey && fields.idempotencyKey.empty())
+    return Refusal{"22023", "the workload requires an idempotency key in field k"};
   if (fields.afterMs && (*fields.afterMs < 0 || *fields.afterMs > kMaxPositionMs))
-    return Refusal{"22023", "a position that makes no sense"};
-  if (*fields.waitMs > kMaxWaitMs) return Refusal{"22023", "a wait that makes no sense"};
+    return Refusal{"22023", "after must be from 0 to 100000000000000 ms"};
+  if (*fields.timeoutMs > kMaxTimeoutMs) return Refusal{"22023", "d must be at most 86400000 ms"};
   return std::nullopt;
 }
 
 std::unique_ptr<Query> makeQuery(std::string_view text, const pg::Fields& fields) {
   auto query = std::make_unique<Query>();
   query->text = text;
-  query->waitOffset = fields.waitAt;
-  query->waitSize = fields.waitSize;
+  query->timeoutOffset = fields.timeoutOffset;
+  query->timeoutSize = fields.timeoutSize;
   return query;
 }
 
@@ -84,32 +88,34 @@
 
 std::variant<request::ReceivedStatement, ImmediateReply> StatementDecoder::decode(
     std::string_view text, TimePoint now, const runtime::WallClock& wall) const {
-  if (text.size() > kMaxText) return replyTo({"54000", "the statement is too long"});
+  if (text.size() > kMaxTextBytes)
+    return replyTo({"54000", "the statement is longer than 135168 bytes"});
   if (text.find('\0') != std::string_view::npos)
-    return replyTo({"22021", "a zero byte in the statement"});
+    return replyTo({"22021", "the statement contains a zero byte"});
   pg::Fields fields;
-  pg::Read result = pg::readStatement(text, fields);
-  if (result == pg::Read::empty) return ImmediateReply{pg::emptyQuery() + pg::ready()};
+  pg::ReadResult result = pg::readStatement(text, fields);
+  if (result == pg::ReadResult::empty) return ImmediateReply{pg::emptyQuery() + pg::ready()};
   if (std::optional<Refusal> refusal = refusalOf(result)) return replyTo(*refusal);
   request::ReceivedStatement statement;
   Arrival& arrival = statement.arrival;
   arrival.workload = indexOf(names_.workloads, fields.workload);
-  if (arrival.workload < 0) return replyTo({"22023", "an unknown workload"});
+  if (arrival.workload < 0) return replyTo({"22023", "unknown workload in field c"});
   arrival.group = groups_.find(*fields.group);
-  if (arrival.group < 0) return replyTo({"22023", "an unknown group"});
+  if (arrival.group < 0) return replyTo({"22023", "unknown group in field cluster"});
   bool needsKey = names_.deduplicated[static_cast<std::size_t>(arrival.workload)];
   bool isOpen = openIds_.contains(std::string(fields.id));
   if (std::optional<Refusal> refusal = checkFields(fields, needsKey, isOpen))
     return replyTo(*refusal);
-  arrival.session = sessionOf(fields.key);
-  arrival.repeated = fields.repeated;
-  // A commit's time is rounded up and may lie ahead of this clock; it is a write all the same.
+  arrival.session = sessionOf(fields.sessionKey);
+  arrival.repeated = fields.isRetry;
+  // A commit's time is rounded up and may be ahead of this clock, which makes the difference
+  // negative; it still counts as a write.
   if (fields.afterMs) arrival.sinceWrite = now - wall.toSteady(WallTime{*fields.afterMs * 1000});
-  statement.timeout = Duration{*fields.waitMs * 1000};
+  statement.timeout = Duration{*fields.timeoutMs * 1000};
   statement.id = fields.id;
   statement.tenant = fields.tenant.substr(0, request::kMaxTenantBytes);
   statement.idempotencyKey = request::idempotencyKeyOf(statement.tenant, *fields.group,
-                                                       fields.mark);
+                                                       fields.idempotencyKey);
   arrival.tenant = indexOf(names_.tenants, statement.tenant);
   statement.payload = makeQuery(text, fields);
   return statement;
--- a/src/protocols/postgres/statement_decoder.h
+++ b/src/protocols/postgres/statement_decoder.h
@@ -1,5 +1,5 @@
-// Decodes a query of the PostgreSQL protocol: from its text to what the decision engine is told of
-// it, or to what is wrong with it. No I/O.
+// Decodes the text of a PostgreSQL query into a statement for the decision engine, or into an error
+// response. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -16,28 +16,32 @@
 
 namespace reedchute::protocols::postgres {
 
-// A statement's text as it came, and where the digits of its time limit stand in it.
+// A statement's text as received, and the position of the digits of its timeout (field `d`).
 struct Query : request::StatementPayload {
   std::size_t size() const override { return text.size(); }
   std::string text;
-  std::size_t waitOffset = 0, waitSize = 0;  // bytes
+  std::size_t timeoutOffset = 0, timeoutSize = 0;  // bytes
 };
 
-// The whole response to a query that is not sent on.
+// The complete response to a query that is not forwarded to a store.
 struct ImmediateReply {
   std::string bytes;
 };
 
+// The references passed to the constructor must outlive the decoder.
 class StatementDecoder {
  public:
   StatementDecoder(const EngineSettings& settings, const Names& names,
                    const IdIndex<std::int64_t>& groups, const request::OpenStatementIds& openIds)
       : settings_(settings), names_(names), groups_(groups), openIds_(openIds) {}
 
-  // The caller fills in version and time of arrival.
+  // Returns the statement, or the response to an empty or invalid query. `now` and `wall`
+  // convert the field `after` to the time since the client's last write. The caller sets the
+  // statement's version and receivedAt.
   std::variant<request::ReceivedStatement, ImmediateReply> decode(
       std::string_view text, TimePoint now, const runtime::WallClock& wall) const;
 
+  // `workload`: index of a workload.
   bool isWrite(int workload) const {
     return settings_.workloads[static_cast<std::size_t>(workload)].level == Level::write;
   }
--- a/src/protocols/postgres/upstream_connection.cpp
+++ b/src/protocols/postgres/upstream_connection.cpp
@@ -18,20 +18,22 @@
 
 namespace {
 
-constexpr std::size_t kMaxReadAtOnce = 64 * 1024;  // bytes, before they are parsed
-// A store is told the time left as the first byte is written; at the last it may be told a little
-// more than is left.
+constexpr std::size_t kMaxReadAtOnce = 64 * 1024;  // bytes read before they are parsed
+// Limit on the time from the first to the last byte of a request. The request states the time left
+// when its first byte is written, so by the last byte it may overstate it by at most this much.
 constexpr Duration kMaxWriteTime{100'000};
-constexpr const char* kUser = "web";         // as clients give it
-constexpr const char* kDatabase = "orders";  // as clients give it
+constexpr const char* kUser = "web";         // the same as clients use
+constexpr const char* kDatabase = "orders";  // the same as clients use
 constexpr std::string_view kAuthenticationOk("\0\0\0\0", 4);
 
-std::string queryOf(UpstreamRequest& request, TimePoint now) {
+// Encodes the request's Query with the time left at `now`, which is recorded in the request;
+// without payload, the request is a probe.
+std::string encodeQuery(UpstreamRequest& request, TimePoint now) {
   if (!request.payload) return pg::query("SHOW usage");
   const auto& query = static_cast<const Query&>(*request.payload);
   request.announcedTimeoutMs = request.remainingMs(now);
-  return pg::query(
-      pg::withWait(query.text, query.waitOffset, query.waitSize, request.announcedTimeoutMs));
+  return pg::query(pg::withTimeout(query.text, query.timeoutOffset, query.timeoutSize,
+                                   request.announcedTimeoutMs));
 }
 
 class Connection : public upstream::UpstreamConnection {
@@ -46,8 +48,9 @@
     request_ = request;
     socket_.readable.set();
   }
-  // A response may have come already, and with it what its store is; unread it would be lost with
-  // the connection (test cancelCrosses). While the request is written it is only stopped.
+  // While the request is being written, the connection is closed. Afterwards the task is only
+  // woken: a response may already have arrived, and the store's role that it contains would be lost
+  // if the connection were closed without reading it (test cancelCrosses).
   void cancel(UpstreamRequest*) override {
     if (isWriting_)
       socket_.close();
@@ -62,38 +65,40 @@
   runtime::Task<> end() override;
 
  private:
-  enum class Receive { message, ended, timedOut, malformed };
+  enum class ReceiveResult { message, ended, timedOut, malformed };
 
   runtime::Scheduler& scheduler() { return pools.scheduler(); }
-  WallTime newestPosition();
-  bool isQuiet();
+  WallTime latestPlausiblePosition();
+  bool isReusable();
   bool exceedsMemory();
-  runtime::Task<Receive> receive(pg::Message& message, TimePoint until, bool hasBegun = false);
+  runtime::Task<ReceiveResult> receive(pg::Message& message, TimePoint until,
+                                       bool hasBegun = false);
   bool mayFollowStartup(const pg::Message& message) const;
   runtime::Task<bool> waitForRequest();
   runtime::Task<bool> exchange();
   runtime::Task<bool> finishWriting(std::optional<std::string_view> rest);
   runtime::Task<bool> readResponse();
   void onResponseFinished(const ResponseReader& reader);
-  void onResponseCut(Receive cause, const ResponseReader& reader);
+  void onResponseInterrupted(ReceiveResult cause, const ResponseReader& reader);
 
   runtime::Socket socket_;
   MessageBuffer buffer_;
   UpstreamRequest* request_ = nullptr;
   bool isWriting_ = false;
-  bool isExchanging_ = false;  // the store may have had the request
+  bool isExchanging_ = false;  // the store may have received the request
 };
 
-// A commit's time is rounded up, and clocks are read at different moments: a little ahead is no
-// untruth.
-WallTime Connection::newestPosition() {
+// The latest position that is plausible now. A commit's time is rounded up, and the clocks are read
+// at different moments, so a position may be ahead of this clock by up to the connect timeout.
+WallTime Connection::latestPlausiblePosition() {
   return scheduler().wallClock().toWall(scheduler().now()) + pools.limits().connectTimeout;
 }
 
-// Between requests: is the connection still open, and has nothing come that could be mistaken for a
-// response? The end may stand right behind what came last, and its event may not have been seen
-// yet, so everything is read up to where nothing is left (test endsUnseen).
-bool Connection::isQuiet() {
+// Called between requests. Whether the connection is still open, with no received data that could
+// be mistaken for a response. The end of the stream may directly follow the last data, without its
+// event having been handled yet, so the socket is read until it has no more data (test endsUnseen).
+// Parameters and notices are dropped.
+bool Connection::isReusable() {
   runtime::Socket::ReadStatus got = runtime::Socket::ReadStatus::data;
   while (got != runtime::Socket::ReadStatus::noData) {
     got = socket_.read(buffer_.bytes(), kMaxReadAtOnce);
@@ -107,7 +112,8 @@
   return true;
 }
 
-// Rows that all stores send at once would together take all memory there is.
+// Whether reading on would exceed the limit on the bytes buffered for all stores. Without it, large
+// rows that many stores send at the same time could exhaust the memory.
 bool Connection::exceedsMemory() {
   if (buffer_.size() <= kMaxReadAtOnce) return false;
   if (pools.bufferedBytes() <= pools.limits().maxBufferedBytes) return false;
@@ -115,30 +121,33 @@
   return true;
 }
 
-// The next message, which is in the buffer until it is kept or dropped. `hasBegun`: a response has,
-// and its store may make no long pause.
-runtime::Task<Connection::Receive> Connection::receive(pg::Message& message, TimePoint until,
-                                                       bool hasBegun) {
+// Waits for the next message, which stays in the buffer until it is kept or dropped. `hasBegun`:
+// the response has begun, so the store may not pause for longer than the connect timeout.
+runtime::Task<Connection::ReceiveResult> Connection::receive(pg::Message& message, TimePoint until,
+                                                             bool hasBegun) {
   for (;;) {
     MessageBuffer::Peek peeked = buffer_.peek(message);
-    if (peeked == MessageBuffer::Peek::message) co_return Receive::message;
-    if (peeked == MessageBuffer::Peek::malformed) co_return Receive::malformed;
-    std::size_t whole = buffer_.reserveMessage();
-    if (exceedsMemory()) co_return Receive::malformed;
-    std::size_t most = std::max(buffer_.size() + kMaxReadAtOnce, whole);
-    runtime::Socket::ReadStatus got = socket_.read(buffer_.bytes(), most);
+    if (peeked == MessageBuffer::Peek::message) co_return ReceiveResult::message;
+    if (peeked == MessageBuffer::Peek::malformed) co_return ReceiveResult::malformed;
+    std::size_t messageEnd = buffer_.reserveMessage();
+    if (exceedsMemory()) co_return ReceiveResult::malformed;
+    std::size_t maxSize = std::max(buffer_.size() + kMaxReadAtOnce, messageEnd);
+    runtime::Socket::ReadStatus got = socket_.read(buffer_.bytes(), maxSize);
     if (got == runtime::Socket::ReadStatus::data) continue;
     bool isCancelled = request_ && request_->isCancelled;
-    if (got == runtime::Socket::ReadStatus::closed || isCancelled) co_return Receive::ended;
-    // A length that promises more than ever comes would hold the request for all of its time.
-    TimePoint stallsAt = scheduler().now() + pools.limits().connectTimeout;
-    bool mayStall = (hasBegun || buffer_.hasPartialMessage()) && stallsAt < until;
-    bool isSet = co_await socket_.readable.wait(mayStall ? stallsAt : until);
-    if (!isSet) co_return mayStall ? Receive::malformed : Receive::timedOut;
+    if (got == runtime::Socket::ReadStatus::closed || isCancelled) co_return ReceiveResult::ended;
+    // A message that states more bytes than are ever sent would hold the request until its
+    // deadline, so the wait for the rest of a message or response is limited to the connect
+    // timeout.
+    TimePoint stallDeadline = scheduler().now() + pools.limits().connectTimeout;
+    bool isStallLimited = (hasBegun || buffer_.hasPartialMessage()) && stallDeadline < until;
+    bool isSet = co_await socket_.readable.wait(isStallLimited ? stallDeadline : until);
+    if (!isSet) co_return isStallLimited ? ReceiveResult::malformed : ReceiveResult::timedOut;
   }
 }
 
-// Of the ways to authenticate only 'authentication ok' is spoken here.
+// Whether the store may send this message before its first ReadyForQuery. Of the authentication
+// messages, only AuthenticationOk is supported.
 bool Connection::mayFollowStartup(const pg::Message& message) const {
   switch (message.type) {
     case 'R':
@@ -154,15 +163,15 @@
 }
 
 runtime::Task<bool> Connection::connect(TimePoint until) {
-  bool isUp = co_await runtime::awaitConnected(socket_, until);
-  if (!isUp) co_return false;
+  bool isConnected = co_await runtime::awaitConnected(socket_, until);
+  if (!isConnected) co_return false;
   std::string startup = pg::startup(kUser, kDatabase);
   bool isSent = co_await runtime::writeAll(socket_, startup, until);
   if (!isSent) co_return false;
   for (;;) {
     pg::Message message;
-    Receive received = co_await receive(message, until);
-    if (received != Receive::message) co_return false;
+    ReceiveResult received = co_await receive(message, until);
+    if (received != ReceiveResult::message) co_return false;
     if (message.type == 'E') {
       std::string code(pg::errorField(message.payload, 'C'));
       log::line("upstream_rejected", "store=%d code=%s", store, code.c_str());
@@ -181,9 +190,9 @@
       bool isAlive = co_await waitForRequest();
       if (!isAlive) break;
     }
-    // What the store sent unasked would pass for the response, and a request written to a
-    // connection that has ended would be lost.
-    if (!isQuiet()) {
+    // Unsolicited data would be mistaken for the response, and a request that is written to a
+    // closed connection would be lost.
+    if (!isReusable()) {
       if (!request_->isCancelled) pools.requeue(std::exchange(request_, nullptr));
       break;
     }
@@ -192,9 +201,9 @@
   }
 }
 
-// Waits while idle; false where the connection is of no more use. The store's machine closes what
-// has been idle for the stated time, and a request that is written just then is lost: a connection
-// is given up a connect time-out earlier.
+// Waits for a request while idle; returns false if the connection can no longer be used. The
+// store's host closes connections that have been idle for the keepalive time, and a request written
+// at that moment is lost, so the connection is closed here one connect timeout earlier.
 runtime::Task<bool> Connection::waitForRequest() {
   idleSince = scheduler().now();
   pools.markReady(*this);
@@ -202,20 +211,20 @@
   for (;;) {
     bool isSet = co_await socket_.readable.wait(until);
     if (request_) co_return true;
-    bool isAlive = isSet && isQuiet();
+    bool isAlive = isSet && isReusable();
     if (!isAlive) break;
   }
   pools.markBusy(*this);
   co_return false;
 }
 
-// Sends the request, reads its response and completes it; false where the connection is of no more
-// use.
+// Sends the request, reads its response and completes it; returns false if the connection can no
+// longer be used.
 runtime::Task<bool> Connection::exchange() {
   UpstreamRequest* request = request_;
-  std::string query = queryOf(*request, scheduler().steadyNow());
-  // The process may stand still anywhere, so as little as can be lies between this look at the
-  // time and the write.
+  std::string query = encodeQuery(*request, scheduler().steadyNow());
+  // The process may be suspended at any point, so as little as possible is done between this check
+  // of the time and the write.
   if (!pools.maySend(*request)) {
     request_ = nullptr;
     pools.complete(request, AttemptOutcome::neverSent);
@@ -223,7 +232,7 @@
   }
   std::optional<std::string_view> rest = socket_.write(query);
   bool isWritten = rest && rest->empty();
-  if (isWritten) std::string().swap(query);  // responses may take long
+  if (isWritten) std::string().swap(query);  // frees the memory, as the response may take long
   isExchanging_ = true;
   bool isUsable = co_await finishWriting(rest);
   if (isUsable) isUsable = co_await readResponse();
@@ -233,42 +242,43 @@
   co_return isUsable;
 }
 
-// Writes the rest of the request, if its connection holds; false, with the outcome set, where the
-// last byte didn't leave in time. A read whose last byte leaves too late is a stale one, and a
-// write that leaves too late for its window has a second effect (test heldUp).
+// Writes `rest`, the part of the request that is not written yet; nullopt if the connection has
+// failed. Returns false, with the outcome set, if the last byte wasn't written in time. A read
+// whose last byte is written too late is stale, and a write whose last byte is written after its
+// deduplication window may take effect twice (test heldUp).
 runtime::Task<bool> Connection::finishWriting(std::optional<std::string_view> rest) {
   UpstreamRequest& request = *request_;
   bool isWritten = rest && rest->empty();
   if (isWritten) request.lastByteSentAt = request.firstByteSentAt;
-  TimePoint writtenBy = request.firstByteSentAt + kMaxWriteTime;
+  TimePoint maxWriteEnd = request.firstByteSentAt + kMaxWriteTime;
   if (rest && !isWritten) {
     isWriting_ = true;
-    TimePoint wholeBy = std::min({request.deadline, request.sendBy, writtenBy});
-    isWritten = co_await runtime::writeAll(socket_, *rest, wholeBy);
+    TimePoint writeDeadline = std::min({request.deadline, request.sendBy, maxWriteEnd});
+    isWritten = co_await runtime::writeAll(socket_, *rest, writeDeadline);
     if (isWritten) request.lastByteSentAt = scheduler().steadyNow();
     isWriting_ = false;
   }
   if (isWritten) co_return true;
-  // A request that was cancelled while it was written, or held up on its way, says nothing about
-  // the store: the kernel may take it late for this process's own sake.
-  bool isLate = scheduler().now() >= std::min(request.sendBy, writtenBy);
-  bool isInnocent = request.isCancelled || isLate;
-  request.outcome = isInnocent ? AttemptOutcome::neverSent : AttemptOutcome::connectFailed;
+  // A request that was cancelled or delayed while it was being written is no evidence against the
+  // store: the kernel may accept the bytes late because of this process itself.
+  bool isLate = scheduler().now() >= std::min(request.sendBy, maxWriteEnd);
+  bool isLocalCause = request.isCancelled || isLate;
+  request.outcome = isLocalCause ? AttemptOutcome::neverSent : AttemptOutcome::connectFailed;
   co_return false;
 }
 
-// Reads the response and sets the request's outcome. From here on the store may have run it,
-// whatever becomes of the connection.
+// Reads the response and sets the request's outcome; returns false if the connection can no longer
+// be used. From here on, the store may have run the request, even if the connection fails.
 runtime::Task<bool> Connection::readResponse() {
   ResponseReader reader(*request_);
   for (;;) {
     pg::Message message;
-    Receive received = co_await receive(message, request_->deadline, reader.hasBegun());
-    if (received != Receive::message) {
-      onResponseCut(received, reader);
+    ReceiveResult received = co_await receive(message, request_->deadline, reader.hasBegun());
+    if (received != ReceiveResult::message) {
+      onResponseInterrupted(received, reader);
       co_return false;
     }
-    switch (reader.onMessage(message, newestPosition())) {
+    switch (reader.onMessage(message, latestPlausiblePosition())) {
       case ResponseReader::Verdict::keep:
         buffer_.keep();
         break;
@@ -279,7 +289,7 @@
         onResponseFinished(reader);
         co_return true;
       case ResponseReader::Verdict::malformed:
-        onResponseCut(Receive::malformed, reader);
+        onResponseInterrupted(ReceiveResult::malformed, reader);
         co_return false;
     }
   }
@@ -287,20 +297,20 @@
 
 void Connection::onResponseFinished(const ResponseReader& reader) {
   buffer_.drop();
-  buffer_.resetUnrequested();
+  buffer_.resetUnsolicitedBytes();
   if (reader.isComplete()) {
     request_->outcome = AttemptOutcome::ok;
     request_->response.bytes = buffer_.takeKept();
   }
-  buffer_.discardKept();  // an error may have come in a row's place
+  buffer_.discardKept();  // of a failed response, which may have begun with a RowDescription
 }
 
-// The response has ended before the store was ready again.
-void Connection::onResponseCut(Receive cause, const ResponseReader& reader) {
+// Sets the outcome of a response that ended before its ReadyForQuery.
+void Connection::onResponseInterrupted(ReceiveResult cause, const ResponseReader& reader) {
   UpstreamRequest& request = *request_;
-  if (cause == Receive::malformed) {
+  if (cause == ReceiveResult::malformed) {
     log::line("upstream_protocol_error", "store=%d", store);
-    // Nothing of a malformed response is to be believed, least of all that the statement never ran.
+    // Nothing in a malformed response is trusted, in particular not that the statement didn't run.
     request.role = Role::unknown;
     request.position.reset();
     request.report = {};
@@ -308,14 +318,14 @@
                                           : AttemptOutcome::malformedResponse;
     return;
   }
-  if (reader.hasFailed()) return;  // the store's word stands
+  if (reader.hasFailed()) return;  // the outcome of the store's error stays
   if (request.isCancelled) {
     request.outcome = AttemptOutcome::cancelled;
   } else if (reader.isComplete()) {
     request.response.bytes = buffer_.takeKept();
     request.outcome = AttemptOutcome::ok;
   } else {
-    bool isTimeout = cause == Receive::timedOut;
+    bool isTimeout = cause == ReceiveResult::timedOut;
     request.outcome = isTimeout ? AttemptOutcome::timeout : AttemptOutcome::reset;
   }
 }
--- a/src/protocols/postgres/upstream_connection.h
+++ b/src/protocols/postgres/upstream_connection.h
@@ -1,4 +1,4 @@
-// PostgreSQL towards the stores: a connection carries one request at a time.
+// The store side of the PostgreSQL protocol. A connection carries one request at a time.
 #pragma once
 
 #include "upstream/connection_pools.h"
--- a/tests/codec/parsers_test.cpp
+++ b/tests/codec/parsers_test.cpp
@@ -191,7 +191,8 @@
       {"cut off", std::string("\0\1\0\0\0\3ab", 8)},
       {"too long", std::string("\0\1\0\0\0\1ab", 8)},
       {"nothing", ""}};
-  for (const auto& [name, row] : rows) std::printf("row %s: %d\n", name, pg::oneColumn(row));
+  for (const auto& [name, row] : rows)
+    std::printf("row %s: %d\n", name, pg::isSingleColumnRow(row));
 }
 
 // As a store's bytes come one by one: from which on is it known that they are no message?
@@ -200,10 +201,10 @@
     for (std::size_t n = 1; n <= bytes.size(); ++n) {
       std::string_view some = std::string_view(bytes).substr(0, n);
       pg::Message m;
-      if (!pg::storeMessageMayFollow(some, 1000))
+      if (!pg::isServerMessagePrefix(some, 1000))
         return std::printf("%s: known at byte %zu\n", name, n);
       if (pg::frame(some, 1000, m) == pg::Framed::whole)
-        return std::printf("%s: %s when whole\n", name, pg::wellFormed(m) ? "sound" : "known");
+        return std::printf("%s: %s when whole\n", name, pg::isWellFormed(m) ? "sound" : "known");
     }
     return std::printf("%s: not known yet\n", name);
   };
@@ -258,15 +259,15 @@
       "SELECT 1 /* id=1,c=a,d=1,cluster=1,after= */"};
   for (const char* text : texts) {
     pg::Fields f;
-    pg::Read read = pg::readStatement(text, f);
+    pg::ReadResult read = pg::readStatement(text, f);
     std::printf("%d %s\n", static_cast<int>(read), text);
-    if (read != pg::Read::good) continue;
+    if (read != pg::ReadResult::good) continue;
     std::printf("  id=%s c=%s d=%lld cluster=%lld key=%s k=%s after=%lld r=%d\n",
                 std::string(f.id).c_str(), std::string(f.workload).c_str(),
-                static_cast<long long>(*f.waitMs), static_cast<long long>(*f.group),
-                std::string(f.key).c_str(), std::string(f.mark).c_str(),
-                static_cast<long long>(f.afterMs.value_or(0)), f.repeated);
-    std::printf("  %s\n", pg::withWait(text, f.waitAt, f.waitSize, 7).c_str());
+                static_cast<long long>(*f.timeoutMs), static_cast<long long>(*f.group),
+                std::string(f.sessionKey).c_str(), std::string(f.idempotencyKey).c_str(),
+                static_cast<long long>(f.afterMs.value_or(0)), f.isRetry);
+    std::printf("  %s\n", pg::withTimeout(text, f.timeoutOffset, f.timeoutSize, 7).c_str());
   }
 }
 
@@ -334,8 +335,9 @@
     bad += readMessages({hurt(wire)}).find("bad") != std::string::npos;
     pg::Fields f;
     std::string t = hurt(text);
-    if (pg::readStatement(t, f) == pg::Read::good) pg::withWait(t, f.waitAt, f.waitSize, 1);
-    pg::errorField(hurt(wire), 'D'), pg::oneColumn(hurt(wire));
+    if (pg::readStatement(t, f) == pg::ReadResult::good)
+      pg::withTimeout(t, f.timeoutOffset, f.timeoutSize, 1);
+    pg::errorField(hurt(wire), 'D'), pg::isSingleColumnRow(hurt(wire));
   }
   std::printf("some were found bad: %s\n", bad > 0 ? "yes" : "no");
 }
--- a/tests/protocols/postgres_upstream_test.cpp
+++ b/tests/protocols/postgres_upstream_test.cpp
@@ -52,7 +52,7 @@
     stores.setAddress(0, version,
                       here(static_cast<std::uint16_t>(runtime::localPort(listener.fd()))));
     query.text = "SELECT 1 /* id=1,c=any,cluster=7,d=900 */";
-    query.waitOffset = query.text.find("900"), query.waitSize = 3;
+    query.timeoutOffset = query.text.find("900"), query.timeoutSize = 3;
     spoken = version;
     job = give();
     peer = accepted();
