--- a/tests/protocols/postgres_upstream_test.cpp
+++ b/tests/protocols/postgres_upstream_test.cpp
@@ -1,5 +1,5 @@
-// Jobs on a connection to a store, with both ends in one process: what has come into
-// the kernel and what is decided meet in the order that a test wants.
+// Tests of upstream requests on a connection to a store. Both ends of the connection are in this
+// process, so each test controls the order in which data arrives and the proxy acts.
 #include <csignal>
 #include <cstdio>
 #include <memory>
@@ -21,8 +21,8 @@
 
 namespace {
 
-const char* nameOf(AttemptOutcome e) {
-  switch (e) {
+const char* nameOf(AttemptOutcome outcome) {
+  switch (outcome) {
     case AttemptOutcome::ok:
       return "ok";
     case AttemptOutcome::cancelled:
@@ -38,82 +38,86 @@
   }
 }
 
-// One store, and one job given to it: a statement, or where `probes` is so, a probe.
-class Pair : public request::AttemptOwner {
+// One store and one upstream request submitted to it: a statement or, if `sendsProbe`, a probe.
+class ConnectionHarness : public request::AttemptOwner {
  public:
-  explicit Pair(std::unique_ptr<upstream::UpstreamProtocol> in =
-                    std::make_unique<protocols::postgres::UpstreamProtocol>(),
-                bool probes = false)
-      : voice(std::move(in)),
-        probe(probes),
-        stores(s, *this, {ms(5000), ms(60'000), 8, 1 << 20, 1 << 20}),
-        listener(s, runtime::openListener(here(0))) {
-    request::ProtocolVersion version = stores.addProtocol(*voice);
-    stores.setAddress(0, version,
-                      here(static_cast<std::uint16_t>(runtime::localPort(listener.fd()))));
+  explicit ConnectionHarness(std::unique_ptr<upstream::UpstreamProtocol> upstreamProtocol =
+                                 std::make_unique<protocols::postgres::UpstreamProtocol>(),
+                             bool isProbeRequest = false)
+      : protocol(std::move(upstreamProtocol)),
+        sendsProbe(isProbeRequest),
+        pools(scheduler, *this, {ms(5000), ms(60'000), 8, 1 << 20, 1 << 20}),
+        listener(scheduler, runtime::openListener(loopbackAddress(0))) {
+    request::ProtocolVersion version = pools.addProtocol(*protocol);
+    pools.setAddress(
+        0, version, loopbackAddress(static_cast<std::uint16_t>(runtime::localPort(listener.fd()))));
     query.text = "SELECT 1 /* id=1,c=any,cluster=7,d=900 */";
     query.timeoutOffset = query.text.find("900"), query.timeoutSize = 3;
-    spoken = version;
-    job = give();
-    peer = accepted();
+    protocolVersion = version;
+    upstreamRequest = submitRequest();
+    peer = acceptConnection();
   }
-  request::UpstreamRequest* give(TimePoint sendBy = kForever) {
-    auto j = std::make_unique<request::UpstreamRequest>();
-    j->statement = 1, j->attempt = 0, j->store = 0, j->version = spoken, j->payload = &query;
-    if (probe) j->statement = -1, j->payload = nullptr;
-    j->startedAt = s.now(), j->deadline = s.now() + ms(20'000), j->sendBy = sendBy;
-    return stores.submit(std::move(j));
+  request::UpstreamRequest* submitRequest(TimePoint sendBy = kForever) {
+    auto submitted = std::make_unique<request::UpstreamRequest>();
+    submitted->statement = 1, submitted->attempt = 0, submitted->store = 0,
+    submitted->version = protocolVersion, submitted->payload = &query;
+    if (sendsProbe) submitted->statement = -1, submitted->payload = nullptr;
+    submitted->startedAt = scheduler.now(), submitted->deadline = scheduler.now() + ms(20'000),
+    submitted->sendBy = sendBy;
+    return pools.submit(std::move(submitted));
   }
-  std::unique_ptr<Socket> accepted() {
+  std::unique_ptr<Socket> acceptConnection() {
     for (;;) {
-      runtime::Accepted one = runtime::acceptConnection(listener.fd());
-      if (one.status == runtime::AcceptStatus::accepted) return std::make_unique<Socket>(s, one.fd);
-      pass();
+      runtime::Accepted accepted = runtime::acceptConnection(listener.fd());
+      if (accepted.status == runtime::AcceptStatus::accepted)
+        return std::make_unique<Socket>(scheduler, accepted.fd);
+      runOnce();
     }
   }
-  static sockaddr_in here(std::uint16_t port) {
+  static sockaddr_in loopbackAddress(std::uint16_t port) {
     return *runtime::parseAddress("127.0.0.1:" + std::to_string(port), true);
   }
-  void pass() {
-    s.runOnce(s.now() + ms(2), [] {});
+  void runOnce() {
+    scheduler.runOnce(scheduler.now() + ms(2), [] {});
   }
-  // Waits until so much has come from the front, and forgets it.
-  void comes(std::string_view what) {
-    std::string in;
-    while (in.find(what) == std::string::npos) pass(), peer->read(in, 1 << 20);
+  // Waits until the proxy has sent `expected`, and drops all that was received.
+  void waitForBytes(std::string_view expected) {
+    std::string received;
+    while (received.find(expected) == std::string::npos) runOnce(), peer->read(received, 1 << 20);
   }
-  void ends() {
-    for (TimePoint end = s.now() + test::kPatience; !done && s.now() < end;) pass();
+  void waitUntilEnded() {
+    for (TimePoint end = scheduler.now() + test::kPatience; !hasEnded && scheduler.now() < end;)
+      runOnce();
   }
-  // The store greets, and has the job.
-  void takes() {
-    comes("orders");
+  // The store completes the startup and receives the request.
+  void receiveRequest() {
+    waitForBytes("orders");
     peer->write(pg::greeting());
-    comes("SELECT 1");
+    waitForBytes("SELECT 1");
   }
 
   bool isWanted(const request::UpstreamRequest&) const override { return true; }
-  bool maySend(const request::UpstreamRequest& j, TimePoint now) override {
-    return j.sendBy > now && j.deadline > now && !j.isCancelled;
+  bool maySend(const request::UpstreamRequest& candidate, TimePoint now) override {
+    return candidate.sendBy > now && candidate.deadline > now && !candidate.isCancelled;
   }
-  void onRequestEnded(request::UpstreamRequest& j) override {
-    done = true;
-    std::printf("%s, role %s\n", nameOf(j.outcome),
-                j.role == Role::replica   ? "replica"
-                : j.role == Role::primary ? "primary"
-                                          : "unknown");
+  void onRequestEnded(request::UpstreamRequest& ended) override {
+    hasEnded = true;
+    std::printf("%s, role %s\n", nameOf(ended.outcome),
+                ended.role == Role::replica   ? "replica"
+                : ended.role == Role::primary ? "primary"
+                                              : "unknown");
   }
 
-  runtime::Scheduler s;
-  std::unique_ptr<upstream::UpstreamProtocol> voice;
-  const bool probe;
+  runtime::Scheduler scheduler;
+  std::unique_ptr<upstream::UpstreamProtocol> protocol;
+  const bool sendsProbe;
   protocols::postgres::Query query;
-  upstream::ConnectionPools stores;
+  upstream::ConnectionPools pools;
   runtime::Descriptor listener;
   std::unique_ptr<Socket> peer;
-  request::ProtocolVersion spoken = 0;
-  request::UpstreamRequest* job = nullptr;
-  bool done = false;
+  request::ProtocolVersion protocolVersion = 0;
+  request::UpstreamRequest* upstreamRequest = nullptr;
+  bool hasEnded = false;
 };
 
 std::string row() {
@@ -121,7 +125,8 @@
   return pg::message('T', described) + pg::message('D', std::string("\0\1\0\0\0\1x", 7));
 }
 
-// What a store's answer says counts as known once it was written, read or not.
+// A request is cancelled after its store has written a part of the response. The store's role must
+// not be lost with the connection, although the proxy hasn't read it yet.
 void cancelCrosses() {
   const std::string role = pg::parameter("server_role", "reader"),
                     all = row() + pg::message('C', std::string("SELECT 1\0", 9)) + role +
@@ -130,179 +135,190 @@
        {std::pair<const char*, std::string>{"nothing of the answer", ""},
         {"its role", role},
         {"all of it", all}}) {
-    Pair p;
-    p.takes();
-    p.peer->write(bytes);
-    p.stores.cancel(p.job);
+    ConnectionHarness harness;
+    harness.receiveRequest();
+    harness.peer->write(bytes);
+    harness.pools.cancel(harness.upstreamRequest);
     std::printf("called off as %s has come: ", what);
-    p.ends();
+    harness.waitUntilEnded();
   }
-  Pair p;
+  ConnectionHarness harness;
   std::printf("called off while its connection is dialled: ");
-  p.stores.cancel(p.job);
-  p.comes("orders");
-  p.peer->write(pg::greeting());
-  p.ends();
+  harness.pools.cancel(harness.upstreamRequest);
+  harness.waitForBytes("orders");
+  harness.peer->write(pg::greeting());
+  harness.waitUntilEnded();
 }
 
-// An idle connection ends behind its last words as a job is given to it, and no event has been seen
-// of either.
+// An idle connection receives its last data and is closed while a request is submitted to it,
+// before the event of either has been handled. The request must be sent on another connection.
 void endsUnseen() {
   for (const auto& [what, bytes] : {std::pair<const char*, std::string>{"nothing", ""},
                                     {"a parameter", pg::parameter("server_role", "reader")},
                                     {"half a line", std::string("S\0\0", 3)}}) {
-    Pair p;
-    p.takes();
-    p.peer->write(row() + pg::message('C', std::string("SELECT 1\0", 9)) + pg::ready());
-    p.ends();
-    p.done = false;
-    p.s.runOnce(p.s.now(), [&] {
-      p.peer->write(bytes);
-      p.peer->close();
-      while (test::Drive::faced(static_cast<std::uint16_t>(runtime::localPort(p.listener.fd())))
-                 .ended == 0)
+    ConnectionHarness harness;
+    harness.receiveRequest();
+    harness.peer->write(row() + pg::message('C', std::string("SELECT 1\0", 9)) + pg::ready());
+    harness.waitUntilEnded();
+    harness.hasEnded = false;
+    harness.scheduler.runOnce(harness.scheduler.now(), [&] {
+      harness.peer->write(bytes);
+      harness.peer->close();
+      while (
+          test::Drive::faced(static_cast<std::uint16_t>(runtime::localPort(harness.listener.fd())))
+              .ended == 0)
         continue;
-      p.give();
+      harness.submitRequest();
     });
-    p.pass();
+    harness.runOnce();
     std::printf("it ends behind %s: ", what);
-    if (p.done) continue;
-    p.peer = p.accepted();
-    p.takes();
+    if (harness.hasEnded) continue;
+    harness.peer = harness.acceptConnection();
+    harness.receiveRequest();
     std::printf("the job is written to another connection\n");
   }
 }
 
-// Frames that nobody asked for, as many as there are: whatever else the front has to do goes on
-// beside them.
+// A store sends 20,000 unsolicited frames before its response. Reading them must not keep the proxy
+// from its other work.
 void endlessFrames() {
   protocols::cassandra::Config config;
   protocols::cassandra::StorePrepared::Room room(1 << 20);
-  Pair p(std::make_unique<protocols::cassandra::UpstreamProtocol>(config, 4, room), true);
-  p.comes("CQL_VERSION");
-  p.peer->write(std::string("\x84\0\0\0\2\0\0\0\0", 9));
-  p.comes(std::string("\4\0\0\0\5", 5));
+  ConnectionHarness harness(
+      std::make_unique<protocols::cassandra::UpstreamProtocol>(config, 4, room), true);
+  harness.waitForBytes("CQL_VERSION");
+  harness.peer->write(std::string("\x84\0\0\0\2\0\0\0\0", 9));
+  harness.waitForBytes(std::string("\4\0\0\0\5", 5));
   std::string events;
   for (int k = 0; k < 20'000; ++k) events += std::string("\x84\0\xff\xff\x0c\0\0\0\0", 9);
-  p.peer->write(events + std::string("\x84\0\0\0\6\0\0\0\2\0\0", 11));
+  harness.peer->write(events + std::string("\x84\0\0\0\6\0\0\0\2\0\0", 11));
   int rounds = 0;
-  for (; !p.done; ++rounds) p.pass();
+  for (; !harness.hasEnded; ++rounds) harness.runOnce();
   std::printf("20,000 frames before its answer: others have had %s\n",
               rounds > 50 ? "many rounds" : "to wait");
 }
 
-// A connection whose work fails in the middle, by an exception.
-class Faulty : public upstream::UpstreamConnection {
+// A connection that throws an exception in connect() or, unless `failsInConnect`, in serve().
+class FaultyConnection : public upstream::UpstreamConnection {
  public:
-  Faulty(upstream::ConnectionPools& owner, int of, request::ProtocolVersion in, int fd, bool early)
-      : UpstreamConnection(owner, of, in), socket_(owner.scheduler(), fd), early_(early) {}
+  FaultyConnection(upstream::ConnectionPools& owner, int storeIndex,
+                   request::ProtocolVersion protocolVersion, int fd, bool failsInConnect)
+      : UpstreamConnection(owner, storeIndex, protocolVersion),
+        socket_(owner.scheduler(), fd),
+        failsInConnect_(failsInConnect) {}
   runtime::Task<bool> connect(TimePoint until) override {
-    bool up = co_await runtime::awaitConnected(socket_, until);
-    if (early_) throw std::runtime_error("as it comes up");
-    co_return up;
+    bool isConnected = co_await runtime::awaitConnected(socket_, until);
+    if (failsInConnect_) throw std::runtime_error("as it comes up");
+    co_return isConnected;
   }
   runtime::Task<> serve() override {
-    job_ = pools.nextRequest(*this);
+    request_ = pools.nextRequest(*this);
     throw std::runtime_error("as it serves");
     co_return;
   }
   runtime::Task<> end() override {
     socket_.close();
-    if (job_) pools.complete(std::exchange(job_, nullptr), AttemptOutcome::reset);
+    if (request_) pools.complete(std::exchange(request_, nullptr), AttemptOutcome::reset);
     co_return;
   }
-  void accept(request::UpstreamRequest* job) override { job_ = job; }
+  void accept(request::UpstreamRequest* upstreamRequest) override { request_ = upstreamRequest; }
   void cancel(request::UpstreamRequest*) override {}
   void close() override { socket_.close(); }
-  std::size_t requestCount() const override { return job_ != nullptr; }
+  std::size_t requestCount() const override { return request_ != nullptr; }
   std::size_t bufferedBytes() const override { return 0; }
 
  private:
   runtime::Socket socket_;
-  request::UpstreamRequest* job_ = nullptr;
-  bool early_;
+  request::UpstreamRequest* request_ = nullptr;
+  bool failsInConnect_;
 };
 
-struct FaultyVoice : upstream::UpstreamProtocol {
-  explicit FaultyVoice(bool so) : early(so) {}
+struct FaultyProtocol : upstream::UpstreamProtocol {
+  explicit FaultyProtocol(bool fails) : failsInConnect(fails) {}
   std::unique_ptr<upstream::UpstreamConnection> createConnection(upstream::ConnectionPools& pools,
                                                                  int store,
                                                                  request::ProtocolVersion version,
                                                                  int fd) override {
-    return std::make_unique<Faulty>(pools, store, version, fd, early);
+    return std::make_unique<FaultyConnection>(pools, store, version, fd, failsInConnect);
   }
   std::size_t maxConcurrentRequests() const override { return 1; }
-  const bool early;
+  const bool failsInConnect;
 };
 
-// Its job ends all the same, and nothing of the connection is left.
+// If a connection throws, its request must still end, and the connection must be removed.
 void storeFaults() {
-  for (bool early : {true, false}) {
-    Pair p(std::make_unique<FaultyVoice>(early));
-    std::printf("a fault %s: ", early ? "as it comes up" : "as it serves");
-    p.ends();
-    p.pass();
-    std::printf("connections left: %zu, ended: %s\n", p.stores.connectionCount(),
-                p.done ? "yes" : "no");
+  for (bool failsInConnect : {true, false}) {
+    ConnectionHarness harness(std::make_unique<FaultyProtocol>(failsInConnect));
+    std::printf("a fault %s: ", failsInConnect ? "as it comes up" : "as it serves");
+    harness.waitUntilEnded();
+    harness.runOnce();
+    std::printf("connections left: %zu, ended: %s\n", harness.pools.connectionCount(),
+                harness.hasEnded ? "yes" : "no");
   }
 }
 
-// A connection that has answered once; the next statement is longer than the kernel takes.
-void readyForLong(Pair& p) {
-  p.comes("orders");
-  p.peer->write(pg::greeting());
-  p.comes("SELECT 1");
-  p.peer->write(row() + pg::message('C', std::string("SELECT 1\0", 9)) + pg::ready());
-  p.ends();
-  p.done = false;
-  p.query.text += std::string(24 << 20, ' ');
+// Brings up a connection that has completed one request, and makes the next statement longer than
+// the kernel's buffers.
+void prepareLongStatement(ConnectionHarness& harness) {
+  harness.waitForBytes("orders");
+  harness.peer->write(pg::greeting());
+  harness.waitForBytes("SELECT 1");
+  harness.peer->write(row() + pg::message('C', std::string("SELECT 1\0", 9)) + pg::ready());
+  harness.waitUntilEnded();
+  harness.hasEnded = false;
+  harness.query.text += std::string(24 << 20, ' ');
 }
 
-// The kernel takes the first part of a statement and no more, as its store reads nothing: its last
-// byte would leave after the moment by which it has to.
+// The store reads nothing, so the kernel accepts only the first part of a statement. Its last byte
+// must not be written after the request's sendBy.
 void heldUp() {
-  Pair p;
-  readyForLong(p);
-  TimePoint by = p.s.now() + ms(300);
-  p.give(by);
+  ConnectionHarness harness;
+  prepareLongStatement(harness);
+  TimePoint sendBy = harness.scheduler.now() + ms(300);
+  harness.submitRequest(sendBy);
   std::printf("held up while it is written: ");
-  p.ends();
-  std::printf("in time: %s\n", p.s.now() < by + ms(5000) ? "yes" : "no");
-  std::string in;
-  while (p.peer->read(in, 128 << 20) != Socket::ReadStatus::closed) p.pass();
-  std::printf("its store has all of it: %s\n", in.size() >= p.query.text.size() ? "yes" : "no");
+  harness.waitUntilEnded();
+  std::printf("in time: %s\n", harness.scheduler.now() < sendBy + ms(5000) ? "yes" : "no");
+  std::string received;
+  while (harness.peer->read(received, 128 << 20) != Socket::ReadStatus::closed) harness.runOnce();
+  std::printf("its store has all of it: %s\n",
+              received.size() >= harness.query.text.size() ? "yes" : "no");
 }
 
-// What a store is told of its client's time holds for the last byte too: written a while later, it
-// would be untrue.
+// The timeout that a request states to its store must still be correct when the last byte is
+// written. A request whose store reads nothing for 0.4 s must not be completed, as it would
+// overstate the time left.
 void toldLate() {
-  Pair p;
-  readyForLong(p);
-  p.give();
+  ConnectionHarness harness;
+  prepareLongStatement(harness);
+  harness.submitRequest();
   std::printf("its store reads nothing for 0.4 s: ");
-  for (TimePoint until = p.s.now() + ms(400); p.s.now() < until;) p.pass();
-  std::string in;
-  while (!p.done || p.peer->read(in, 128 << 20) == Socket::ReadStatus::data)
-    p.peer->read(in, 128 << 20), p.pass();
-  std::printf("its store has all of it: %s\n", in.size() >= p.query.text.size() ? "yes" : "no");
+  for (TimePoint until = harness.scheduler.now() + ms(400); harness.scheduler.now() < until;)
+    harness.runOnce();
+  std::string received;
+  while (!harness.hasEnded || harness.peer->read(received, 128 << 20) == Socket::ReadStatus::data)
+    harness.peer->read(received, 128 << 20), harness.runOnce();
+  std::printf("its store has all of it: %s\n",
+              received.size() >= harness.query.text.size() ? "yes" : "no");
 }
 
-// A store that closes each connection as soon as it is up is not dialled for as long as the client
-// waits.
+// A store closes each connection right after the startup. The proxy must give up after a few
+// connections instead of connecting again until the client's deadline.
 void closesAtOnce() {
-  Pair p;
-  p.peer->write(pg::greeting());
-  p.peer->close();
+  ConnectionHarness harness;
+  harness.peer->write(pg::greeting());
+  harness.peer->close();
   int times = 1;
-  for (TimePoint until = p.s.now() + ms(3000); !p.done && p.s.now() < until; p.pass()) {
-    runtime::Accepted one = runtime::acceptConnection(p.listener.fd());
-    if (one.status != runtime::AcceptStatus::accepted) continue;
-    Socket next(p.s, one.fd);
+  for (TimePoint until = harness.scheduler.now() + ms(3000);
+       !harness.hasEnded && harness.scheduler.now() < until; harness.runOnce()) {
+    runtime::Accepted accepted = runtime::acceptConnection(harness.listener.fd());
+    if (accepted.status != runtime::AcceptStatus::accepted) continue;
+    Socket next(harness.scheduler, accepted.fd);
     next.write(pg::greeting());
     ++times;
   }
   std::printf("a store that greets and closes: dialled at most four times %s, given up %s\n",
-              times <= 4 ? "yes" : "no", p.done ? "yes" : "no");
+              times <= 4 ? "yes" : "no", harness.hasEnded ? "yes" : "no");
 }
 
 const Case kCases[] = {
