--- a/example/toy.cpp
+++ b/example/toy.cpp
@@ -310,8 +310,8 @@
   pg::Fields f;
   pg::readStatement(text, f);
   bool write = text.rfind("INSERT", 0) == 0;
-  Execution execution = beginExecution(number, std::string(f.id), f.key, write, std::string(f.mark),
-                                       text);
+  Execution execution = beginExecution(number, std::string(f.id), f.sessionKey, write,
+                                       std::string(f.idempotencyKey), text);
   std::string behavior = execution.behavior;
   std::string role = pg::parameter("server_role", store.primary ? "writer" : "reader");
   std::string out;
@@ -379,8 +379,8 @@
   } else if (behavior == "twice") {
     out = row("one") + row("two") + pg::message('C', std::string("SELECT 1\0", 9)) + pg::ready();
   } else {
-    out = row("value of " + std::string(f.key)) + pg::message('C', std::string("SELECT 1\0", 9)) +
-          role;
+    out = row("value of " + std::string(f.sessionKey)) +
+          pg::message('C', std::string("SELECT 1\0", 9)) + role;
     if (write) out += pg::parameter("commit_clock", std::to_string(wallNow().us / 1000));
     out += pg::ready();
   }
