--- a/src/ctl/commands.cpp
+++ b/src/ctl/commands.cpp
@@ -50,7 +50,7 @@
               static_cast<unsigned long long>(summary.records),
               summary.isSound() ? "all sound" : "not sound");
   for (const ledger::Finding& finding : summary.findings)
-    std::printf("  %s in %s at byte %zu, record %llu\n", ledger::nameOf(finding.what),
+    std::printf("  %s in %s at byte %zu, record %llu\n", ledger::nameOf(finding.kind),
                 finding.segment.c_str(), finding.at, static_cast<unsigned long long>(finding.seq));
 }
 
@@ -107,7 +107,7 @@
 struct ReconciliationInput {
   ledger::Reconciliation reconciliation;
   FolderByBirth folders;
-  bool isSound = true;  // nothing is wrong with any of the ledgers
+  bool isSound = true;  // no ledger has a finding
 };
 
 void addLedger(const std::string& folder, const std::string& key, ReconciliationInput& input) {
@@ -120,13 +120,13 @@
     input.reconciliation.add(summary.birth, summary.instance, record);
   auto [known, isNew] = input.folders.try_emplace(summary.birth, folder);
   if (!isNew)
-    spdlog::error("folder={} other={} what=\"one ledger in two folders\" birth={}", folder,
-                  known->second, summary.birth);
+    spdlog::error("folder={} other={} what=\"two folders contain the same ledger\" birth={}",
+                  folder, known->second, summary.birth);
 }
 
 void logProblems(const std::vector<ledger::Reconciliation::Problem>& problems) {
   for (const auto& problem : problems)
-    spdlog::warn("what=\"{}\" ledger={} first={} last={} text=\"{}\"", ledger::nameOf(problem.what),
+    spdlog::warn("what=\"{}\" ledger={} first={} last={} text=\"{}\"", ledger::nameOf(problem.kind),
                  problem.birth, problem.first, problem.last, problem.text);
 }
 
@@ -144,7 +144,7 @@
   wire::Correction correction = missing.correction;
   correction.set_signature(
       ledger::LedgerWriter::signatureOf(correction, missing.period, signingKey));
-  std::unique_ptr<ledger::Files> files = ledger::filesIn(folder);
+  std::unique_ptr<ledger::Files> files = ledger::openFolder(folder);
   ledger::LedgerWriter writer(*files, writerOptions(key, signingKey));
   TimePoint now = wallNow();
   writer.open(now);
@@ -183,7 +183,7 @@
 
 std::string readKeyFile(const std::string& path) {
   std::string key = ledger::keyInFile(path);
-  if (key.empty()) throw InvalidInput(path + ": no key in it");
+  if (key.empty()) throw InvalidInput(path + ": key file is empty or can't be read");
   return key;
 }
 
@@ -244,13 +244,13 @@
 
 ExitCode correctLedger(const CorrectionArguments& arguments, const std::string& key,
                        const std::string& signingKeyFile) {
-  std::unique_ptr<ledger::Files> files = ledger::filesIn(arguments.folder);
+  std::unique_ptr<ledger::Files> files = ledger::openFolder(arguments.folder);
   std::string signingKey = readKeyFile(signingKeyFile);
   ledger::LedgerWriter writer(*files, writerOptions(key, signingKey));
   TimePoint now = wallNow();
   std::vector<ledger::Finding> findings = writer.open(now);
   if (!writer.isOpen()) {
-    spdlog::error("folder={} what=\"{}\"", arguments.folder, ledger::nameOf(findings.front().what));
+    spdlog::error("folder={} what=\"{}\"", arguments.folder, ledger::nameOf(findings.front().kind));
     return unsound;
   }
   ledger::Period period = parsePeriod(arguments.period);
--- a/src/ctl/commands.h
+++ b/src/ctl/commands.h
@@ -1,4 +1,5 @@
-// The commands of reedchutectl, a function each. They throw what keeps them from being done.
+// The commands of reedchutectl, one function each. They throw an exception if they can't be carried
+// out; the results go to standard output.
 #pragma once
 
 #include <cstdint>
@@ -12,8 +13,8 @@
 // The program's exit codes.
 enum ExitCode : int {
   done = 0,
-  unsound = 1,  // something is wrong with what was looked at
-  failed = 2    // it could not be looked at, or the command makes no sense
+  unsound = 1,  // the checked ledger or settings have defects, or a correction was refused
+  failed = 2    // the command could not be carried out, or its arguments are invalid
 };
 
 struct CorrectionArguments {
@@ -29,15 +30,15 @@
   std::int64_t bytesOut = 0;
 };
 
-// Throws InvalidInput where there is no key in the file.
+// Throws InvalidInput if the file is empty or can't be read.
 std::string readKeyFile(const std::string& path);
 
-// `key`: of the ledger's chain.
+// `key`: the key of the ledger's MAC chain.
 ExitCode showLedger(const std::string& folder, const std::string& key, Format format);
 ExitCode verifyLedger(const std::string& folder, const std::string& key, Format format);
 ExitCode exportLedger(const std::string& folder, const std::string& key, const std::string& file,
                       Format format);
-// With a signing key file the missing corrections are written.
+// If `signingKeyFile` isn't empty, the missing corrections are written to the ledgers.
 ExitCode reconcileLedgers(const std::vector<std::string>& folders, const std::string& key,
                           const std::string& signingKeyFile, Format format);
 ExitCode correctLedger(const CorrectionArguments& arguments, const std::string& key,
--- a/src/ctl/ledger_reader.cpp
+++ b/src/ctl/ledger_reader.cpp
@@ -53,7 +53,7 @@
 
 LedgerSummary readLedger(const std::string& folder, const std::string& key,
                          const ledger::RecordHandler& onRecord) {
-  std::unique_ptr<ledger::Files> files = ledger::filesToRead(folder);
+  std::unique_ptr<ledger::Files> files = ledger::openFolderReadOnly(folder);
   ledger::Log log(*files, {key});
   LedgerSummary summary;
   summary.findings = log.verify([&](const ledger::wire::Record& record) {
@@ -72,7 +72,7 @@
 void logFindings(const std::string& folder, const LedgerSummary& summary) {
   for (const ledger::Finding& finding : summary.findings)
     spdlog::error("folder={} what=\"{}\" segment={} byte={} record={}", folder,
-                  ledger::nameOf(finding.what), finding.segment, finding.at, finding.seq);
+                  ledger::nameOf(finding.kind), finding.segment, finding.at, finding.seq);
 }
 
 void printTotals(const ledger::UsageTotals& totals, Format format) {
@@ -94,7 +94,8 @@
 ledger::Period parsePeriod(const std::string& text) {
   std::tm time{};
   const char* end = strptime(text.c_str(), kPeriodFormat, &time);
-  if (!end || *end) throw InvalidInput("--period must be as show tells it: 2026-12-01T00:00Z");
+  if (!end || *end)
+    throw InvalidInput("--period must have the form that `ledger show` prints: 2026-12-01T00:00Z");
   return {timegm(&time)};
 }
 
@@ -106,7 +107,7 @@
 }
 
 json_t toJson(const ledger::Finding& finding) {
-  return {{"what", ledger::nameOf(finding.what)},
+  return {{"what", ledger::nameOf(finding.kind)},
           {"segment", finding.segment},
           {"byte", finding.at},
           {"record", finding.seq}};
--- a/src/ctl/ledger_reader.h
+++ b/src/ctl/ledger_reader.h
@@ -1,4 +1,4 @@
-// Reads a ledger's folder without changing it, and prints what is found.
+// Reads a ledger's folder without changing it, and prints its totals and findings.
 #pragma once
 
 #include <cstdint>
@@ -12,7 +12,7 @@
 
 namespace reedchute::ctl {
 
-// A ledger's identity, and what is wrong with it.
+// A ledger's identity and the defects found in it.
 struct LedgerSummary {
   std::string birth;
   std::string instance;
@@ -22,23 +22,24 @@
   bool isSound() const { return findings.empty(); }
 };
 
-// Throws ledger::DiskError. Logs the progress.
+// Reads and checks the whole log, and calls `onRecord` for each readable record. Logs the progress.
+// Throws ledger::DiskError.
 LedgerSummary readLedger(const std::string& folder, const std::string& key,
                          const ledger::RecordHandler& onRecord);
 
-// To the log.
+// Writes the findings to the log.
 void logFindings(const std::string& folder, const LedgerSummary& summary);
 
-// To standard output, as CSV or JSON.
 enum class Format { csv, json };
+// Prints the totals to standard output.
 void printTotals(const ledger::UsageTotals& totals, Format format);
 
-// The beginning of a period as operators write it: 2026-12-01T00:00Z.
+// The beginning of a period in UTC, in the form 2026-12-01T00:00Z.
 std::string periodText(ledger::Period period);
-// Throws InvalidInput.
+// The inverse of periodText(). Throws InvalidInput.
 ledger::Period parsePeriod(const std::string& text);
 
-// A CSV cell, in quotes where it needs them.
+// The text as a CSV cell, quoted if necessary.
 std::string csvCell(const std::string& text);
 
 nlohmann::json toJson(const ledger::Finding& finding);
--- a/src/ledger/answered_statement.h
+++ b/src/ledger/answered_statement.h
@@ -1,5 +1,5 @@
-// What the proxy hands to the ledger of each statement's final answer, and its encoding in the
-// entry ring.
+// The billing data of a statement's final answer, which the proxy passes to the ledger, and its
+// encoding in the entry ring.
 #pragma once
 
 #include <cstdint>
@@ -25,13 +25,15 @@
   std::uint32_t attempts = 0;
   std::uint32_t protocol = 0;
   Duration deduplicationWindow;
-  TimePoint at;  // the ledger's time
+  TimePoint at;  // of the final answer, in the ledger's time (see BillingPeriods)
   Period period;
 };
 
+// Encodes the statement as a wire::Record.
 std::string encodeEntry(const AnsweredStatement& statement);
+// Returns nullopt if `bytes` isn't a valid encoding of a statement.
 std::optional<AnsweredStatement> decodeEntry(std::string_view bytes);
-// The record's part without `billed`.
+// Returns the log record's `use` with all fields set but `billed`.
 wire::Use toUse(const AnsweredStatement& statement);
 
 }  // namespace reedchute::ledger
--- a/src/ledger/billed_keys.h
+++ b/src/ledger/billed_keys.h
@@ -1,5 +1,5 @@
-// Decides whether an answered statement is billed: a client's retry under an idempotency key is
-// billed once. No I/O.
+// Decides whether an answered statement is billed. Retries of a client under one idempotency key
+// are billed once. Performs no I/O.
 #pragma once
 
 #include <cstddef>
@@ -13,20 +13,22 @@
 
 enum class Outcome : std::uint8_t { none, completed, rejected, aborted };
 
-// The keys that were billed lately. Bounded: the oldest of too many are forgotten and counted. What
-// is billed twice for that shows in reconciliation, as the log keeps every key.
+// The idempotency keys that were billed recently. The number of keys is bounded: beyond the limit
+// the oldest are evicted and counted. A statement that is billed twice because its key was evicted
+// is found by reconciliation, as the log keeps every key.
 class BilledKeys {
  public:
   explicit BilledKeys(std::size_t maxKeys) : maxKeys_(maxKeys) {}
 
-  // Whether this answer is billed; if so its key is remembered. Only completed statements are, and
-  // a key once within its deduplication window. Key 0: none.
+  // Returns whether the answer is billed, and if so stores its key. Only completed statements are
+  // billed, and a key only once within its deduplication window. Key 0 means no key.
   bool bill(Outcome outcome, std::uint64_t key, Duration window, TimePoint at);
-  // After a restart, from the log: this key was billed then.
-  void remember(std::uint64_t key, Duration window, TimePoint at);
+  // Stores a key that was billed at `at`. Used to restore the keys from the log after a restart.
+  void addKey(std::uint64_t key, Duration window, TimePoint at);
 
   std::size_t size() const { return expiries_.size(); }
-  std::uint64_t forgotten() const { return forgotten_; }
+  // The number of keys that were evicted before their window ended.
+  std::uint64_t evictedKeys() const { return evictedKeys_; }
 
  private:
   struct Expiry {
@@ -34,12 +36,12 @@
     std::uint64_t key = 0;
   };
 
-  void forgetOld(TimePoint now);
+  void evictOldKeys(TimePoint now);
 
   std::size_t maxKeys_;
-  std::unordered_map<std::uint64_t, TimePoint> expiries_;  // the end of each key's window
-  std::deque<Expiry> inOrder_;                             // as they were billed
-  std::uint64_t forgotten_ = 0;
+  std::unordered_map<std::uint64_t, TimePoint> expiries_;  // end of the window, by key
+  std::deque<Expiry> expiryQueue_;                         // in the order of billing
+  std::uint64_t evictedKeys_ = 0;
 };
 
 }  // namespace reedchute::ledger
--- a/src/ledger/billing_periods.cpp
+++ b/src/ledger/billing_periods.cpp
@@ -53,7 +53,7 @@
   }
 }
 
-Duration BillingPeriods::offsetOf(const ClockReading& reading) {
+Duration BillingPeriods::wallClockOffset(const ClockReading& reading) {
   return (reading.wall - TimePoint{}) - reading.steady;
 }
 
@@ -67,10 +67,11 @@
   std::sort(unsealed_.begin(), unsealed_.end());
 }
 
-// A clock set a month ahead by mistake would open that month, and all entries would go there until
-// the world has caught up. So after a jump the ledger goes on by the steady clock until the wall
-// clock is set back, or an operator confirms it. A clock that is adjusted slowly is followed.
-void BillingPeriods::followClocks(const ClockReading& reading, Moment& moment) {
+// If a wall clock that was set a month ahead by mistake were followed, that month would be opened
+// and receive all entries until the actual time reaches it. So after a jump the ledger's time
+// advances with the steady clock until the wall clock is set back or an operator confirms it.
+// Gradual adjustments of the wall clock are followed.
+void BillingPeriods::updateOffset(const ClockReading& reading, Moment& moment) {
   Duration wallElapsed = reading.wall - lastReading_.wall;
   Duration steadyElapsed = reading.steady - lastReading_.steady;
   Duration difference = wallElapsed - steadyElapsed;
@@ -79,21 +80,21 @@
     moment.jump = difference;
     ignoresWallClock_ = true;
   }
-  if (ignoresWallClock_ && isWithinTolerance(offsetOf(reading) - offset_))
+  if (ignoresWallClock_ && isWithinTolerance(wallClockOffset(reading) - offset_))
     ignoresWallClock_ = false;
-  if (!ignoresWallClock_) offset_ = offsetOf(reading);
+  if (!ignoresWallClock_) offset_ = wallClockOffset(reading);
 }
 
 BillingPeriods::Moment BillingPeriods::now(const ClockReading& reading) {
   Moment moment;
   if (hasReading_)
-    followClocks(reading, moment);
+    updateOffset(reading, moment);
   else
-    offset_ = offsetOf(reading);
+    offset_ = wallClockOffset(reading);
   hasReading_ = true;
   lastReading_ = reading;
   newest_ = std::max(newest_, TimePoint{} + offset_ + reading.steady);
-  // An entry in a sealed period would change a figure that was billed.
+  // An entry in a sealed period would change a total that was already billed.
   if (periodAt(length_, newest_) <= lastSealed_) newest_ = endOf(length_, lastSealed_);
   moment.at = newest_;
   moment.period = periodAt(length_, newest_);
@@ -102,13 +103,13 @@
 
 void BillingPeriods::trustWallClock(const ClockReading& reading) {
   ignoresWallClock_ = false;
-  offset_ = offsetOf(reading);
+  offset_ = wallClockOffset(reading);
   lastReading_ = reading;
 }
 
 void BillingPeriods::onEntry(Period period) {
-  auto place = std::lower_bound(unsealed_.begin(), unsealed_.end(), period);
-  if (place == unsealed_.end() || *place != period) unsealed_.insert(place, period);
+  auto position = std::lower_bound(unsealed_.begin(), unsealed_.end(), period);
+  if (position == unsealed_.end() || *position != period) unsealed_.insert(position, period);
 }
 
 void BillingPeriods::onSealed(Period period) {
@@ -116,7 +117,7 @@
   lastSealed_ = std::max(lastSealed_, period);
 }
 
-std::optional<Period> BillingPeriods::dueForSeal(TimePoint at) const {
+std::optional<Period> BillingPeriods::nextPeriodToSeal(TimePoint at) const {
   if (unsealed_.empty()) return std::nullopt;
   Period oldest = unsealed_.front();
   if (endOf(length_, oldest) + grace_ > at) return std::nullopt;
--- a/src/ledger/billing_periods.h
+++ b/src/ledger/billing_periods.h
@@ -1,9 +1,9 @@
-// Decides which billing period an entry belongs to, and when a period is sealed. No I/O; it is
-// given readings of two clocks.
+// Decides which billing period an entry belongs to, and when a period is sealed. Performs no I/O;
+// the caller passes readings of the wall clock and the steady clock.
 //
 // A statement belongs to the period in which its final answer is given, by the ledger's own time.
-// That time never goes back, and follows the steady clock where the wall clock jumps, so neither a
-// clock that is set nor a crash moves an entry to another period.
+// That time never decreases, and follows the steady clock when the wall clock jumps, so neither
+// setting the wall clock nor a crash moves an entry to another period.
 #pragma once
 
 #include <compare>
@@ -17,7 +17,7 @@
 
 enum class PeriodLength { hour, day, month };
 
-// A period by its beginning, in seconds of Unix time; months are those of UTC.
+// A billing period, identified by its beginning in seconds of Unix time. Months are those of UTC.
 struct Period {
   std::int64_t beginsS = 0;
   auto operator<=>(const Period&) const = default;
@@ -27,12 +27,12 @@
 TimePoint beginningOf(Period period);
 TimePoint endOf(PeriodLength length, Period period);
 
-// `closing`: it is over and not sealed yet.
+// `closing`: the period has ended and isn't sealed yet.
 enum class PeriodPhase { open, closing, sealed };
 
 struct ClockReading {
   TimePoint wall;
-  Duration steady;  // since any fixed moment of this process
+  Duration steady;  // since an arbitrary fixed time of this process
 };
 
 class BillingPeriods {
@@ -40,32 +40,37 @@
   struct Moment {
     TimePoint at;  // the ledger's time
     Period period;
-    bool hasJumped = false;  // the wall clock, against the steady one, since the last moment
+    // Whether the wall clock jumped against the steady clock since the last reading, and by how
+    // much; negative if it was set back.
+    bool hasJumped = false;
     Duration jump;
   };
 
-  // `tolerance`: by which the clocks may differ from one reading to the next. `grace`: between a
-  // period's end and its seal.
+  // `tolerance`: the largest difference between the two clocks' progress from one reading to the
+  // next that isn't a jump. `grace`: the time between a period's end and its seal.
   BillingPeriods(PeriodLength length, Duration tolerance, Duration grace)
       : length_(length), tolerance_(tolerance), grace_(grace) {}
 
-  // After a restart: the newest record's time, and the periods that have entries and no seal.
+  // Restores the state after a restart: `newest` is the time of the newest record, `unsealed` are
+  // the periods that have entries and no seal.
   void resume(TimePoint newest, const std::vector<Period>& unsealed);
 
+  // Advances the ledger's time, and returns it with its period.
   Moment now(const ClockReading& reading);
   void onEntry(Period period);
   void onSealed(Period period);
-  // The oldest period that is due to be sealed at this moment.
-  std::optional<Period> dueForSeal(TimePoint at) const;
+  // Returns the oldest period that is due to be sealed at `at`, if any.
+  std::optional<Period> nextPeriodToSeal(TimePoint at) const;
   PeriodPhase phaseOf(Period period, TimePoint at) const;
-  // An operator confirms the wall clock: the ledger's time goes on from there, if it lies ahead.
+  // Follows the wall clock again after an operator confirmed it. If the wall clock is behind the
+  // ledger's time, the ledger's time doesn't change until the wall clock reaches it.
   void trustWallClock(const ClockReading& reading);
 
  private:
-  // The wall clock's lead on the steady one.
-  static Duration offsetOf(const ClockReading& reading);
+  // The wall clock's reading minus the steady clock's.
+  static Duration wallClockOffset(const ClockReading& reading);
   bool isWithinTolerance(Duration difference) const;
-  void followClocks(const ClockReading& reading, Moment& moment);
+  void updateOffset(const ClockReading& reading, Moment& moment);
 
   PeriodLength length_;
   Duration tolerance_;
@@ -73,9 +78,9 @@
   TimePoint newest_ = kNever;
   bool hasReading_ = false;
   ClockReading lastReading_;
-  Duration offset_;                // of the ledger's time to the steady clock
-  bool ignoresWallClock_ = false;  // it jumped, and was neither set back nor confirmed
-  std::vector<Period> unsealed_;   // in order
+  Duration offset_;                // of the ledger's time from the steady clock
+  bool ignoresWallClock_ = false;  // after a jump, until it is set back or confirmed
+  std::vector<Period> unsealed_;   // ascending
   Period lastSealed_{INT64_MIN};
 };
 
--- a/src/ledger/chain_mac.cpp
+++ b/src/ledger/chain_mac.cpp
@@ -33,7 +33,7 @@
   OSSL_PARAM parameters[] = {OSSL_PARAM_construct_utf8_string("digest", digest, 0),
                              OSSL_PARAM_construct_end()};
   if (EVP_MAC_init(context_->context, bytesOf(key), key.size(), parameters) != 1)
-    throw std::runtime_error("no HMAC-SHA256 with this key");
+    throw std::runtime_error("HMAC-SHA256 can't be initialized with this key");
 }
 
 ChainMac::~ChainMac() = default;
--- a/src/ledger/chain_mac.h
+++ b/src/ledger/chain_mac.h
@@ -1,5 +1,5 @@
-// The keyed MAC that chains the log's records: HMAC-SHA256 over the MAC of the record before and
-// the payload, truncated.
+// The keyed MAC that chains the log's records: HMAC-SHA256 over the previous record's MAC and the
+// payload, truncated to kFrameMacBytes.
 #pragma once
 
 #include <memory>
@@ -10,18 +10,19 @@
 
 class ChainMac {
  public:
-  // Throws std::runtime_error where the key can't be used.
+  // Throws std::runtime_error if the key can't be used.
   explicit ChainMac(const std::string& key);
   ~ChainMac();
   ChainMac(const ChainMac&) = delete;
   ChainMac& operator=(const ChainMac&) = delete;
 
+  // Returns the MAC of the record that follows the one with the MAC `previous`.
   std::string next(std::string_view previous, std::string_view payload) const;
-  // What stands before the first record of a log.
+  // The value that precedes the MAC of a log's first record.
   static std::string initial();
 
  private:
-  struct KeyedContext;  // OpenSSL's state with the key in it
+  struct KeyedContext;  // OpenSSL's HMAC state, initialized with the key
   std::unique_ptr<KeyedContext> context_;
 };
 
--- a/src/ledger/entry_ring.cpp
+++ b/src/ledger/entry_ring.cpp
@@ -11,13 +11,13 @@
 namespace {
 
 constexpr std::uint64_t kMagic = 0x31676e6972676c72;  // "rlgring1"
-constexpr std::size_t kLengthAt = 0;
-constexpr std::size_t kChecksumAt = 4;
-constexpr std::size_t kPlaceAt = 8;
+constexpr std::size_t kLengthOffset = 0;
+constexpr std::size_t kChecksumOffset = 4;
+constexpr std::size_t kIndexOffset = 8;
 constexpr std::size_t kEntryHeaderBytes = 16;
 
-std::uint32_t checksumOf(std::uint64_t place, std::string_view bytes) {
-  uLong sum = ::crc32(0, reinterpret_cast<const Bytef*>(&place), sizeof place);
+std::uint32_t checksumOf(std::uint64_t index, std::string_view bytes) {
+  uLong sum = ::crc32(0, reinterpret_cast<const Bytef*>(&index), sizeof index);
   return static_cast<std::uint32_t>(
       ::crc32(sum, reinterpret_cast<const Bytef*>(bytes.data()), static_cast<uInt>(bytes.size())));
 }
@@ -27,7 +27,7 @@
 struct EntryRing::EntryHeader {
   std::uint32_t length = 0;
   std::uint32_t checksum = 0;
-  std::uint64_t place = 0;
+  std::uint64_t index = 0;
 };
 
 EntryRing::EntryRing(std::span<std::byte> memory, std::uint64_t first) : memory_(memory) {
@@ -44,7 +44,7 @@
   ring.magic = kMagic;
 }
 
-// After a machine's death any page of the memory may be an old one.
+// After a crash of the machine any page of the memory may hold an older version of its content.
 bool EntryRing::isReadable(std::uint64_t first) const {
   const Header& ring = header();
   return ring.magic == kMagic && ring.size == memory_.size() && ring.released <= ring.put &&
@@ -73,9 +73,9 @@
 EntryRing::EntryHeader EntryRing::entryHeaderAt(std::uint64_t at) const {
   std::string bytes = copyOut(at, kEntryHeaderBytes);
   EntryHeader entry;
-  std::memcpy(&entry.length, bytes.data() + kLengthAt, sizeof entry.length);
-  std::memcpy(&entry.checksum, bytes.data() + kChecksumAt, sizeof entry.checksum);
-  std::memcpy(&entry.place, bytes.data() + kPlaceAt, sizeof entry.place);
+  std::memcpy(&entry.length, bytes.data() + kLengthOffset, sizeof entry.length);
+  std::memcpy(&entry.checksum, bytes.data() + kChecksumOffset, sizeof entry.checksum);
+  std::memcpy(&entry.index, bytes.data() + kIndexOffset, sizeof entry.index);
   return entry;
 }
 
@@ -88,20 +88,20 @@
 bool EntryRing::put(std::string_view bytes) {
   if (freeBytes() < kEntryHeaderBytes + bytes.size()) return false;
   Header& ring = header();
-  std::uint64_t place = ring.put.load(std::memory_order_relaxed) + 1;
+  std::uint64_t index = ring.put.load(std::memory_order_relaxed) + 1;
   std::uint64_t at = ring.putBytes.load(std::memory_order_relaxed);
   auto length = static_cast<std::uint32_t>(bytes.size());
-  std::uint32_t checksum = checksumOf(place, bytes);
+  std::uint32_t checksum = checksumOf(index, bytes);
   char entry[kEntryHeaderBytes];
-  std::memcpy(entry + kLengthAt, &length, sizeof length);
-  std::memcpy(entry + kChecksumAt, &checksum, sizeof checksum);
-  std::memcpy(entry + kPlaceAt, &place, sizeof place);
+  std::memcpy(entry + kLengthOffset, &length, sizeof length);
+  std::memcpy(entry + kChecksumOffset, &checksum, sizeof checksum);
+  std::memcpy(entry + kIndexOffset, &index, sizeof index);
   copyIn(at, {entry, kEntryHeaderBytes});
   copyIn(at + kEntryHeaderBytes, bytes);
-  // A process that is killed before this leaves an entry that isn't counted; its statement was not
+  // If the process is killed before this point, the entry isn't counted, and its statement was not
   // answered.
   ring.putBytes.store(at + kEntryHeaderBytes + bytes.size(), std::memory_order_release);
-  ring.put.store(place, std::memory_order_release);
+  ring.put.store(index, std::memory_order_release);
   wakeReader();
   return true;
 }
@@ -110,34 +110,34 @@
   const Header& ring = header();
   std::uint64_t released = ring.released.load(std::memory_order_acquire);
   std::uint64_t end = ring.putBytes.load(std::memory_order_acquire);
-  std::uint64_t place = std::max(after, released) + 1;
+  std::uint64_t index = std::max(after, released) + 1;
   std::uint64_t at = ring.releasedBytes.load(std::memory_order_acquire);
-  if (lastReadPlace_ + 1 == place && lastReadPlace_ > released) at = lastReadEnd_;
+  if (lastReadIndex_ + 1 == index && lastReadIndex_ > released) at = lastReadEnd_;
   while (at + kEntryHeaderBytes <= end) {
     EntryHeader entry = entryHeaderAt(at);
     std::uint64_t entryEnd = at + kEntryHeaderBytes + entry.length;
     if (entryEnd > end) return std::nullopt;
-    if (entry.place < place) {
+    if (entry.index < index) {
       at = entryEnd;
       continue;
     }
     std::string bytes = copyOut(at + kEntryHeaderBytes, entry.length);
-    if (entry.place != place || entry.checksum != checksumOf(place, bytes)) return std::nullopt;
-    lastReadPlace_ = place;
+    if (entry.index != index || entry.checksum != checksumOf(index, bytes)) return std::nullopt;
+    lastReadIndex_ = index;
     lastReadEnd_ = entryEnd;
-    return Entry{place, std::move(bytes)};
+    return Entry{index, std::move(bytes)};
   }
   return std::nullopt;
 }
 
 std::uint64_t EntryRing::dropUnreadable() {
   std::vector<std::string> readable;
-  std::uint64_t place = releasedPlace();
-  while (std::optional<Entry> entry = next(place)) {
-    place = entry->place;
+  std::uint64_t index = releasedIndex();
+  while (std::optional<Entry> entry = next(index)) {
+    index = entry->index;
     readable.push_back(std::move(entry->bytes));
   }
-  std::uint64_t dropped = newestPlace() - place;
+  std::uint64_t dropped = newestIndex() - index;
   if (dropped == 0) return 0;
   Header& ring = header();
   ring.put = ring.released.load();
@@ -146,10 +146,10 @@
   return dropped;
 }
 
-void EntryRing::release(std::uint64_t place) {
+void EntryRing::release(std::uint64_t index) {
   Header& ring = header();
   std::uint64_t released = ring.released.load(std::memory_order_relaxed);
-  for (; released < place; ++released) {
+  for (; released < index; ++released) {
     std::uint64_t at = ring.releasedBytes.load(std::memory_order_relaxed);
     std::uint32_t length = entryHeaderAt(at).length;
     ring.released.store(released + 1, std::memory_order_release);
@@ -157,17 +157,17 @@
   }
 }
 
-std::uint64_t EntryRing::newestPlace() const {
+std::uint64_t EntryRing::newestIndex() const {
   return header().put.load(std::memory_order_acquire);
 }
 
-std::uint64_t EntryRing::releasedPlace() const {
+std::uint64_t EntryRing::releasedIndex() const {
   return header().released.load(std::memory_order_acquire);
 }
 
 void EntryRing::wait(std::uint64_t seen) const {
   std::uint64_t wakeups = wakeups_.load(std::memory_order_acquire);
-  if (newestPlace() > seen) return;
+  if (newestIndex() > seen) return;
   wakeups_.wait(wakeups, std::memory_order_acquire);
 }
 
--- a/src/ledger/entry_ring.h
+++ b/src/ledger/entry_ring.h
@@ -1,7 +1,7 @@
-// A ring buffer of entries in memory that is mapped from a file, so that what is put there outlives
-// the process. The proxy's thread puts an entry before it answers the client; the ledger's thread
-// takes it to the log. One writer and one reader, which may be two threads; no system call on the
-// writer's way but the wake-up of a waiting reader.
+// A ring buffer of entries in memory that is mapped from a file, so that its entries survive the
+// process. The proxy's thread puts an entry before it answers the client; the ledger's thread
+// writes it to the log. One writer and one reader, which may be two threads. The writer makes no
+// system call other than waking a waiting reader.
 #pragma once
 
 #include <atomic>
@@ -16,36 +16,38 @@
 
 class EntryRing {
  public:
-  // Over memory of at least 4 KiB that holds a ring already. Where it can't be read as one the ring
-  // begins empty, with `first` as the place of its first entry.
+  // Opens the ring in `memory`, which is at least 4 KiB and must outlive it. If the memory doesn't
+  // hold a valid ring, or holds one that is older than entry `first`, the ring is initialized empty
+  // with `first` as the index of its first entry.
   EntryRing(std::span<std::byte> memory, std::uint64_t first);
 
   struct Entry {
-    std::uint64_t place = 0;  // counted from the ledger's beginning; never used twice
+    std::uint64_t index = 0;  // counted from the ledger's beginning; never reused
     std::string bytes;
   };
 
-  // False where there is no room: nothing was put.
+  // Returns false, and puts nothing, if there is no room.
   bool put(std::string_view bytes);
-  // The oldest entry behind `after` that wasn't released. Nothing where there is none, or where it
-  // isn't whole.
+  // Returns the oldest unreleased entry with an index above `after`, or nullopt if there is none or
+  // it is incomplete or damaged.
   std::optional<Entry> next(std::uint64_t after = 0) const;
-  // Drops all from the first entry that isn't whole, and says how many. Not while another thread
-  // puts.
+  // Drops all entries from the first incomplete or damaged one on, and returns their number. Must
+  // not be called while another thread puts entries.
   std::uint64_t dropUnreadable();
-  // All entries up to this place are in the log.
-  void release(std::uint64_t place);
+  // Frees all entries up to this index, which are in the log.
+  void release(std::uint64_t index);
 
-  std::uint64_t newestPlace() const;
-  std::uint64_t releasedPlace() const;
+  std::uint64_t newestIndex() const;
+  std::uint64_t releasedIndex() const;
   std::size_t freeBytes() const;
+  // Whether the memory held a valid ring when it was opened.
   bool wasReadable() const { return wasReadable_; }
-  // Blocks the reader until something was put behind the place `seen`, or wakeReader() is called.
+  // Blocks the reader until an entry with an index above `seen` was put, or wakeReader() is called.
   void wait(std::uint64_t seen) const;
   void wakeReader();
 
  private:
-  // The start of the memory. Byte counts go on from the ring's beginning.
+  // Stored at the start of the memory. Byte counts are totals since the ring was initialized.
   struct Header {
     std::uint64_t magic;
     std::uint64_t size;
@@ -67,8 +69,8 @@
   static constexpr std::size_t kHeaderBytes = 128;
   std::span<std::byte> memory_;
   bool wasReadable_ = false;
-  // The entry that was read last, and where the one behind it begins.
-  mutable std::uint64_t lastReadPlace_ = 0;
+  // The entry that was read last, and the byte count at which it ends.
+  mutable std::uint64_t lastReadIndex_ = 0;
   mutable std::uint64_t lastReadEnd_ = 0;
   std::atomic<std::uint64_t> wakeups_{0};
 };
--- a/src/ledger/export_planner.cpp
+++ b/src/ledger/export_planner.cpp
@@ -6,8 +6,8 @@
 namespace reedchute::ledger {
 namespace {
 
-bool hasSameContent(const Watermark& held, const BatchPlan& batch) {
-  return held.last == batch.last && held.digest == batch.digest;
+bool hasSameContent(const Watermark& watermark, const BatchPlan& batch) {
+  return watermark.last == batch.last && watermark.digest == batch.digest;
 }
 
 }  // namespace
@@ -25,23 +25,24 @@
 
 ExportPlanner::Step ExportPlanner::next(std::uint64_t durable, std::uint64_t maxRecords,
                                         const Watermark& collector, std::uint64_t epoch) const {
-  if (collector.epoch > epoch) return {Action::fenced, {}, "a newer exporter has begun"};
+  if (collector.epoch > epoch) return {Action::fenced, {}, "a newer exporter has taken over"};
   std::uint64_t confirmed = confirmed_ ? confirmed_->number : 0;
   if (collector.number == confirmed) return nextBatch(durable, maxRecords, collector);
-  if (collector.number > confirmed) return judgeUnconfirmed(collector);
-  // A collector that was restored from an old copy lacks what it once confirmed. What isn't sent
-  // again is never billed.
-  BatchPlan again;
-  again.number = collector.number + 1;
-  again.first = collector.last + 1;
-  return {Action::rewind, again, "the collector is behind what it has confirmed"};
+  if (collector.number > confirmed) return resolveUnconfirmed(collector);
+  // A collector that was restored from an old backup lacks batches that it once confirmed. They are
+  // sent again, since they would never be billed otherwise.
+  BatchPlan batch;
+  batch.number = collector.number + 1;
+  batch.first = collector.last + 1;
+  return {Action::rewind, batch, "the collector is behind what it has confirmed"};
 }
 
-// The collector holds just what it has confirmed.
+// Handles a collector that holds exactly the batches that it has confirmed.
 ExportPlanner::Step ExportPlanner::nextBatch(std::uint64_t durable, std::uint64_t maxRecords,
                                              const Watermark& collector) const {
   if (confirmed_ && !hasSameContent(collector, *confirmed_))
-    return {Action::conflict, *confirmed_, "the same batch with another content"};
+    return {Action::conflict, *confirmed_,
+            "the collector holds the confirmed batch with different content"};
   if (planned_) return {Action::send, *planned_, ""};
   std::uint64_t first = lastConfirmedRecord() + 1;
   if (durable < first) return {};
@@ -52,25 +53,29 @@
   return {Action::plan, plan, ""};
 }
 
-// The collector holds more than it has confirmed here: its confirmation got lost, if what it holds
-// is what was planned.
-ExportPlanner::Step ExportPlanner::judgeUnconfirmed(const Watermark& collector) const {
+// Handles a collector that holds a batch whose confirmation wasn't received here. If that is the
+// planned batch, only the confirmation was lost; anything else is a conflict.
+ExportPlanner::Step ExportPlanner::resolveUnconfirmed(const Watermark& collector) const {
   if (!planned_ || collector.number != planned_->number)
     return {Action::conflict,
             {},
-            "the collector has batches that this ledger never planned: restored from an old copy?"};
+            "the collector has batches that this ledger never planned: was it restored from an old "
+            "backup?"};
   if (!hasSameContent(collector, *planned_))
-    return {Action::conflict, *planned_, "the planned batch stands there with another content"};
+    return {Action::conflict, *planned_,
+            "the collector holds the planned batch with different content"};
   return {Action::confirm, *planned_, ""};
 }
 
-BatchVerdict judgeBatch(const Watermark& held, std::uint64_t epoch, const BatchPlan& batch) {
-  if (epoch < held.epoch) return BatchVerdict::fenced;
-  if (batch.number == held.number)
-    return hasSameContent(held, batch) ? BatchVerdict::duplicate : BatchVerdict::conflicting;
-  bool isOldOne = batch.number < held.number;
-  if (isOldOne) return BatchVerdict::duplicate;
-  if (batch.number > held.number + 1 || batch.first != held.last + 1) return BatchVerdict::gap;
+BatchVerdict classifyBatch(const Watermark& watermark, std::uint64_t epoch,
+                           const BatchPlan& batch) {
+  if (epoch < watermark.epoch) return BatchVerdict::fenced;
+  if (batch.number == watermark.number)
+    return hasSameContent(watermark, batch) ? BatchVerdict::duplicate : BatchVerdict::conflicting;
+  bool isOlder = batch.number < watermark.number;
+  if (isOlder) return BatchVerdict::duplicate;
+  if (batch.number > watermark.number + 1 || batch.first != watermark.last + 1)
+    return BatchVerdict::gap;
   return BatchVerdict::accepted;
 }
 
--- a/src/ledger/export_planner.h
+++ b/src/ledger/export_planner.h
@@ -1,6 +1,6 @@
-// Decides which part of the log is exported next, and what a collector's answer means. No I/O. A
-// batch is a run of records by their sequence numbers; its plan is written to the log before it is
-// sent, so whoever sends it again sends the same.
+// Decides which part of the log is exported next, and how to proceed after a collector's answer.
+// Performs no I/O. A batch is a range of records by sequence number. Its plan is written to the log
+// before it is sent, so that every later attempt sends the same batch.
 #pragma once
 
 #include <compare>
@@ -12,7 +12,7 @@
 
 struct BatchPlan {
   std::uint64_t number = 0;
-  std::uint64_t first = 0;  // record
+  std::uint64_t first = 0;  // sequence number of the first record
   std::uint64_t last = 0;
   std::string digest;
   auto operator<=>(const BatchPlan&) const = default;
@@ -20,7 +20,7 @@
 
 // The newest batch of one ledger that a collector holds.
 struct Watermark {
-  std::uint64_t epoch = 0;   // of the exporter that it takes batches from
+  std::uint64_t epoch = 0;   // of the exporter whose batches it accepts
   std::uint64_t number = 0;  // 0: none yet
   std::uint64_t last = 0;
   std::string digest;
@@ -29,12 +29,12 @@
 class ExportPlanner {
  public:
   enum class Action {
-    nothing,   // everything was confirmed
-    plan,      // write down the batch, then send it
-    send,      // send the batch, which is written down
-    confirm,   // write down that the batch was confirmed
-    rewind,    // the collector lost what it had confirmed: send the batch again, as it was planned
-    conflict,  // the two can't both be right: stop, and call an operator
+    nothing,   // every durable record was confirmed
+    plan,      // write the batch's plan to the log, then send it
+    send,      // send the batch, whose plan is in the log
+    confirm,   // write to the log that the batch was confirmed
+    rewind,    // the collector lost confirmed batches: send this batch again as it was planned
+    conflict,  // ledger and collector contradict each other: stop and alert an operator
     fenced,    // another exporter has taken over
   };
   struct Step {
@@ -43,11 +43,13 @@
     const char* reason = "";
   };
 
-  // From the log: the newest batch that was confirmed, and the one planned after it, if any.
+  // Restores the state from the log: the newest confirmed batch, and the one planned after it, if
+  // any.
   void resume(std::optional<BatchPlan> confirmed, std::optional<BatchPlan> planned);
 
-  // `durable`: the newest record that survives the machine's death; nothing beyond it is exported.
-  // `collector`: its last answer. `epoch`: that this exporter was given.
+  // Returns the next step. `durable`: the newest record that survives a crash of the machine; no
+  // record after it is exported. `collector`: its last answer. `epoch`: the epoch assigned to this
+  // exporter.
   Step next(std::uint64_t durable, std::uint64_t maxRecords, const Watermark& collector,
             std::uint64_t epoch) const;
 
@@ -57,14 +59,14 @@
 
  private:
   Step nextBatch(std::uint64_t durable, std::uint64_t maxRecords, const Watermark& collector) const;
-  Step judgeUnconfirmed(const Watermark& collector) const;
+  Step resolveUnconfirmed(const Watermark& collector) const;
 
   std::optional<BatchPlan> confirmed_;
   std::optional<BatchPlan> planned_;
 };
 
-// The collector's side: what it does with a batch, given what it holds.
+// The collector's decision on a received batch, given the newest batch that it holds.
 enum class BatchVerdict { accepted, duplicate, gap, fenced, conflicting };
-BatchVerdict judgeBatch(const Watermark& held, std::uint64_t epoch, const BatchPlan& batch);
+BatchVerdict classifyBatch(const Watermark& watermark, std::uint64_t epoch, const BatchPlan& batch);
 
 }  // namespace reedchute::ledger
--- a/src/ledger/files.cpp
+++ b/src/ledger/files.cpp
@@ -24,14 +24,14 @@
 
   Folder(std::string path, Access access) : path_(std::move(path)) {
     if (access == Access::readWrite) mkdir(path_.c_str(), 0700);
-    folder_ = open(path_.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
-    if (folder_ < 0) fail(path_);
+    folderFd_ = open(path_.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
+    if (folderFd_ < 0) fail(path_);
     if (access == Access::readWrite) lock();
   }
   ~Folder() override {
-    for (const auto& [name, fd] : open_) close(fd);
-    if (lock_ >= 0) close(lock_);
-    close(folder_);
+    for (const auto& [name, fd] : openFiles_) close(fd);
+    if (lockFd_ >= 0) close(lockFd_);
+    close(folderFd_);
   }
   Folder(const Folder&) = delete;
   Folder& operator=(const Folder&) = delete;
@@ -50,20 +50,20 @@
   }
 
   std::string read(const std::string& name) override {
-    int fd = openat(folder_, name.c_str(), O_RDONLY | O_CLOEXEC);
+    int fd = openat(folderFd_, name.c_str(), O_RDONLY | O_CLOEXEC);
     if (fd < 0) fail(name);
     struct stat status {};
     fstat(fd, &status);
     std::string bytes(static_cast<std::size_t>(status.st_size), '\0');
-    std::size_t got = 0;
-    while (got < bytes.size()) {
-      ssize_t count = ::read(fd, bytes.data() + got, bytes.size() - got);
+    std::size_t bytesRead = 0;
+    while (bytesRead < bytes.size()) {
+      ssize_t count = ::read(fd, bytes.data() + bytesRead, bytes.size() - bytesRead);
       if (count < 0 && errno == EINTR) continue;
       if (count <= 0) break;
-      got += static_cast<std::size_t>(count);
+      bytesRead += static_cast<std::size_t>(count);
     }
     close(fd);
-    bytes.resize(got);
+    bytes.resize(bytesRead);
     return bytes;
   }
 
@@ -74,14 +74,14 @@
       ssize_t count = write(fd, bytes.data(), bytes.size());
       if (count < 0 && errno == EINTR) continue;
       if (count <= 0) {
-        takeBack(fd, before);
+        undoPartialAppend(fd, before);
         fail(name);
       }
       bytes.remove_prefix(static_cast<std::size_t>(count));
     }
   }
 
-  void cut(const std::string& name, std::size_t size) override {
+  void truncate(const std::string& name, std::size_t size) override {
     int fd = openForAppend(name);
     if (ftruncate(fd, static_cast<off_t>(size)) < 0) fail(name);
     sync(name);
@@ -90,61 +90,62 @@
   void sync(const std::string& name) override {
     if (fdatasync(openForAppend(name)) < 0) fail(name);
     if (unsyncedName_.empty()) return;
-    if (fsync(folder_) < 0) fail(path_);
+    if (fsync(folderFd_) < 0) fail(path_);
     unsyncedName_.clear();
   }
 
  private:
   static constexpr const char* kLockName = "lock";
 
-  // Two writers on one log would each continue the chain.
+  // Two processes that append to one log would each continue the MAC chain, which breaks it.
   void lock() {
-    lock_ = openat(folder_, kLockName, O_RDWR | O_CREAT | O_CLOEXEC, 0600);
-    if (lock_ >= 0 && flock(lock_, LOCK_EX | LOCK_NB) == 0) return;
+    lockFd_ = openat(folderFd_, kLockName, O_RDWR | O_CREAT | O_CLOEXEC, 0600);
+    if (lockFd_ >= 0 && flock(lockFd_, LOCK_EX | LOCK_NB) == 0) return;
     int error = errno;
-    if (lock_ >= 0) close(lock_);
-    close(folder_);
+    if (lockFd_ >= 0) close(lockFd_);
+    close(folderFd_);
     errno = error;
-    fail(path_ + " is held by another process");
+    fail(path_ + " is locked by another process");
   }
 
-  // Half a record would stand in front of whatever is written once there is room again. Keeps
-  // errno, unless this fails, too.
-  static void takeBack(int fd, off_t size) {
+  // Truncates the file to its size before a failed append. Otherwise a partial record would precede
+  // the records that are written once the disk has room again. Keeps errno unless ftruncate()
+  // fails.
+  static void undoPartialAppend(int fd, off_t size) {
     int error = errno;
     if (ftruncate(fd, size) < 0) error = errno;
     errno = error;
   }
 
   int openForAppend(const std::string& name) {
-    auto known = open_.find(name);
-    if (known != open_.end()) return known->second;
-    int fd = openat(folder_, name.c_str(), O_WRONLY | O_APPEND | O_CLOEXEC);
+    auto known = openFiles_.find(name);
+    if (known != openFiles_.end()) return known->second;
+    int fd = openat(folderFd_, name.c_str(), O_WRONLY | O_APPEND | O_CLOEXEC);
     if (fd < 0) {
-      fd = openat(folder_, name.c_str(), O_WRONLY | O_APPEND | O_CREAT | O_CLOEXEC, 0600);
+      fd = openat(folderFd_, name.c_str(), O_WRONLY | O_APPEND | O_CREAT | O_CLOEXEC, 0600);
       unsyncedName_ = name;
     }
     if (fd < 0) fail(name);
     // One segment is written at a time; older ones are closed.
-    for (const auto& [other, old] : open_) close(old);
-    open_.clear();
-    open_[name] = fd;
+    for (const auto& [other, old] : openFiles_) close(old);
+    openFiles_.clear();
+    openFiles_[name] = fd;
     return fd;
   }
 
   std::string path_;
-  std::string unsyncedName_;  // of a file that was made since the folder was synced
-  int folder_ = -1;
-  int lock_ = -1;
-  std::map<std::string, int> open_;  // by name
+  std::string unsyncedName_;  // a file that was created after the folder was last synced
+  int folderFd_ = -1;
+  int lockFd_ = -1;
+  std::map<std::string, int> openFiles_;  // by name
 };
 
 }  // namespace
 
-std::unique_ptr<Files> filesIn(const std::string& folder) {
+std::unique_ptr<Files> openFolder(const std::string& folder) {
   return std::make_unique<Folder>(folder, Folder::Access::readWrite);
 }
-std::unique_ptr<Files> filesToRead(const std::string& folder) {
+std::unique_ptr<Files> openFolderReadOnly(const std::string& folder) {
   return std::make_unique<Folder>(folder, Folder::Access::readOnly);
 }
 
--- a/src/ledger/files.h
+++ b/src/ledger/files.h
@@ -1,5 +1,5 @@
-// The folder of a ledger, behind an interface, so that tests can cause its failures one by one. One
-// thread.
+// Access to the files of a ledger's folder, as an interface so that tests can inject failures at
+// each operation. For use by one thread.
 #pragma once
 
 #include <memory>
@@ -15,26 +15,26 @@
   using std::runtime_error::runtime_error;
 };
 
-// Files by plain names. What append() has taken survives the process; after sync() it survives the
-// machine's death. All functions throw DiskError.
+// The files of one folder, by name without path. Appended bytes survive the process once append()
+// returns, and a crash of the machine once sync() returns. All functions throw DiskError.
 class Files {
  public:
   virtual ~Files() = default;
   virtual std::vector<std::string> list() = 0;  // sorted
   virtual std::string read(const std::string& name) = 0;
-  // Makes the file where it isn't there. Bytes of an append that failed are taken back.
+  // Creates the file if it doesn't exist. The bytes of a failed append are removed again.
   virtual void append(const std::string& name, std::string_view bytes) = 0;
-  // Truncates the file to that size, and syncs it.
-  virtual void cut(const std::string& name, std::size_t size) = 0;
-  // The file's bytes, and its name in the folder.
+  // Truncates the file to `size` bytes and syncs it.
+  virtual void truncate(const std::string& name, std::size_t size) = 0;
+  // Syncs the file's content and its directory entry.
   virtual void sync(const std::string& name) = 0;
 };
 
-// A folder on the disk, which is made where it isn't there. One process at a time: throws DiskError
-// where another holds it.
-std::unique_ptr<Files> filesIn(const std::string& folder);
+// Opens a folder on the disk for reading and writing, and creates it if it doesn't exist. The
+// folder is locked: throws DiskError if another process has locked it.
+std::unique_ptr<Files> openFolder(const std::string& folder);
 
-// The same for reading, while another process may be writing.
-std::unique_ptr<Files> filesToRead(const std::string& folder);
+// Opens an existing folder for reading only, without a lock; another process may be writing to it.
+std::unique_ptr<Files> openFolderReadOnly(const std::string& folder);
 
 }  // namespace reedchute::ledger
--- a/src/ledger/ledger_writer.cpp
+++ b/src/ledger/ledger_writer.cpp
@@ -12,10 +12,10 @@
 namespace reedchute::ledger {
 namespace {
 
-constexpr std::size_t kMaxPendingBytes = 1 << 20;  // the ring holds the rest
+constexpr std::size_t kMaxPendingBytes = 1 << 20;  // further entries stay in the ring
 constexpr std::size_t kMaxEntriesAtOnce = 4096;
 
-wire::Record noticeOf(NoticeKind kind) {
+wire::Record makeNotice(NoticeKind kind) {
   wire::Record record;
   record.mutable_notice()->set_kind(static_cast<std::uint32_t>(kind));
   return record;
@@ -26,7 +26,7 @@
          !correction.by().empty();
 }
 
-bool isSignature(const std::string& expected, const std::string& given) {
+bool signaturesMatch(const std::string& expected, const std::string& given) {
   return expected.size() == given.size() &&
          CRYPTO_memcmp(expected.data(), given.data(), expected.size()) == 0;
 }
@@ -46,29 +46,29 @@
   return periods;
 }
 
-TimePoint LedgerWriter::notBeforeNewest(TimePoint now) const {
+TimePoint LedgerWriter::monotonicTime(TimePoint now) const {
   return std::max(now, newestTime_);
 }
 
-// ---- what the log says ----
+// ---- state restored from records ----
 
 void LedgerWriter::apply(const wire::Record& record) {
   newestTime_ = std::max(newestTime_, TimePoint{record.at_us()});
-  newestPlace_ = std::max<std::uint64_t>(newestPlace_, record.source());
+  newestEntryIndex_ = std::max<std::uint64_t>(newestEntryIndex_, record.source());
   totals_.add(record);
   Period period{record.period_s()};
   if (record.has_use() || record.has_correction()) countForSeal(record, period);
   if (record.has_use() && record.use().billed())
-    billedKeys_.remember(record.use().idempotency_key(),
-                         Duration{std::int64_t{record.use().deduplication_window_ms()} * 1000},
-                         TimePoint{record.at_us()});
+    billedKeys_.addKey(record.use().idempotency_key(),
+                       Duration{std::int64_t{record.use().deduplication_window_ms()} * 1000},
+                       TimePoint{record.at_us()});
   if (record.has_opened()) birth_ = record.opened().birth();
   if (record.has_seal()) applySeal(period);
   if (record.has_batch()) applyBatch(record.batch());
 }
 
 void LedgerWriter::countForSeal(const wire::Record& record, Period period) {
-  // A correction may be of a period that was sealed long ago; then it stands behind the seal.
+  // A correction may belong to a period that is sealed already; the seal doesn't count it.
   if (lastSealed_ && period <= *lastSealed_) return;
   periods_.onEntry(period);
   wire::Seal& seal = unsealed_[period];
@@ -98,22 +98,23 @@
   });
   if (!log_.isOpen()) return findings;
   exports_.resume(confirmed_, planned_);
-  readTo_ = newestPlace_;
-  appendOpening(findings, isNew, now);
+  lastReadIndex_ = newestEntryIndex_;
+  appendOpenRecord(findings, isNew, now);
   log_.write();
   return findings;
 }
 
-void LedgerWriter::appendOpening(const std::vector<Finding>& findings, bool isNew, TimePoint now) {
+void LedgerWriter::appendOpenRecord(const std::vector<Finding>& findings, bool isNew,
+                                    TimePoint now) {
   wire::Record record;
   if (isNew) {
     record.mutable_opened()->set_birth(birth_);
     record.mutable_opened()->set_instance(options_.instance);
   } else if (findings.empty()) {
-    record = noticeOf(NoticeKind::restarted);
+    record = makeNotice(NoticeKind::restarted);
   } else {
     const Finding& finding = findings.front();
-    record = noticeOf(NoticeKind::tornTailCut);
+    record = makeNotice(NoticeKind::tornTailTruncated);
     record.mutable_notice()->set_text(finding.segment + " at byte " + std::to_string(finding.at));
   }
   appendNow(record, now);
@@ -129,7 +130,7 @@
 }
 
 void LedgerWriter::appendNow(wire::Record& record, TimePoint now) {
-  TimePoint at = notBeforeNewest(now);
+  TimePoint at = monotonicTime(now);
   append(record, at, periodAt(options_.periodLength, at));
 }
 
@@ -141,42 +142,43 @@
   *use = toUse(*statement);
   use->set_billed(billedKeys_.bill(statement->outcome, statement->idempotencyKey,
                                    statement->deduplicationWindow, statement->at));
-  record.set_source(entry.place);
+  record.set_source(entry.index);
   append(record, statement->at, statement->period);
 }
 
-void LedgerWriter::appendLost(std::uint64_t lost, TimePoint now) {
-  wire::Record record = noticeOf(NoticeKind::entriesLost);
-  record.mutable_notice()->set_count(lost - lost_);
+void LedgerWriter::appendLossNotice(std::uint64_t lost, TimePoint now) {
+  wire::Record record = makeNotice(NoticeKind::entriesLost);
+  record.mutable_notice()->set_count(lost - recordedLost_);
   record.mutable_notice()->set_text("the ring was full");
-  lost_ = lost;
+  recordedLost_ = lost;
   appendNow(record, now);
 }
 
 void LedgerWriter::drain(EntryRing& ring, std::uint64_t lost, TimePoint now) {
-  // An entry that was written and not released, as the process died in between, would be counted
-  // twice.
-  readTo_ = std::max(readTo_, ring.releasedPlace());
-  // Where the disk takes nothing the rest stays in the ring, as memory is bounded.
+  // Skips released entries, and those that were written to the log but not released because the
+  // process ended in between (see open()); they would be counted twice.
+  lastReadIndex_ = std::max(lastReadIndex_, ring.releasedIndex());
+  // While the disk accepts no writes, further entries stay in the ring, so that memory is bounded.
   for (std::size_t count = 0; count < kMaxEntriesAtOnce && log_.pendingBytes() < kMaxPendingBytes;
        ++count) {
-    std::optional<EntryRing::Entry> entry = ring.next(readTo_);
+    std::optional<EntryRing::Entry> entry = ring.next(lastReadIndex_);
     if (!entry) break;
-    readTo_ = entry->place;
+    lastReadIndex_ = entry->index;
     appendEntry(*entry);
   }
-  if (lost > lost_) appendLost(lost, now);
-  // Entries that are still in the ring may belong to a period that is due.
-  if (!ring.next(readTo_)) sealDue(now);
+  if (lost > recordedLost_) appendLossNotice(lost, now);
+  // Seals only once the ring is read completely: a remaining entry may belong to a period that is
+  // due.
+  if (!ring.next(lastReadIndex_)) sealDuePeriods(now);
   log_.write();
-  ring.release(readTo_);
+  ring.release(lastReadIndex_);
 }
 
-void LedgerWriter::sealDue(TimePoint now) {
-  while (std::optional<Period> period = periods_.dueForSeal(now)) {
+void LedgerWriter::sealDuePeriods(TimePoint now) {
+  while (std::optional<Period> period = periods_.nextPeriodToSeal(now)) {
     wire::Record record;
     *record.mutable_seal() = unsealed_[*period];
-    append(record, notBeforeNewest(now), *period);
+    append(record, monotonicTime(now), *period);
   }
 }
 
@@ -198,12 +200,12 @@
                                        TimePoint now) {
   const std::string& key = options_.correctionKey;
   if (!isComplete(correction) || key.empty()) return CorrectionResult::refused;
-  if (!isSignature(signatureOf(correction, period, key), correction.signature()))
+  if (!signaturesMatch(signatureOf(correction, period, key), correction.signature()))
     return CorrectionResult::refused;
   if (totals_.hasCorrection(correction.id())) return CorrectionResult::duplicate;
   wire::Record record;
   *record.mutable_correction() = correction;
-  append(record, notBeforeNewest(now), period);
+  append(record, monotonicTime(now), period);
   log_.write();
   return CorrectionResult::accepted;
 }
@@ -220,8 +222,8 @@
   exports_.onConfirmed(batch);
 }
 
-// Synced at once: a batch that was sent and whose plan is lost would be cut differently the next
-// time.
+// Syncs immediately: if the plan of a sent batch were lost, the next batch would cover a different
+// range of records.
 void LedgerWriter::writeBatch(const BatchPlan& batch, bool isConfirmed, TimePoint now) {
   wire::Record record;
   wire::Batch* to = record.mutable_batch();
--- a/src/ledger/log.cpp
+++ b/src/ledger/log.cpp
@@ -21,7 +21,7 @@
 }
 
 bool isTornTail(const Finding& finding) {
-  return finding.what == Finding::What::tornTail;
+  return finding.kind == Finding::Kind::tornTail;
 }
 
 }  // namespace
@@ -47,17 +47,18 @@
   ScanResult scanned = scan(onRecord, LogScanner::Mode::untilFirstFinding);
   for (const Finding& finding : scanned.findings)
     if (!isTornTail(finding)) return std::move(scanned.findings);
-  if (!scanned.findings.empty()) files_.cut(scanned.segment, scanned.readableBytes);
+  if (!scanned.findings.empty()) files_.truncate(scanned.segment, scanned.readableBytes);
   newest_ = scanned.newest;
   written_ = scanned.newest;
   mac_ = scanned.mac;
   writtenMac_ = scanned.mac;
   segmentSize_ = scanned.readableBytes;
   segmentNumber_ = scanned.segmentNumber;
-  // A segment that was begun and of which nothing is left is begun again.
+  // If nothing is left of the newest segment, its file is written again from the start.
   needsSegment_ = scanned.readableBytes == 0;
   if (needsSegment_ && !scanned.segment.empty()) --segmentNumber_;
-  // What the last process wrote may not be synced yet; nothing may build on it before it is.
+  // Records that the previous process wrote may not be synced yet; they must be before any record
+  // is appended to them.
   if (!scanned.segment.empty()) files_.sync(scanned.segment);
   durable_ = newest_;
   isOpen_ = true;
@@ -85,11 +86,11 @@
   writtenMac_ = mac_;
 }
 
-// The segment's head stands in the chain before what is pending, which is chained anew behind it.
+// The segment's header precedes the pending records in the chain, so their MACs are recomputed.
 void Log::writeNewSegment() {
   if (!unsyncedSegment_.empty()) sync();
   mac_ = writtenMac_;
-  std::string bytes = chainedFrame(segmentHead(segmentNumber_ + 1));
+  std::string bytes = chainedFrame(segmentHeader(segmentNumber_ + 1));
   for (const std::string& payload : payloadsOf(pending_)) bytes += chainedFrame(payload);
   files_.append(segmentName(segmentNumber_ + 1), bytes);
   pending_ = std::move(bytes);
--- a/src/ledger/log_frame.cpp
+++ b/src/ledger/log_frame.cpp
@@ -5,10 +5,10 @@
 namespace reedchute::ledger {
 namespace {
 
-constexpr std::size_t kLengthAt = 4;
-constexpr std::size_t kChecksumAt = 8;
-constexpr std::size_t kDurableAt = 12;
-constexpr std::size_t kPayloadAt = 20;
+constexpr std::size_t kLengthOffset = 4;
+constexpr std::size_t kChecksumOffset = 8;
+constexpr std::size_t kDurableOffset = 12;
+constexpr std::size_t kPayloadOffset = 20;
 constexpr std::size_t kMaxPayloadBytes = 1 << 20;
 
 void appendLittleEndian(std::string& to, std::uint64_t value, int bytes) {
@@ -38,16 +38,17 @@
 }
 
 std::optional<Frame> decodeFrame(std::string_view bytes) {
-  if (bytes.size() < kPayloadAt + kFrameMacBytes || !bytes.starts_with(kFrameMagic))
+  if (bytes.size() < kPayloadOffset + kFrameMacBytes || !bytes.starts_with(kFrameMagic))
     return std::nullopt;
-  std::size_t length = readUint(bytes.substr(kLengthAt, 4));
-  std::size_t size = kPayloadAt + length + kFrameMacBytes;
+  std::size_t length = readUint(bytes.substr(kLengthOffset, 4));
+  std::size_t size = kPayloadOffset + length + kFrameMacBytes;
   if (length > kMaxPayloadBytes || bytes.size() < size) return std::nullopt;
-  std::uint64_t checksum = readUint(bytes.substr(kChecksumAt, 4));
-  if (checksum != checksumOf(bytes.substr(kDurableAt, size - kDurableAt))) return std::nullopt;
-  return Frame{.durable = readUint(bytes.substr(kDurableAt, 8)),
-               .payload = bytes.substr(kPayloadAt, length),
-               .mac = bytes.substr(kPayloadAt + length, kFrameMacBytes),
+  std::uint64_t checksum = readUint(bytes.substr(kChecksumOffset, 4));
+  if (checksum != checksumOf(bytes.substr(kDurableOffset, size - kDurableOffset)))
+    return std::nullopt;
+  return Frame{.durable = readUint(bytes.substr(kDurableOffset, 8)),
+               .payload = bytes.substr(kPayloadOffset, length),
+               .mac = bytes.substr(kPayloadOffset + length, kFrameMacBytes),
                .size = size};
 }
 
--- a/src/ledger/log_scanner.cpp
+++ b/src/ledger/log_scanner.cpp
@@ -6,7 +6,7 @@
 namespace reedchute::ledger {
 namespace {
 
-constexpr std::string_view kSegmentHead = "reedchute ledger segment ";
+constexpr std::string_view kSegmentHeader = "reedchute ledger segment ";
 constexpr std::size_t kSegmentDigits = 8;
 constexpr std::uint64_t kMaxSegments = 100'000'000;
 
@@ -16,7 +16,7 @@
 
 }  // namespace
 
-const char* nameOf(Finding::What what) {
+const char* nameOf(Finding::Kind kind) {
   static constexpr const char* kNames[] = {"a torn tail",
                                            "damaged bytes",
                                            "an end that was synced and is gone",
@@ -24,7 +24,7 @@
                                            "a broken chain",
                                            "a broken sequence",
                                            "a record that can't be read"};
-  return kNames[static_cast<std::size_t>(what)];
+  return kNames[static_cast<std::size_t>(kind)];
 }
 
 std::string segmentName(std::uint64_t number) {
@@ -33,12 +33,12 @@
   return "ledger-" + std::string(zeros, '0') + digits + ".log";
 }
 
-std::string segmentHead(std::uint64_t number) {
-  return std::string(kSegmentHead) + std::to_string(number);
+std::string segmentHeader(std::uint64_t number) {
+  return std::string(kSegmentHeader) + std::to_string(number);
 }
 
-void LogScanner::report(Finding::What what, const std::string& segment, std::size_t at) {
-  result_.findings.push_back({what, segment, at, result_.newest + 1});
+void LogScanner::addFinding(Finding::Kind kind, const std::string& segment, std::size_t at) {
+  result_.findings.push_back({kind, segment, at, result_.newest + 1});
 }
 
 ScanResult LogScanner::run() {
@@ -46,23 +46,23 @@
   std::vector<std::string> segments = files_.list();
   std::erase_if(segments, [](const std::string& name) { return !isSegment(name); });
   for (const std::string& name : segments) {
-    expectSegment(name);
+    checkSegmentNumber(name);
     if (mustStop()) return std::move(result_);
     scanSegment(name, &name == &segments.back());
     if (mustStop()) return std::move(result_);
   }
   if (result_.newest < anchor_)
-    report(Finding::What::lostEnd, result_.segment, result_.readableBytes);
+    addFinding(Finding::Kind::missingEnd, result_.segment, result_.readableBytes);
   return std::move(result_);
 }
 
-void LogScanner::expectSegment(const std::string& name) {
+void LogScanner::checkSegmentNumber(const std::string& name) {
   std::uint64_t expected = ++result_.segmentNumber;
   if (name == segmentName(expected)) return;
-  report(Finding::What::missingSegment, segmentName(expected), 0);
+  addFinding(Finding::Kind::missingSegment, segmentName(expected), 0);
   while (segmentName(expected) != name && expected < kMaxSegments) ++expected;
   result_.segmentNumber = expected;
-  // Neither the chain nor the sequence can be followed over what is missing.
+  // Neither the chain nor the sequence can be checked across the missing segments.
   result_.mac.clear();
   result_.newest = 0;
 }
@@ -71,7 +71,7 @@
   std::string bytes = files_.read(name);
   result_.segment = name;
   result_.readableBytes = 0;
-  bool isHead = true;
+  bool isHeader = true;
   std::size_t at = 0;
   while (at < bytes.size()) {
     std::optional<Frame> frame = decodeFrame(std::string_view(bytes).substr(at));
@@ -83,18 +83,19 @@
     }
     checkChain(*frame, at);
     if (mustStop()) return;
-    bool isReadable = readPayload(*frame, at, std::exchange(isHead, false));
+    bool isReadable = readPayload(*frame, at, std::exchange(isHeader, false));
     if (mustStop()) return;
     at += frame->size;
     if (isReadable) result_.readableBytes = at;
   }
 }
 
-// Reports what stands at `at`, and says where the next frame begins, if the scan goes on there.
+// Adds a finding for the unreadable bytes at `at`. Returns where the next frame begins, or nullopt
+// if the scan of this segment ends.
 //
-// Bytes that were never synced may be lost in any order when a machine dies, and look like damage.
-// Later frames tell what had been synced when they were written: below that it is damage, above it
-// a torn tail.
+// When a machine crashes, unsynced bytes may be lost in any order, which looks like damage. Later
+// frames contain the newest record that was synced when they were written: unreadable records up to
+// that one are damaged, later ones are a torn tail.
 std::optional<std::size_t> LogScanner::skipUnreadable(std::string_view bytes, std::size_t at,
                                                       bool isNewest) {
   std::optional<std::size_t> next;
@@ -107,7 +108,7 @@
     synced = std::max(synced, later->durable);
   }
   bool isTorn = isNewest && synced <= result_.newest && anchor_ <= result_.newest;
-  report(isTorn ? Finding::What::tornTail : Finding::What::damaged, result_.segment, at);
+  addFinding(isTorn ? Finding::Kind::tornTail : Finding::Kind::damaged, result_.segment, at);
   if (isTorn || mustStop() || !next) return std::nullopt;
   result_.mac.clear();
   return next;
@@ -115,24 +116,24 @@
 
 void LogScanner::checkChain(const Frame& frame, std::size_t at) {
   bool isChained = result_.mac.empty() || chainMac_.next(result_.mac, frame.payload) == frame.mac;
-  if (!isChained) report(Finding::What::chainBroken, result_.segment, at);
+  if (!isChained) addFinding(Finding::Kind::chainBroken, result_.segment, at);
   result_.mac = frame.mac;
 }
 
-// False where the frame holds a record that can't be read.
-bool LogScanner::readPayload(const Frame& frame, std::size_t at, bool isHead) {
-  if (isHead) {
-    if (!frame.payload.starts_with(kSegmentHead))
-      report(Finding::What::unreadable, result_.segment, 0);
+// Returns false if the frame holds a record that can't be parsed.
+bool LogScanner::readPayload(const Frame& frame, std::size_t at, bool isHeader) {
+  if (isHeader) {
+    if (!frame.payload.starts_with(kSegmentHeader))
+      addFinding(Finding::Kind::unreadable, result_.segment, 0);
     return true;
   }
   wire::Record record;
   if (!record.ParseFromArray(frame.payload.data(), static_cast<int>(frame.payload.size()))) {
-    report(Finding::What::unreadable, result_.segment, at);
+    addFinding(Finding::Kind::unreadable, result_.segment, at);
     return false;
   }
   if (record.seq() != result_.newest + 1 && result_.newest != 0) {
-    report(Finding::What::sequenceBroken, result_.segment, at);
+    addFinding(Finding::Kind::sequenceBroken, result_.segment, at);
     if (mustStop()) return false;
   }
   result_.newest = record.seq();
--- a/src/ledger/mapped_memory.cpp
+++ b/src/ledger/mapped_memory.cpp
@@ -12,9 +12,10 @@
   int fd = open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
   if (fd < 0 || ftruncate(fd, static_cast<off_t>(size)) < 0) {
     if (fd >= 0) close(fd);
-    throw DiskError(path + " can't be made");
+    throw DiskError(path + " can't be created");
   }
-  // A store to a page without a block behind it would end the process when the disk is full.
+  // Allocates all blocks in advance: writing to a mapped page without a block raises SIGBUS when
+  // the disk is full, which ends the process.
   bool isAllocated = posix_fallocate(fd, 0, static_cast<off_t>(size)) == 0;
   start_ = isAllocated
                ? mmap(nullptr, size, PROT_READ | PROT_WRITE, MAP_SHARED | MAP_POPULATE, fd, 0)
--- a/src/ledger/mapped_memory.h
+++ b/src/ledger/mapped_memory.h
@@ -1,4 +1,4 @@
-// A file mapped into memory: what is stored there outlives the process.
+// A file that is mapped into memory, whose content survives the process.
 #pragma once
 
 #include <cstddef>
@@ -9,7 +9,7 @@
 
 class MappedMemory {
  public:
-  // Makes the file, with all its blocks. Throws DiskError where that can't be done.
+  // Creates the file if needed, allocates all its blocks and maps it. Throws DiskError.
   MappedMemory(const std::string& path, std::size_t size);
   ~MappedMemory();
   MappedMemory(const MappedMemory&) = delete;
--- a/src/ledger/notice.h
+++ b/src/ledger/notice.h
@@ -1,4 +1,4 @@
-// The kinds of wire::Notice: what the ledger noticed and totals may depend on.
+// The kinds of wire::Notice, which are events that may affect the totals.
 #pragma once
 
 #include <cstdint>
@@ -8,7 +8,7 @@
 enum class NoticeKind : std::uint32_t {
   entriesLost = 1,
   clockJumped = 2,
-  tornTailCut = 3,
+  tornTailTruncated = 3,
   restarted = 4
 };
 
--- a/src/ledger/reconciliation.cpp
+++ b/src/ledger/reconciliation.cpp
@@ -9,9 +9,9 @@
 namespace reedchute::ledger {
 namespace {
 
-// What the ids of corrections begin with.
-constexpr const char* kTakeBack = "repeat ";
-constexpr const char* kRestore = "restore ";
+// Prefixes of correction ids. They are stored in the log.
+constexpr const char* kReversal = "repeat ";
+constexpr const char* kRestoration = "restore ";
 
 bool isNotice(const wire::Record& record, NoticeKind kind) {
   return record.has_notice() && record.notice().kind() == static_cast<std::uint32_t>(kind);
@@ -25,10 +25,10 @@
 
 }  // namespace
 
-const char* nameOf(Reconciliation::Problem::What what) {
+const char* nameOf(Reconciliation::Problem::Kind kind) {
   static constexpr const char* kNames[] = {"gap", "overlap", "two names", "clock jumped",
                                            "entries lost"};
-  return kNames[static_cast<std::size_t>(what)];
+  return kNames[static_cast<std::size_t>(kind)];
 }
 
 void Reconciliation::add(const std::string& birth, const std::string& instance,
@@ -39,7 +39,8 @@
   auto [known, isNew] = ledger.records.try_emplace(record.seq(), bytes);
   if (isNew || known->second == bytes) return;
   ledger.overlaps.insert(record.seq());
-  // Of two contents the same one always counts, whichever came first.
+  // Of two contents the smaller one counts, so that the result doesn't depend on the order of
+  // calls.
   known->second = std::min(known->second, bytes);
 }
 
@@ -64,26 +65,27 @@
 
 void Reconciliation::findProblems(const std::string& birth, const Ledger& ledger,
                                   std::vector<Problem>& problems) {
-  using What = Problem::What;
+  using Kind = Problem::Kind;
   if (ledger.instances.size() > 1)
-    problems.push_back({What::twoNames, birth, 0, 0, joined(ledger.instances)});
+    problems.push_back({Kind::multipleInstances, birth, 0, 0, joined(ledger.instances)});
   for (std::uint64_t seq : ledger.overlaps)
-    problems.push_back({What::overlap, birth, seq, seq, "two contents under one number"});
+    problems.push_back(
+        {Kind::overlap, birth, seq, seq, "two records with the same sequence number"});
   std::uint64_t previous = 0;
   std::int64_t newestUs = INT64_MIN;
   for (const auto& [seq, bytes] : ledger.records) {
-    if (seq != previous + 1) problems.push_back({What::gap, birth, previous + 1, seq - 1, ""});
+    if (seq != previous + 1) problems.push_back({Kind::gap, birth, previous + 1, seq - 1, ""});
     previous = seq;
     wire::Record record;
     record.ParseFromString(bytes);
     if (record.at_us() < newestUs)
-      problems.push_back({What::clockJumped, birth, seq, seq, "earlier than the record before it"});
+      problems.push_back({Kind::clockJumped, birth, seq, seq, "earlier than the record before it"});
     newestUs = std::max<std::int64_t>(newestUs, record.at_us());
     const wire::Notice& notice = record.notice();
     if (isNotice(record, NoticeKind::entriesLost))
-      problems.push_back({What::entriesLost, birth, seq, notice.count(), notice.text()});
+      problems.push_back({Kind::entriesLost, birth, seq, notice.count(), notice.text()});
     if (isNotice(record, NoticeKind::clockJumped))
-      problems.push_back({What::clockJumped, birth, seq, seq, notice.text()});
+      problems.push_back({Kind::clockJumped, birth, seq, seq, notice.text()});
   }
 }
 
@@ -111,35 +113,35 @@
   forEachRecord([&](const std::string&, const wire::Record& record) {
     if (!record.has_correction()) return;
     const wire::Correction& correction = record.correction();
-    if (correction.id().starts_with(kTakeBack))
-      known[correction.corrects()].takenBack.insert(correction.id());
-    if (correction.id().starts_with(kRestore))
-      known[correction.corrects()].restored.insert(correction.id());
+    if (correction.id().starts_with(kReversal))
+      known[correction.corrects()].reversals.insert(correction.id());
+    if (correction.id().starts_with(kRestoration))
+      known[correction.corrects()].restorations.insert(correction.id());
   });
   return known;
 }
 
-// With a part of the ledgers at hand an entry may have been taken for a retry that, with all of
-// them, is none. It is restored by a further correction. Ids are numbered, so each correction is
-// written once whoever writes it.
+// A run on only some of the ledgers may reverse an entry as a retry that is no retry when all
+// ledgers are known. Such an entry is restored by a further correction. Correction ids are numbered
+// per entry, so each correction counts once even if it is written by several runs.
 std::vector<Reconciliation::MissingCorrection> Reconciliation::missingCorrections() const {
   std::map<std::string, CorrectionIds> known = knownCorrections();
   std::vector<BilledEntry> entries = billedEntries();
   std::vector<MissingCorrection> missing;
-  const BilledEntry* original = nullptr;  // under the current key and window
+  const BilledEntry* original = nullptr;  // first entry of the current key and window
   for (const BilledEntry& entry : entries) {
     bool isRetry = original && original->key == entry.key && entry.atUs < original->windowEndUs();
     if (!isRetry) original = &entry;
     const CorrectionIds& ids = known[entry.name()];
-    bool isTakenBack = ids.takenBack.size() > ids.restored.size();
-    if (isRetry == isTakenBack) continue;
-    std::size_t number = (isRetry ? ids.takenBack : ids.restored).size() + 1;
+    bool isReversed = ids.reversals.size() > ids.restorations.size();
+    if (isRetry == isReversed) continue;
+    std::size_t number = (isRetry ? ids.reversals : ids.restorations).size() + 1;
     missing.push_back(correctionOf(entry, isRetry ? original : nullptr, number));
   }
   return missing;
 }
 
-// Takes the entry back as a retry of the original; restores it where there is none.
+// Reverses the entry as a retry of `original`, or restores it if `original` is null.
 Reconciliation::MissingCorrection Reconciliation::correctionOf(const BilledEntry& entry,
                                                                const BilledEntry* original,
                                                                std::size_t number) {
@@ -149,15 +151,16 @@
   missing.birth = entry.birth;
   missing.period = Period{entry.record.period_s()};
   wire::Correction& correction = missing.correction;
-  correction.set_id((original ? kTakeBack : kRestore) + entry.name() + " #" +
+  correction.set_id((original ? kReversal : kRestoration) + entry.name() + " #" +
                     std::to_string(number));
   correction.set_corrects(entry.name());
   correction.set_tenant(use.tenant());
   correction.set_statements(sign);
   correction.set_bytes_in(sign * static_cast<std::int64_t>(use.bytes_in()));
   correction.set_bytes_out(sign * static_cast<std::int64_t>(use.bytes_out()));
-  correction.set_reason(original ? "billed at " + original->name() + " under the same mark"
-                                 : "no repeat, seen with all ledgers");
+  correction.set_reason(original
+                            ? "billed at " + original->name() + " under the same idempotency key"
+                            : "not a retry when all ledgers are considered");
   correction.set_by("reconcile");
   return missing;
 }
--- a/src/ledger/settings.h
+++ b/src/ledger/settings.h
@@ -1,4 +1,4 @@
-// The block `ledger` of the settings file.
+// Reads the block `ledger` of the settings file.
 #pragma once
 
 #include <string>
@@ -8,10 +8,12 @@
 
 namespace reedchute::ledger {
 
-// The key in a file, without the end of its line; empty where there is none.
+// Reads a key from a file, without trailing line breaks. Returns an empty string if the file can't
+// be read.
 std::string keyInFile(const std::string& path);
 
-// Throws InvalidInput, with file, line and key of the setting. Reads the key files.
+// Reads the settings and the key files they name. `instance` is the default instance name. Throws
+// InvalidInput with the file, line and name of the invalid setting.
 UsageRecorderConfig usageRecorderConfigFrom(config::Section section, const std::string& instance);
 
 }  // namespace reedchute::ledger
--- a/src/ledger/sync_anchor.cpp
+++ b/src/ledger/sync_anchor.cpp
@@ -12,7 +12,7 @@
 
 constexpr const char* kFileName = "anchor";
 constexpr std::size_t kNumberBytes = 8;
-constexpr std::size_t kLineBytes = 12;  // the number and its checksum
+constexpr std::size_t kEntryBytes = 12;  // the number and its checksum
 constexpr std::size_t kMaxFileBytes = 64 * 1024;
 
 }  // namespace
@@ -23,10 +23,10 @@
   std::string bytes = files_.read(kFileName);
   size_ = bytes.size();
   std::uint64_t newest = 0;
-  for (std::size_t at = 0; at + kLineBytes <= bytes.size(); at += kLineBytes) {
-    std::string_view line = std::string_view(bytes).substr(at, kLineBytes);
-    std::string_view number = line.substr(0, kNumberBytes);
-    if (readUint(line.substr(kNumberBytes)) == checksumOf(number))
+  for (std::size_t at = 0; at + kEntryBytes <= bytes.size(); at += kEntryBytes) {
+    std::string_view entry = std::string_view(bytes).substr(at, kEntryBytes);
+    std::string_view number = entry.substr(0, kNumberBytes);
+    if (readUint(entry.substr(kNumberBytes)) == checksumOf(number))
       newest = std::max(newest, readUint(number));
   }
   return newest;
@@ -34,14 +34,14 @@
 
 void SyncAnchor::append(std::uint64_t durable) {
   if (size_ >= kMaxFileBytes) {
-    files_.cut(kFileName, 0);
+    files_.truncate(kFileName, 0);
     size_ = 0;
   }
-  std::string line;
-  appendUint64(line, durable);
-  appendUint32(line, checksumOf(line));
-  files_.append(kFileName, line);
-  size_ += line.size();
+  std::string entry;
+  appendUint64(entry, durable);
+  appendUint32(entry, checksumOf(entry));
+  files_.append(kFileName, entry);
+  size_ += entry.size();
 }
 
 }  // namespace reedchute::ledger
--- a/src/ledger/sync_anchor.h
+++ b/src/ledger/sync_anchor.h
@@ -1,5 +1,6 @@
-// A file beside the log's segments to which each sync adds the number of the newest synced record.
-// It is never synced itself: after a machine's death it may be behind, and is never ahead.
+// A file next to the log's segments to which each sync appends the sequence number of the newest
+// synced record. The file itself is never synced: after a crash of the machine its number may be
+// too low, but never too high.
 #pragma once
 
 #include <cstddef>
@@ -14,8 +15,9 @@
   // `files` must outlive it.
   explicit SyncAnchor(Files& files) : files_(files) {}
 
-  // The newest record that is known to have been synced; 0 where none is.
+  // Returns the newest record known to be synced, or 0 if none is known. Throws DiskError.
   std::uint64_t read();
+  // Throws DiskError.
   void append(std::uint64_t durable);
 
  private:
--- a/src/ledger/usage_recorder.cpp
+++ b/src/ledger/usage_recorder.cpp
@@ -8,11 +8,10 @@
 namespace reedchute::ledger {
 namespace {
 
-constexpr Duration kClockTolerance{
-    2'000'000};                              // between the two clocks, from one answer to the next
-constexpr std::size_t kMinFreeBytes = 4096;  // of the ring, to admit a statement
-constexpr std::chrono::milliseconds kRoundInterval{2};
-constexpr std::chrono::milliseconds kDiskErrorPause{100};
+constexpr Duration kClockTolerance{2'000'000};  // between wall and steady clock, per reading
+constexpr std::size_t kMinFreeBytes = 4096;     // in the ring, to accept a statement
+constexpr std::chrono::milliseconds kWriteInterval{2};
+constexpr std::chrono::milliseconds kDiskErrorRetryDelay{100};
 constexpr int kBirthWords = 4;  // of 32 random bits
 
 template <typename Clock>
@@ -51,11 +50,12 @@
 }
 
 std::string describe(const Finding& finding) {
-  return std::string(nameOf(finding.what)) + " in " + finding.segment + " at byte " +
+  return std::string(nameOf(finding.kind)) + " in " + finding.segment + " at byte " +
          std::to_string(finding.at);
 }
 
-// The names of the workloads, and of the one that each further number stands for.
+// The names of the workloads by number, followed by those of the template that each further number
+// is an instance of; empty if it has none.
 std::vector<std::string> workloadNames(const Names& names) {
   std::vector<std::string> workloads = names.workloads;
   for (int workload : names.templateOf)
@@ -75,7 +75,7 @@
                              const EngineSettings& settings)
     : config_(config),
       workloads_(workloadNames(names)),
-      files_(filesIn(config.folder)),
+      files_(openFolder(config.folder)),
       ringMemory_(config.folder + "/ring", config.ringBytes),
       periods_(config.periodLength, kClockTolerance, Duration{}) {
   for (const Workload& workload : settings.workloads)
@@ -97,21 +97,21 @@
 
 // ---- the ledger's thread ----
 
-void UsageRecorder::setPhase(Phase phase, const std::string& what) {
+void UsageRecorder::setPhase(Phase phase, const std::string& reason) {
   if (phase_.load() == phase) return;
-  what_ = what;
+  phaseReason_ = reason;
   phase_.store(phase, std::memory_order_release);
 }
 
 void UsageRecorder::run() {
   if (!openLedger()) return;
   lastSync_ = steadyNow();
-  // All that was answered before the end is written, but a disk that takes nothing isn't waited
-  // for.
+  // The last pass writes the entries of all statements answered before the stop. It doesn't retry
+  // if the disk fails.
   for (bool isLast = false; !isLast;) {
     isLast = isStopping_;
-    if (!isLast) std::this_thread::sleep_for(kRoundInterval);
-    writeRound(isLast);
+    if (!isLast) std::this_thread::sleep_for(kWriteInterval);
+    writePending(isLast);
   }
 }
 
@@ -129,14 +129,15 @@
   }
   periods_.resume(writer_->newestTime(), writer_->unsealed());
   if (std::optional<Period> sealed = writer_->lastSealed()) periods_.onSealed(*sealed);
-  ring_ = std::make_unique<EntryRing>(ringMemory_.bytes(), writer_->nextPlace());
-  // After a machine's death an entry may be there in part; those behind it can't be read either.
+  ring_ = std::make_unique<EntryRing>(ringMemory_.bytes(), writer_->nextEntryIndex());
+  // After a crash of the machine an entry may be incomplete; the entries after it can't be read
+  // either.
   lost_ += ring_->dropUnreadable();
-  setPhase(Phase::open, findings.empty() ? "" : "a torn tail was cut off");
+  setPhase(Phase::open, findings.empty() ? "" : "a torn tail was truncated");
   return true;
 }
 
-void UsageRecorder::writeRound(bool isLast) {
+void UsageRecorder::writePending(bool isLast) {
   try {
     drainRing();
     if (isLast || steadyNow() - lastSync_ >= config_.syncInterval) {
@@ -149,17 +150,17 @@
   } catch (const DiskError& error) {
     ++diskErrors_;
     setPhase(Phase::failing, error.what());
-    if (!isLast) std::this_thread::sleep_for(kDiskErrorPause);
+    if (!isLast) std::this_thread::sleep_for(kDiskErrorRetryDelay);
   }
 }
 
-// Until the ring is empty, or an entry in it can't be read.
+// Drains the ring until it is empty or its next entry can't be read.
 void UsageRecorder::drainRing() {
   for (;;) {
-    std::uint64_t before = ring_->releasedPlace();
+    std::uint64_t before = ring_->releasedIndex();
     writer_->drain(*ring_, lost_.load(), wallNow());
-    std::uint64_t after = ring_->releasedPlace();
-    if (ring_->newestPlace() <= after || after == before) return;
+    std::uint64_t after = ring_->releasedIndex();
+    if (ring_->newestIndex() <= after || after == before) return;
   }
 }
 
@@ -212,7 +213,7 @@
   state.diskErrors = diskErrors_;
   state.clockJumps = clockJumps_;
   if (isRecording(state.phase)) state.ringFree = ring_->freeBytes();
-  if (state.phase == Phase::closed) state.what = what_;
+  if (state.phase == Phase::closed) state.what = phaseReason_;
   return state;
 }
 
--- a/src/ledger/usage_totals.h
+++ b/src/ledger/usage_totals.h
@@ -1,4 +1,4 @@
-// Sums up the log's records by billing period and tenant. No I/O.
+// Sums the log's records by billing period and tenant. Performs no I/O.
 #pragma once
 
 #include <compare>
@@ -14,16 +14,16 @@
 namespace reedchute::ledger {
 
 struct Usage {
-  // Billed, corrections included.
+  // Billed amounts, including corrections.
   std::int64_t statements = 0;
   std::int64_t bytesIn = 0;
   std::int64_t bytesOut = 0;
-  // Not billed.
+  // Not billed: counts.
   std::int64_t attempts = 0;
   std::int64_t retries = 0;
   std::int64_t rejected = 0;
   std::int64_t aborted = 0;
-  std::int64_t corrections = 0;  // how many
+  std::int64_t corrections = 0;
 
   auto operator<=>(const Usage&) const = default;
   Usage& operator+=(const Usage& other);
@@ -31,9 +31,9 @@
 
 class UsageTotals {
  public:
-  using Key = std::pair<Period, std::string>;  // and tenant
+  using Key = std::pair<Period, std::string>;  // period and tenant
 
-  // A correction whose id was added before adds nothing.
+  // A correction whose id was added before is ignored.
   void add(const wire::Record& record);
   const std::map<Key, Usage>& all() const { return totals_; }
   Usage of(Period period, const std::string& tenant) const;
--- a/tests/ledger/ledger_test.cpp
+++ b/tests/ledger/ledger_test.cpp
@@ -1,5 +1,5 @@
-// The ledger: its decisions told by hand, its log damaged, and its crashes at every step of input
-// and output.
+// Unit tests of the ledger: its decisions for given inputs, the detection of damage to its log, and
+// crashes of the process and the machine at every step of input and output.
 #include <cstdio>
 #include <fstream>
 #include <memory>
@@ -44,25 +44,25 @@
   }
   BillingPeriods p(PeriodLength::day, secs(2), secs(60));
   double day = 100.0 * kDayS;
-  auto tell = [&](const char* what, double wall, double steady) {
+  auto printResult = [&](const char* what, double wall, double steady) {
     BillingPeriods::Moment m = p.now({at(wall), secs(steady)});
     std::printf("%s: %+.0f s, day %lld%s\n", what, (m.at - at(day)).seconds(),
                 static_cast<long long>(m.period.beginsS / kDayS),
                 m.hasJumped ? ", the clock jumped" : "");
   };
-  tell("it begins", day + 100, 1000);
-  tell("a little later", day + 110, 1010);
-  tell("the clock is drawn back a second", day + 119, 1020);
-  tell("set back by an hour", day - 3480, 1021);
-  tell("still so", day - 3470, 1031);
-  tell("set right again", day + 131, 1032);
-  tell("set ahead by a month", day + 31 * kDayS, 1040);
-  tell("still so", day + 31 * kDayS + 10, 1050);
+  printResult("it begins", day + 100, 1000);
+  printResult("a little later", day + 110, 1010);
+  printResult("the clock is drawn back a second", day + 119, 1020);
+  printResult("set back by an hour", day - 3480, 1021);
+  printResult("still so", day - 3470, 1031);
+  printResult("set right again", day + 131, 1032);
+  printResult("set ahead by a month", day + 31 * kDayS, 1040);
+  printResult("still so", day + 31 * kDayS + 10, 1050);
   p.trustWallClock({at(day + kDayS + 5), secs(1060)});
-  tell("an operator trusts it, a day on", day + kDayS + 5, 1060);
+  printResult("an operator trusts it, a day on", day + kDayS + 5, 1060);
   p.onEntry({100 * kDayS}), p.onEntry({101 * kDayS});
   auto due = [&](double s) {
-    auto d = p.dueForSeal(at(s));
+    auto d = p.nextPeriodToSeal(at(s));
     return d ? static_cast<long long>(d->beginsS / kDayS) : -1LL;
   };
   std::printf("due within the grace %lld, after it %lld\n", due(day + kDayS + 59),
@@ -81,26 +81,26 @@
               static_cast<long long>(m.period.beginsS / kDayS), (m.at - at(day)).seconds());
 }
 
-void marks() {
+void billedKeys() {
   BilledKeys m(3);
-  auto tell = [&](const char* what, Outcome o, std::uint64_t mark, double s) {
-    std::printf("%s: %s\n", what, m.bill(o, mark, secs(3), at(s)) ? "billed" : "not billed");
+  auto printResult = [&](const char* what, Outcome o, std::uint64_t key, double s) {
+    std::printf("%s: %s\n", what, m.bill(o, key, secs(3), at(s)) ? "billed" : "not billed");
   };
-  tell("completed without a mark", Outcome::completed, 0, 1);
-  tell("again without a mark", Outcome::completed, 0, 1);
-  tell("marked 7", Outcome::completed, 7, 1);
-  tell("7 within its window", Outcome::completed, 7, 3.9);
-  tell("7 at its window's end", Outcome::completed, 7, 4);
-  tell("8 rejected", Outcome::rejected, 8, 4);
-  tell("8 aborted", Outcome::aborted, 8, 4);
-  tell("8 completed", Outcome::completed, 8, 4);
-  tell("9", Outcome::completed, 9, 4.1);
-  tell("10, one more than fit", Outcome::completed, 10, 4.2);
+  printResult("completed without a mark", Outcome::completed, 0, 1);
+  printResult("again without a mark", Outcome::completed, 0, 1);
+  printResult("marked 7", Outcome::completed, 7, 1);
+  printResult("7 within its window", Outcome::completed, 7, 3.9);
+  printResult("7 at its window's end", Outcome::completed, 7, 4);
+  printResult("8 rejected", Outcome::rejected, 8, 4);
+  printResult("8 aborted", Outcome::aborted, 8, 4);
+  printResult("8 completed", Outcome::completed, 8, 4);
+  printResult("9", Outcome::completed, 9, 4.1);
+  printResult("10, one more than fit", Outcome::completed, 10, 4.2);
   std::printf("held %zu, forgotten %llu\n", m.size(),
-              static_cast<unsigned long long>(m.forgotten()));
-  tell("7, which was forgotten", Outcome::completed, 7, 4.3);
-  tell("10 still", Outcome::completed, 10, 4.3);
-  tell("all have passed, 10", Outcome::completed, 10, 9);
+              static_cast<unsigned long long>(m.evictedKeys()));
+  printResult("7, which was forgotten", Outcome::completed, 7, 4.3);
+  printResult("10 still", Outcome::completed, 10, 4.3);
+  printResult("all have passed, 10", Outcome::completed, 10, 9);
   std::printf("held %zu\n", m.size());
 }
 
@@ -112,7 +112,8 @@
 
 void exports() {
   ExportPlanner e;
-  auto tell = [&](const char* what, std::uint64_t durable, Watermark w, std::uint64_t epoch = 5) {
+  auto printResult = [&](const char* what, std::uint64_t durable, Watermark w,
+                         std::uint64_t epoch = 5) {
     ExportPlanner::Step s = e.next(durable, 10, w, epoch);
     std::printf("%s: %s batch %llu, %llu to %llu %s\n", what, nameOf(s.action),
                 static_cast<unsigned long long>(s.batch.number),
@@ -120,20 +121,20 @@
                 static_cast<unsigned long long>(s.batch.last), s.reason);
     return s;
   };
-  tell("nothing there", 0, {5, 0, 0, ""});
-  BatchPlan one = tell("25 durable", 25, {5, 0, 0, ""}).batch;
+  printResult("nothing there", 0, {5, 0, 0, ""});
+  BatchPlan one = printResult("25 durable", 25, {5, 0, 0, ""}).batch;
   one.digest = "d1";
   e.onPlanned(one);
-  tell("planned", 25, {5, 0, 0, ""});
-  tell("the answer got lost, it stands there", 25, {5, 1, 10, "d1"});
-  tell("it stands there with another content", 25, {5, 1, 10, "dx"});
+  printResult("planned", 25, {5, 0, 0, ""});
+  printResult("the answer got lost, it stands there", 25, {5, 1, 10, "d1"});
+  printResult("it stands there with another content", 25, {5, 1, 10, "dx"});
   e.onConfirmed(one);
-  tell("confirmed", 25, {5, 1, 10, "d1"});
-  tell("only one more is durable", 11, {5, 1, 10, "d1"});
-  tell("the collector was restored from before", 25, {5, 0, 0, ""});
-  tell("another content than was confirmed", 25, {5, 1, 10, "dy"});
-  tell("the collector is two ahead", 25, {5, 3, 30, "d3"});
-  tell("a newer exporter", 25, {6, 1, 10, "d1"});
+  printResult("confirmed", 25, {5, 1, 10, "d1"});
+  printResult("only one more is durable", 11, {5, 1, 10, "d1"});
+  printResult("the collector was restored from before", 25, {5, 0, 0, ""});
+  printResult("another content than was confirmed", 25, {5, 1, 10, "dy"});
+  printResult("the collector is two ahead", 25, {5, 3, 30, "d3"});
+  printResult("a newer exporter", 25, {6, 1, 10, "d1"});
   ExportPlanner after;
   after.resume(one, BatchPlan{1, 1, 10, "d1"});
   std::printf("restarted with an old plan: %s\n",
@@ -141,17 +142,18 @@
   after.resume(one, BatchPlan{2, 11, 20, "d2"});
   std::printf("restarted with one that may have been sent: %s\n",
               nameOf(after.next(25, 10, {5, 1, 10, "d1"}, 5).action));
-  static constexpr const char* kTakings[] = {"taken", "repeated", "gap", "fenced", "differs"};
-  auto takesOne = [&](const char* what, Watermark w, std::uint64_t epoch, BatchPlan b) {
-    std::printf("collector, %s: %s\n", what, kTakings[static_cast<int>(judgeBatch(w, epoch, b))]);
+  static constexpr const char* kVerdicts[] = {"taken", "repeated", "gap", "fenced", "differs"};
+  auto printVerdict = [&](const char* what, Watermark w, std::uint64_t epoch, BatchPlan b) {
+    std::printf("collector, %s: %s\n", what,
+                kVerdicts[static_cast<int>(classifyBatch(w, epoch, b))]);
   };
-  takesOne("the first", {5, 0, 0, ""}, 5, {1, 1, 10, "d1"});
-  takesOne("the same again", {5, 1, 10, "d1"}, 5, {1, 1, 10, "d1"});
-  takesOne("the same with another content", {5, 1, 10, "d1"}, 5, {1, 1, 10, "d2"});
-  takesOne("an old one late", {5, 2, 20, "d2"}, 5, {1, 1, 10, "d1"});
-  takesOne("one too far", {5, 1, 10, "d1"}, 5, {3, 21, 30, "d3"});
-  takesOne("one that leaves records out", {5, 1, 10, "d1"}, 5, {2, 12, 30, "d3"});
-  takesOne("from an older exporter", {5, 1, 10, "d1"}, 4, {2, 11, 20, "d2"});
+  printVerdict("the first", {5, 0, 0, ""}, 5, {1, 1, 10, "d1"});
+  printVerdict("the same again", {5, 1, 10, "d1"}, 5, {1, 1, 10, "d1"});
+  printVerdict("the same with another content", {5, 1, 10, "d1"}, 5, {1, 1, 10, "d2"});
+  printVerdict("an old one late", {5, 2, 20, "d2"}, 5, {1, 1, 10, "d1"});
+  printVerdict("one too far", {5, 1, 10, "d1"}, 5, {3, 21, 30, "d3"});
+  printVerdict("one that leaves records out", {5, 1, 10, "d1"}, 5, {2, 12, 30, "d3"});
+  printVerdict("from an older exporter", {5, 1, 10, "d1"}, 4, {2, 11, 20, "d2"});
 }
 
 wire::Record useRecord(std::uint64_t k) {
@@ -162,7 +164,7 @@
   return r;
 }
 
-std::string newestOf(SimFiles& f) {
+std::string newestSegmentOf(SimFiles& f) {
   std::string newest;
   for (const std::string& name : f.list())
     if (name.starts_with("ledger-")) newest = name;
@@ -170,7 +172,7 @@
 }
 
 // A log of 60 records in small segments.
-void fill(SimFiles& f) {
+void writeSampleLog(SimFiles& f) {
   Log log(f, {"key", 400});
   log.open([](const wire::Record&) {});
   for (std::uint64_t k = 1; k <= 60; ++k) {
@@ -181,84 +183,85 @@
 }
 
 void damage() {
-  auto tell = [](const char* what, auto change, const char* key = "key") {
+  auto printResult = [](const char* what, auto change, const char* key = "key") {
     SimFiles f;
-    fill(f);
+    writeSampleLog(f);
     change(f);
     Log log(f, {key, 400});
     std::uint64_t read = 0;
     std::vector<Finding> found = log.verify([&](const wire::Record&) { ++read; });
     std::printf("%s: %llu records read", what, static_cast<unsigned long long>(read));
     for (std::size_t k = 0; k < found.size() && k < 3; ++k)
-      std::printf("; %s in %s, record %llu", ledger::nameOf(found[k].what),
+      std::printf("; %s in %s, record %llu", ledger::nameOf(found[k].kind),
                   found[k].segment.c_str(), static_cast<unsigned long long>(found[k].seq));
     if (found.size() > 3) std::printf("; and so on");
     Log opened(f, {key, 400});
     opened.open([](const wire::Record&) {});
     std::printf("; it %s\n", opened.isOpen() ? "opens" : "stays closed");
   };
-  tell("as it was", [](SimFiles&) {});
-  tell("a flipped bit in the middle",
-       [](SimFiles& f) { f.bytesOf("ledger-00000002.log")[200] ^= 1; });
-  tell("a flipped bit in the first segment's head",
-       [](SimFiles& f) { f.bytesOf("ledger-00000001.log")[30] ^= 1; });
-  tell("a flipped bit in the newest segment, before what was synced",
-       [](SimFiles& f) { f.bytesOf(newestOf(f))[70] ^= 1; });
-  tell("a missing segment", [](SimFiles& f) { f.remove("ledger-00000003.log"); });
-  tell("two segments changed for each other", [](SimFiles& f) {
+  printResult("as it was", [](SimFiles&) {});
+  printResult("a flipped bit in the middle",
+              [](SimFiles& f) { f.bytesOf("ledger-00000002.log")[200] ^= 1; });
+  printResult("a flipped bit in the first segment's head",
+              [](SimFiles& f) { f.bytesOf("ledger-00000001.log")[30] ^= 1; });
+  printResult("a flipped bit in the newest segment, before what was synced",
+              [](SimFiles& f) { f.bytesOf(newestSegmentOf(f))[70] ^= 1; });
+  printResult("a missing segment", [](SimFiles& f) { f.remove("ledger-00000003.log"); });
+  printResult("two segments changed for each other", [](SimFiles& f) {
     f.rename("ledger-00000002.log", "x"), f.rename("ledger-00000003.log", "ledger-00000002.log");
     f.rename("x", "ledger-00000003.log");
   });
-  tell("the newest segment is gone", [](SimFiles& f) { f.remove(newestOf(f)); });
-  tell("a torn tail", [](SimFiles& f) {
-    std::string& b = f.bytesOf(newestOf(f));
+  printResult("the newest segment is gone", [](SimFiles& f) { f.remove(newestSegmentOf(f)); });
+  printResult("a torn tail", [](SimFiles& f) {
+    std::string& b = f.bytesOf(newestSegmentOf(f));
     b.resize(b.size() - 5);
   });
-  tell("the newest segment and the anchor are gone", [](SimFiles& f) {
+  printResult("the newest segment and the anchor are gone", [](SimFiles& f) {
     f.remove("anchor");
-    f.remove(newestOf(f));
+    f.remove(newestSegmentOf(f));
   });
-  tell("noise behind the end", [](SimFiles& f) { f.bytesOf(newestOf(f)) += "RLG1 noise"; });
-  tell("a record taken out of the middle", [](SimFiles& f) {
+  printResult("noise behind the end",
+              [](SimFiles& f) { f.bytesOf(newestSegmentOf(f)) += "RLG1 noise"; });
+  printResult("a record taken out of the middle", [](SimFiles& f) {
     std::string& b = f.bytesOf("ledger-00000002.log");
     std::size_t second = b.find("RLG1", 4), third = b.find("RLG1", second + 4);
     b.erase(second, third - second);
   });
-  tell(
+  printResult(
       "another key", [](SimFiles&) {}, "other");
 }
 
-constexpr std::size_t kRing = 4096;
+constexpr std::size_t kRingBytes = 4096;
 
-struct Memory {
-  alignas(64) std::byte bytes[kRing] = {};
+struct RingMemory {
+  alignas(64) std::byte bytes[kRingBytes] = {};
 };
 
 void ring() {
-  auto memory = std::make_unique<Memory>();
+  auto memory = std::make_unique<RingMemory>();
   {
     EntryRing r(memory->bytes, 1);
     std::printf("new: readable %d, put to %llu\n", r.wasReadable(),
-                static_cast<unsigned long long>(r.newestPlace()));
+                static_cast<unsigned long long>(r.newestIndex()));
     int n = 0;
     while (r.put(std::string(100, static_cast<char>('a' + n % 26)))) ++n;
-    std::printf("%d of 100 bytes fit in %zu\n", n, kRing);
+    std::printf("%d of 100 bytes fit in %zu\n", n, kRingBytes);
     r.release(5);
     std::printf("five let go; the next is %llu, '%c'\n",
-                static_cast<unsigned long long>(r.next()->place), r.next()->bytes[0]);
+                static_cast<unsigned long long>(r.next()->index), r.next()->bytes[0]);
     n = 0;
     while (r.put("x")) ++n;
     std::printf("%d more of one byte\n", n);
   }
   EntryRing again(memory->bytes, 1);
-  std::uint64_t place = 0;
+  std::uint64_t lastIndex = 0;
   int n = 0;
-  while (auto e = again.next(place)) place = e->place, ++n;
+  while (auto e = again.next(lastIndex)) lastIndex = e->index, ++n;
   std::printf("after the process: readable %d, %d entries, the last %llu\n", again.wasReadable(), n,
-              static_cast<unsigned long long>(place));
+              static_cast<unsigned long long>(lastIndex));
   EntryRing tooOld(memory->bytes, 1000);
   std::printf("one that is older than the log: readable %d, goes on at %llu\n",
-              tooOld.wasReadable(), static_cast<unsigned long long>(tooOld.newestPlace() + 1));
+              tooOld.wasReadable(), static_cast<unsigned long long>(tooOld.newestIndex() + 1));
   EntryRing fresh(memory->bytes, 1000);
   fresh.put("abc"), fresh.put("def");
   memory->bytes[128 + 16] ^= std::byte{1};
@@ -266,7 +269,7 @@
               EntryRing(memory->bytes, 1).next() ? "believed" : "not believed");
 }
 
-LedgerWriter::Options shape() {
+LedgerWriter::Options writerOptions() {
   LedgerWriter::Options s;
   s.instance = "f1", s.birth = "b1";
   s.log = {"key", 600};
@@ -275,75 +278,78 @@
   return s;
 }
 
-// The world of a crash test: a client that counts its answers and asks again, with the same mark,
-// what it got none for; a front that puts entries into a ring that outlives it; a keeper; an
-// exporter; a collector that counts.
-struct World {
+// Simulates everything that a crash test needs: a client that counts its answers and retries
+// unanswered statements under the same idempotency key, a proxy that puts entries into a ring that
+// survives it, a ledger writer, an exporter, and a collector that counts.
+struct CrashSimulation {
   SimFiles files;
-  std::unique_ptr<Memory> memory = std::make_unique<Memory>();
-  double clock = 50.0 * kDayS - 3;              // three seconds before a day ends
-  std::map<std::string, std::int64_t> counted;  // by the client
-  std::set<int> put, answers;  // statements whose entry was put; that the client had an answer to
-  int next = 0, synced = 0;
-  // the collector
-  Watermark mark;
-  std::map<std::uint64_t, wire::Record> taken;
-  std::uint64_t epochs = 0;
+  std::unique_ptr<RingMemory> memory = std::make_unique<RingMemory>();
+  double clock = 50.0 * kDayS - 3;              // three seconds before the end of a day
+  std::map<std::string, std::int64_t> counted;  // by the client, per tenant
+  // Statements whose entry was put, and statements whose answer the client received.
+  std::set<int> putStatements, answeredStatements;
+  int nextStatement = 0, syncedStatements = 0;
+  // The collector's state.
+  Watermark watermark;
+  std::map<std::uint64_t, wire::Record> collectorRecords;
+  std::uint64_t lastEpoch = 0;
   bool crashedInExport = false;
-  std::unique_ptr<LedgerWriter> keeper;
+  std::unique_ptr<LedgerWriter> writer;
   std::unique_ptr<EntryRing> ring;
   std::map<std::uint64_t, std::string> payloads;  // of the log, for batches
 
   void start() {
-    keeper = std::make_unique<LedgerWriter>(files, shape());
-    auto found = keeper->open(at(clock));
-    if (!keeper->isOpen()) std::printf("it stays closed: %s\n", ledger::nameOf(found.front().what));
-    ring = std::make_unique<EntryRing>(memory->bytes, keeper->nextPlace());
+    writer = std::make_unique<LedgerWriter>(files, writerOptions());
+    auto found = writer->open(at(clock));
+    if (!writer->isOpen()) std::printf("it stays closed: %s\n", ledger::nameOf(found.front().kind));
+    ring = std::make_unique<EntryRing>(memory->bytes, writer->nextEntryIndex());
   }
-  void stop() { ring.reset(), keeper.reset(); }
+  void stop() { ring.reset(), writer.reset(); }
 
-  // One statement: its entry is put, then it is answered.
-  void ask(int number) {
+  // Puts the entry of one statement, which comes before its answer.
+  void putEntry(int number) {
     BillingPeriods p(PeriodLength::day, secs(2), secs(5));
-    p.resume(keeper->newestTime(), keeper->unsealed());
-    if (keeper->lastSealed()) p.onSealed(*keeper->lastSealed());
+    p.resume(writer->newestTime(), writer->unsealed());
+    if (writer->lastSealed()) p.onSealed(*writer->lastSealed());
     BillingPeriods::Moment m = p.now({at(clock), secs(clock)});
     AnsweredStatement a;
     a.tenant = "t" + std::to_string(number % 3), a.workload = "w";
     a.outcome = Outcome::completed, a.bytesIn = 10, a.bytesOut = 100, a.attempts = 1;
-    if (marked(number))
+    if (hasIdempotencyKey(number))
       a.idempotencyKey = static_cast<std::uint64_t>(number) + 1, a.deduplicationWindow = secs(30);
     a.at = m.at, a.period = m.period;
     if (!ring->put(encodeEntry(a))) std::printf("no room in the ring\n");
-    put.insert(number);
+    putStatements.insert(number);
   }
-  static bool marked(int number) { return number % 2 == 0; }
-  void answered(int number) {
-    if (answers.insert(number).second) ++counted["t" + std::to_string(number % 3)];
+  static bool hasIdempotencyKey(int number) { return number % 2 == 0; }
+  void countAnswer(int number) {
+    if (answeredStatements.insert(number).second) ++counted["t" + std::to_string(number % 3)];
   }
 
-  void exportSome() {
-    // The collector gives each exporter that begins a higher epoch.
-    std::uint64_t epoch = ++epochs;
-    mark.epoch = epoch;
+  void exportBatches() {
+    // The collector assigns a higher epoch to each exporter that starts.
+    std::uint64_t epoch = ++lastEpoch;
+    watermark.epoch = epoch;
     for (int k = 0; k < 20; ++k) {
-      ExportPlanner::Step s = keeper->exports().next(keeper->durable(), 7, mark, epoch);
+      ExportPlanner::Step s = writer->exports().next(writer->durable(), 7, watermark, epoch);
       if (s.action == ExportPlanner::Action::nothing) return;
       if (s.action == ExportPlanner::Action::plan) {
         s.batch.digest = digestOf(s.batch.first, s.batch.last);
-        keeper->writePlanned(s.batch, at(clock));
+        writer->writePlanned(s.batch, at(clock));
       } else if (s.action == ExportPlanner::Action::send) {
         ++files.steps;
-        if (files.steps == files.killAt) throw Killed{};  // before it is sent
-        BatchVerdict t = judgeBatch(mark, epoch, s.batch);
+        if (files.steps == files.killAt) throw Killed{};  // killed before the batch is sent
+        BatchVerdict t = classifyBatch(watermark, epoch, s.batch);
         if (t == BatchVerdict::accepted) {
-          for (auto r : recordsOf(s.batch.first, s.batch.last)) taken[r.seq()] = r;
-          mark.number = s.batch.number, mark.last = s.batch.last, mark.digest = s.batch.digest;
+          for (auto r : recordsOf(s.batch.first, s.batch.last)) collectorRecords[r.seq()] = r;
+          watermark.number = s.batch.number, watermark.last = s.batch.last,
+          watermark.digest = s.batch.digest;
         }
         ++files.steps;
-        if (files.steps == files.killAt) throw Killed{};  // it was taken, and the answer is lost
+        if (files.steps == files.killAt)
+          throw Killed{};  // killed after the batch was accepted, the answer is lost
       } else if (s.action == ExportPlanner::Action::confirm) {
-        keeper->writeConfirmed(s.batch, at(clock));
+        writer->writeConfirmed(s.batch, at(clock));
       } else {
         std::printf("the export stops: %s\n", s.reason);
         return;
@@ -352,7 +358,7 @@
   }
   std::vector<wire::Record> recordsOf(std::uint64_t first, std::uint64_t last) {
     std::vector<wire::Record> all;
-    Log log(files, shape().log);
+    Log log(files, writerOptions().log);
     log.verify([&](const wire::Record& r) {
       if (r.seq() >= first && r.seq() <= last) all.push_back(r);
     });
@@ -365,51 +371,52 @@
     return Log::digestOf(payloadsOf);
   }
 
-  // The whole script; goes on where it stood.
-  void play() {
-    while (next < 12) {
-      // What has no mark and may have run isn't asked again: it is billed, as it ran, and its
-      // client knows nothing.
-      if (put.contains(next) && !marked(next)) {
-        ++counted["t" + std::to_string(next % 3)];
-        ++next;
+  // Runs the whole script, or the rest of it after a crash.
+  void runScript() {
+    while (nextStatement < 12) {
+      // A statement that has no idempotency key and may have been executed isn't retried. It is
+      // billed because it was executed, although its client received no answer.
+      if (putStatements.contains(nextStatement) && !hasIdempotencyKey(nextStatement)) {
+        ++counted["t" + std::to_string(nextStatement % 3)];
+        ++nextStatement;
         continue;
       }
-      ask(next);
-      keeper->drain(*ring, 0, at(clock));
-      answered(next);
-      ++next;
+      putEntry(nextStatement);
+      writer->drain(*ring, 0, at(clock));
+      countAnswer(nextStatement);
+      ++nextStatement;
       clock += 0.7;
-      if (next % 4 == 0) keeper->sync(), synced = next, exportSome();
+      if (nextStatement % 4 == 0) writer->sync(), syncedStatements = nextStatement, exportBatches();
     }
     clock = std::max(clock, 50.0 * kDayS + 10);
-    keeper->drain(*ring, 0, at(clock));  // the first day is sealed
+    writer->drain(*ring, 0, at(clock));  // the first day is sealed
     wire::Correction c;
     c.set_id("c1"), c.set_tenant("t0"), c.set_statements(-1), c.set_bytes_in(-10),
         c.set_bytes_out(-100);
     c.set_reason("a test"), c.set_by("office");
     c.set_signature(LedgerWriter::signatureOf(c, {49 * kDayS}, "office"));
-    keeper->correct(c, {49 * kDayS}, at(clock));
-    keeper->correct(c, {49 * kDayS}, at(clock));
-    keeper->sync();
-    exportSome();
+    writer->correct(c, {49 * kDayS}, at(clock));
+    writer->correct(c, {49 * kDayS}, at(clock));
+    writer->sync();
+    exportBatches();
   }
 
-  // What the ledger says, over all periods and without the correction.
+  // The tenant's billed statements over all periods, without the correction.
   std::int64_t billed(const UsageTotals& t, const std::string& tenant) const {
     std::int64_t n = 0;
     for (const auto& [key, used] : t.all())
       if (key.second == tenant) n += used.statements + used.corrections;
     return n;
   }
-  std::string check(bool machine, int lostMost) {
+  std::string check(bool isMachineCrash, int maxLost) {
     std::string wrong;
     UsageTotals fromCollector;
-    for (const auto& [seq, r] : taken) fromCollector.add(r);
+    for (const auto& [seq, r] : collectorRecords) fromCollector.add(r);
     for (const char* tenant : {"t0", "t1", "t2"}) {
-      std::int64_t client = counted[tenant], ledger = billed(keeper->totals(), tenant);
+      std::int64_t client = counted[tenant], ledger = billed(writer->totals(), tenant);
       std::int64_t collector = billed(fromCollector, tenant);
-      bool good = machine ? ledger <= client && ledger >= client - lostMost : ledger == client;
+      bool good = isMachineCrash ? ledger <= client && ledger >= client - maxLost
+                                 : ledger == client;
       if (!good)
         wrong += std::string(tenant) + " counted " + std::to_string(client) + " billed " +
                  std::to_string(ledger) + "; ";
@@ -417,56 +424,57 @@
         wrong += std::string(tenant) + " exported " + std::to_string(collector) + " of " +
                  std::to_string(ledger) + "; ";
     }
-    if (keeper->totals().of({49 * kDayS}, "t0").corrections != 1)
+    if (writer->totals().of({49 * kDayS}, "t0").corrections != 1)
       wrong += "the correction isn't there once; ";
-    Log log(files, shape().log);
+    Log log(files, writerOptions().log);
     if (!log.verify([](const wire::Record&) {}).empty()) wrong += "the log can't be verified; ";
     return wrong;
   }
 };
 
-// Killed at step `kill`, started again, and played to its end.
-std::string crashAt(int kill, unsigned machineSeed, bool machine, bool* ended,
+// Kills the process, or crashes the machine, at step `kill`, restarts it, and runs the rest of the
+// script. Returns the differences found, or an empty string.
+std::string crashAt(int kill, unsigned crashSeed, bool isMachineCrash, bool* ended,
                     SimFiles::Taken taken = SimFiles::Taken::some) {
-  World w;
+  CrashSimulation w;
   w.files.taken = taken;
-  w.files.killAt = kill, w.files.seed = machineSeed;
+  w.files.killAt = kill, w.files.seed = crashSeed;
   int lost = 0;
   *ended = false;
   try {
     w.start();
-    w.play();
+    w.runScript();
     *ended = true;
     w.files.killAt = -1;
   } catch (const Killed&) {
     w.files.killAt = -1;
     w.stop();
-    if (machine) {
-      lost = w.next + 1 - w.synced;
-      w.files.machineDies(machineSeed);
-      if (machineSeed % 2) w.memory = std::make_unique<Memory>();
+    if (isMachineCrash) {
+      lost = w.nextStatement + 1 - w.syncedStatements;
+      w.files.machineDies(crashSeed);
+      if (crashSeed % 2) w.memory = std::make_unique<RingMemory>();
     }
     w.clock += 0.3;
     w.start();
-    // The client asks again for what it had no answer to.
-    w.play();
+    // The client retries the unanswered statements.
+    w.runScript();
   }
   // Everything is exported at the end.
-  w.keeper->sync();
-  w.exportSome(), w.exportSome();
-  for (int k = 0; k < 3 && w.keeper->exports().lastConfirmedRecord() + 3 < w.keeper->durable(); ++k)
-    w.exportSome();
-  return w.check(machine, lost);
+  w.writer->sync();
+  w.exportBatches(), w.exportBatches();
+  for (int k = 0; k < 3 && w.writer->exports().lastConfirmedRecord() + 3 < w.writer->durable(); ++k)
+    w.exportBatches();
+  return w.check(isMachineCrash, lost);
 }
 
 void crash(int seeds) {
   int steps = 0, wrong = 0;
   for (bool ended = false; !ended;) {
     ++steps;
-    // In the middle of an append none of it, some or all may have been taken.
+    // An append that is interrupted may have written none, some or all of its bytes.
     for (auto taken : {SimFiles::Taken::none, SimFiles::Taken::some, SimFiles::Taken::all}) {
-      std::string said = crashAt(steps, static_cast<unsigned>(steps), false, &ended, taken);
-      if (!said.empty()) std::printf("killed at step %d: %s\n", steps, said.c_str()), ++wrong;
+      std::string errors = crashAt(steps, static_cast<unsigned>(steps), false, &ended, taken);
+      if (!errors.empty()) std::printf("killed at step %d: %s\n", steps, errors.c_str()), ++wrong;
     }
   }
   std::printf("the process killed at each of its steps: %s\n",
@@ -476,9 +484,9 @@
   for (int seed = 1; seed <= seeds; ++seed)
     for (int step = 1; step < steps; ++step) {
       bool ended = false;
-      std::string said = crashAt(step, static_cast<unsigned>(seed * 1000 + step), true, &ended);
-      if (!said.empty() && ++wrong <= 5)
-        std::printf("machine, step %d seed %d: %s\n", step, seed, said.c_str());
+      std::string errors = crashAt(step, static_cast<unsigned>(seed * 1000 + step), true, &ended);
+      if (!errors.empty() && ++wrong <= 5)
+        std::printf("machine, step %d seed %d: %s\n", step, seed, errors.c_str());
     }
   std::printf("the machine at each of its steps: %s\n",
               wrong == 0 ? "never billed twice, nothing lost that was synced" : "wrong");
@@ -493,40 +501,40 @@
 
 void corrections() {
   SimFiles f;
-  LedgerWriter k(f, shape());
+  LedgerWriter k(f, writerOptions());
   k.open(at(50.0 * kDayS));
   wire::Correction c;
   c.set_id("c1"), c.set_tenant("t0"), c.set_statements(-2), c.set_reason("counted twice"),
       c.set_by("office"), c.set_corrects("f1:7");
   Period p{50 * kDayS};
-  auto tell = [&](const char* what) {
+  auto printResult = [&](const char* what) {
     static constexpr const char* kNames[] = {"taken", "repeated", "refused"};
-    auto came = k.correct(c, p, at(50.0 * kDayS));
-    std::printf("%s: %s; statements %lld\n", what, kNames[static_cast<int>(came)],
+    auto result = k.correct(c, p, at(50.0 * kDayS));
+    std::printf("%s: %s; statements %lld\n", what, kNames[static_cast<int>(result)],
                 static_cast<long long>(k.totals().of(p, "t0").statements));
   };
-  tell("unsigned");
+  printResult("unsigned");
   c.set_signature(LedgerWriter::signatureOf(c, p, "somebody"));
-  tell("signed with another key");
+  printResult("signed with another key");
   c.set_signature(LedgerWriter::signatureOf(c, p, "office"));
-  tell("signed");
-  tell("the same again");
+  printResult("signed");
+  printResult("the same again");
   c.set_statements(-3);
-  tell("its figure changed");
+  printResult("its figure changed");
   c.set_id("c2"), c.set_reason("");
   c.set_signature(LedgerWriter::signatureOf(c, p, "office"));
-  tell("without a reason");
+  printResult("without a reason");
   c.set_reason("another"), c.set_statements(2);
   c.set_signature(LedgerWriter::signatureOf(c, p, "office"));
-  tell("a second one");
+  printResult("a second one");
 }
 
 void disk() {
   SimFiles f;
-  auto memory = std::make_unique<Memory>();
-  LedgerWriter k(f, shape());
+  auto memory = std::make_unique<RingMemory>();
+  LedgerWriter k(f, writerOptions());
   k.open(at(50.0 * kDayS));
-  EntryRing r(memory->bytes, k.nextPlace());
+  EntryRing r(memory->bytes, k.nextEntryIndex());
   f.fullFrom = f.steps + 1, f.fullTo = f.steps + 4;
   AnsweredStatement a;
   a.tenant = "t", a.outcome = Outcome::completed, a.at = at(50.0 * kDayS), a.period = {50 * kDayS};
@@ -547,7 +555,7 @@
                                                                                      : "not equal",
       lost > 0 ? "some" : "none");
   std::uint64_t noted = 0;
-  Log log(f, shape().log);
+  Log log(f, writerOptions().log);
   auto found = log.verify([&](const wire::Record& rec) {
     noted += rec.has_notice() && rec.notice().kind() == 1 ? rec.notice().count() : 0;
   });
@@ -555,86 +563,88 @@
               found.empty() ? "is sound" : "is not sound");
 }
 
-// Three fronts that share nothing; their ledgers told in any order, repeated, in part first.
+// Reconciles the ledgers of three proxies that share no state, with their records in any order,
+// repeated, or a subset of them first. Totals and corrections must be the same each time.
 void reconciles() {
-  struct Told {
+  struct InstanceRecord {
     std::string birth, instance;
     wire::Record r;
   };
-  std::vector<Told> all;
+  std::vector<InstanceRecord> all;
   auto use = [&](const char* birth, std::uint64_t seq, double s, const char* tenant,
-                 std::uint64_t mark, bool billed = true) {
+                 std::uint64_t key, bool billed = true) {
     wire::Record r;
     r.set_seq(seq), r.set_at_us(at(s).us), r.set_period_s(0);
     wire::Use* u = r.mutable_use();
-    u->set_tenant(tenant), u->set_idempotency_key(mark), u->set_deduplication_window_ms(3000),
+    u->set_tenant(tenant), u->set_idempotency_key(key), u->set_deduplication_window_ms(3000),
         u->set_billed(billed), u->set_outcome(1);
     u->set_bytes_in(10), u->set_bytes_out(100);
     all.push_back({birth, std::string("front-") + birth, r});
   };
   for (std::uint64_t k = 1; k <= 5; ++k) use("a", k, static_cast<double>(k), "coop", 0);
   use("a", 6, 10, "coop", 77);
-  use("b", 1, 11, "coop", 77);    // the client's repeat came to another front, in its window
-  use("c", 1, 12.9, "coop", 77);  // and to a third
-  use("b", 2, 13.5, "coop", 77);  // after the window: another statement
+  use("b", 1, 11, "coop", 77);    // the client's retry on another proxy, within the window
+  use("c", 1, 12.9, "coop", 77);  // and on a third proxy
+  use("b", 2, 13.5, "coop", 77);  // after the window: a new statement
   use("c", 2, 14, "office", 5), use("c", 3, 15, "office", 5, false);
-  auto tell = [&](const Reconciliation& rec) {
-    std::string said;
+  auto describe = [&](const Reconciliation& rec) {
+    std::string text;
     for (bool corrected : {false, true}) {
       UsageTotals t = rec.totals(corrected);
-      said += "coop " + std::to_string(t.of({0}, "coop").statements) + ", office " +
+      text += "coop " + std::to_string(t.of({0}, "coop").statements) + ", office " +
               std::to_string(t.of({0}, "office").statements) + "; ";
     }
-    for (const auto& m : rec.missingCorrections()) said += m.correction.id() + "; ";
+    for (const auto& m : rec.missingCorrections()) text += m.correction.id() + "; ";
     for (const auto& t : rec.problems())
-      said += std::string(ledger::nameOf(t.what)) + " " + t.birth + " " + std::to_string(t.first) +
+      text += std::string(ledger::nameOf(t.kind)) + " " + t.birth + " " + std::to_string(t.first) +
               "-" + std::to_string(t.last) + "; ";
-    return said;
+    return text;
   };
-  auto whole = [&](const std::vector<Told>& told) {
+  auto reconcileAll = [&](const std::vector<InstanceRecord>& records) {
     Reconciliation rec;
-    for (const Told& one : told) rec.add(one.birth, one.instance, one.r);
+    for (const InstanceRecord& one : records) rec.add(one.birth, one.instance, one.r);
     return rec;
   };
-  std::string first = tell(whole(all));
+  std::string first = describe(reconcileAll(all));
   std::printf("%s\n", first.c_str());
   std::ranlux24_base chance(3);
   int same = 0, rounds = 200;
   for (int k = 0; k < rounds; ++k) {
-    std::vector<Told> told = all;
-    for (std::size_t n = 0; n < 10; ++n) told.push_back(all[chance() % all.size()]);
-    for (std::size_t n = told.size(); n > 1; --n) std::swap(told[n - 1], told[chance() % n]);
-    same += tell(whole(told)) == first;
+    std::vector<InstanceRecord> records = all;
+    for (std::size_t n = 0; n < 10; ++n) records.push_back(all[chance() % all.size()]);
+    for (std::size_t n = records.size(); n > 1; --n)
+      std::swap(records[n - 1], records[chance() % n]);
+    same += describe(reconcileAll(records)) == first;
   }
   std::printf("any order, any repetition: %s\n", same == rounds ? "the same" : "not the same");
-  // What is missing is written, and nothing is missing after that, however often; also where a
-  // subset came first.
+  // Writes the missing corrections; afterwards none is missing, however often this is repeated,
+  // also if only a subset of the records was reconciled first.
   same = 0;
   for (int k = 0; k < rounds; ++k) {
-    std::vector<Told> told = all;
-    std::vector<Told> part;
-    for (const Told& one : all)
-      if (chance() % 2) part.push_back(one);
+    std::vector<InstanceRecord> records = all;
+    std::vector<InstanceRecord> subset;
+    for (const InstanceRecord& one : all)
+      if (chance() % 2) subset.push_back(one);
     auto write = [&](const Reconciliation& rec) {
       for (const auto& m : rec.missingCorrections()) {
         wire::Record r;
         std::uint64_t newest = 0;
-        for (const Told& one : told)
+        for (const InstanceRecord& one : records)
           if (one.birth == m.birth) newest = std::max<std::uint64_t>(newest, one.r.seq());
         r.set_seq(newest + 1), r.set_at_us(at(100).us), r.set_period_s(m.period.beginsS);
         *r.mutable_correction() = m.correction;
-        told.push_back({m.birth, "front-" + m.birth, r});
+        records.push_back({m.birth, "front-" + m.birth, r});
       }
     };
-    write(whole(part));
-    write(whole(told)), write(whole(told));
-    Reconciliation rec = whole(told);
+    write(reconcileAll(subset));
+    write(reconcileAll(records)), write(reconcileAll(records));
+    Reconciliation rec = reconcileAll(records);
     same += rec.missingCorrections().empty() && rec.totals(false).of({0}, "coop").statements == 7 &&
             rec.totals(false).of({0}, "office").statements == 1;
   }
   std::printf("a subset first, written twice: %s\n",
               same == rounds ? "the same totals, none twice" : "not the same");
-  std::vector<Told> bad = all;
+  std::vector<InstanceRecord> bad = all;
   bad.erase(bad.begin() + 2);
   bad.push_back(bad.front());
   bad.back().instance = "front-x";
@@ -645,29 +655,34 @@
   bad.back().r.set_at_us(at(5).us);
   bad.push_back(bad.back());
   bad.back().r.set_seq(1), bad.back().r.set_at_us(at(50).us);
-  std::printf("%s\n", tell(whole(bad)).c_str());
+  std::printf("%s\n", describe(reconcileAll(bad)).c_str());
 }
 
-constexpr Case kCases[] = {
-    {"ledgerPeriods", periods},        {"ledgerMarks", marks}, {"ledgerExports", exports},
-    {"ledgerDamage", damage},          {"ledgerRing", ring},   {"ledgerCrashes", crashes},
-    {"ledgerCorrect", corrections},    {"ledgerDisk", disk},   {"ledgerReconciles", reconciles},
-    {"ledgerCrashesMany", crashesMany}};
+constexpr Case kCases[] = {{"ledgerPeriods", periods},
+                           {"ledgerMarks", billedKeys},
+                           {"ledgerExports", exports},
+                           {"ledgerDamage", damage},
+                           {"ledgerRing", ring},
+                           {"ledgerCrashes", crashes},
+                           {"ledgerCorrect", corrections},
+                           {"ledgerDisk", disk},
+                           {"ledgerReconciles", reconciles},
+                           {"ledgerCrashesMany", crashesMany}};
 
 }  // namespace
 
-// A small ledger on the disk, for what is tried by hand: make FOLDER KEYFILE.
+// Creates a small ledger on the disk, for ctl.sh and manual tests: make FOLDER KEYFILE.
 int make(const char* folder, const char* keyFile) {
   std::ifstream file(keyFile);
   std::string key;
   std::getline(file, key);
-  std::unique_ptr<Files> files = filesIn(folder);
+  std::unique_ptr<Files> files = openFolder(folder);
   LedgerWriter::Options s;
   s.instance = "f1", s.birth = "b1", s.log.key = key, s.periodLength = PeriodLength::day;
   TimePoint now = at(1'796'083'200);
-  LedgerWriter keeper(*files, s);
-  keeper.open(now);
-  auto memory = std::make_unique<Memory>();
+  LedgerWriter writer(*files, s);
+  writer.open(now);
+  auto memory = std::make_unique<RingMemory>();
   EntryRing ring(memory->bytes, 1);
   for (int k = 0; k < 4; ++k) {
     AnsweredStatement a;
@@ -677,8 +692,8 @@
     a.period = periodAt(PeriodLength::day, now);
     ring.put(encodeEntry(a));
   }
-  keeper.drain(ring, 0, now);
-  keeper.sync();
+  writer.drain(ring, 0, now);
+  writer.sync();
   return 0;
 }
 
--- a/tests/support/sim_files.h
+++ b/tests/support/sim_files.h
@@ -41,7 +41,7 @@
     }
     f.data += bytes;
   }
-  void cut(const std::string& name, std::size_t size) override {
+  void truncate(const std::string& name, std::size_t size) override {
     if (step()) throw Killed{};
     File& f = files_[name];
     f.data.resize(size);
