--- a/src/protocols/cassandra/client_codec.cpp
+++ b/src/protocols/cassandra/client_codec.cpp
@@ -9,7 +9,8 @@
 namespace reedchute::protocols::cassandra {
 namespace {
 
-constexpr std::size_t kSegmentOverheadBytes = 16;  // room for header and checksums
+// Upper bound for the size of a segment's header and checksums.
+constexpr std::size_t kSegmentOverheadBytes = 16;
 
 void addListener(std::vector<Session*>& listeners, Session& session) {
   bool isKnown = std::find(listeners.begin(), listeners.end(), &session) != listeners.end();
@@ -23,7 +24,8 @@
 }
 
 std::size_t ClientProtocol::maxMessageBytes() const {
-  return std::max(config_.mostBody + cql::kHeader, cql::kMostSegment + kSegmentOverheadBytes);
+  return std::max(config_.maxMessageBytes + cql::kHeader,
+                  cql::kMostSegment + kSegmentOverheadBytes);
 }
 
 void ClientProtocol::announceDraining() {
--- a/src/protocols/cassandra/client_codec.h
+++ b/src/protocols/cassandra/client_codec.h
@@ -1,4 +1,5 @@
-// The Cassandra protocol towards the clients: many streams on a connection, answered in any order.
+// The client side of the Cassandra native protocol: state shared by all client connections. Each
+// connection is a Session, which multiplexes streams and may respond to them in any order.
 #pragma once
 
 #include <memory>
@@ -16,17 +17,20 @@
 
 class Session;
 
-// What sessions need to know about the stores.
+// Store properties that sessions need.
 class Fleet {
  public:
   virtual ~Fleet() = default;
+  // The id of the store with this index, as in the endpoint list.
   virtual const std::string& storeId(int store) const = 0;
 };
 
-// What all sessions of the protocol share. It must outlive them.
+// State shared by all sessions of the protocol. Must outlive them, as must the references passed to
+// the constructor.
 class ClientProtocol : public client::ClientProtocol {
  public:
-  // `version4`, `version5`: the rows of the stores' table for these protocol versions.
+  // `version4`, `version5`: the entries of the connection pools' version table for versions 4 and 5
+  // of the native protocol.
   ClientProtocol(runtime::Scheduler& scheduler, request::StatementHandler& handler,
                  const Fleet& fleet, const Config& config, StatementDecoder decoder,
                  PreparedTexts& texts, request::ProtocolVersion version4,
@@ -43,13 +47,14 @@
   std::unique_ptr<client::ClientCodec> newCodec(client::ClientChannel& channel) override;
   std::size_t maxMessageBytes() const override;
 
-  // Tells the sessions that registered for STATUS_CHANGE that this proxy goes down.
+  // Sends STATUS_CHANGE DOWN for this proxy to the sessions that registered for STATUS_CHANGE.
   void announceDraining();
-  // Tells the sessions that registered for SCHEMA_CHANGE of a change made through this proxy.
-  // `event` is the body of EVENT.
+  // Sends an EVENT to the sessions that registered for SCHEMA_CHANGE, after a schema change that
+  // was made through this proxy. `event` is the body of the EVENT.
   void announceSchemaChange(std::string_view event);
 
-  // For sessions; registering twice has no further effect.
+  // Called by sessions. Registering a session twice has no further effect. unregister() removes all
+  // of its registrations.
   void registerForStatus(Session& session);
   void registerForSchema(Session& session);
   void unregister(Session& session);
@@ -60,8 +65,10 @@
   const Config& config() const { return config_; }
   const StatementDecoder& decoder() const { return decoder_; }
   PreparedTexts& texts() const { return texts_; }
-  // The row of the stores' table for a protocol version, 4 or 5.
-  request::ProtocolVersion rowOf(int version) const { return version == 5 ? version5_ : version4_; }
+  // The entry of the connection pools' version table for a native protocol version, 4 or 5.
+  request::ProtocolVersion protocolVersion(int version) const {
+    return version == 5 ? version5_ : version4_;
+  }
 
  private:
   runtime::Scheduler& scheduler_;
--- a/src/protocols/cassandra/client_credentials.cpp
+++ b/src/protocols/cassandra/client_credentials.cpp
@@ -9,7 +9,7 @@
 ClientCredentials readCredentials(std::string_view authResponseBody) {
   cql::Cursor cursor(authResponseBody);
   std::string_view token = cursor.bytes().value_or(std::string_view{});
-  // SASL PLAIN: an identity to act for, the user and the password, separated by zero bytes.
+  // SASL PLAIN: authorization identity, user name and password, separated by zero bytes.
   std::size_t first = token.find('\0');
   if (first == std::string_view::npos) return {};
   std::size_t second = token.find('\0', first + 1);
--- a/src/protocols/cassandra/client_credentials.h
+++ b/src/protocols/cassandra/client_credentials.h
@@ -1,21 +1,21 @@
-// The user and password that a client gives in AUTH_RESPONSE. No I/O.
+// Parses and compares the user name and password of an AUTH_RESPONSE. No I/O.
 #pragma once
 
 #include <string_view>
 
 namespace reedchute::protocols::cassandra {
 
-// Views into the body of AUTH_RESPONSE; both are empty where it isn't well formed.
+// Views into the body of the AUTH_RESPONSE; empty if the body is malformed.
 struct ClientCredentials {
   bool isWellFormed = false;
   std::string_view user, password;
 };
 
-// Reads a body that holds one SASL PLAIN token.
+// Parses an AUTH_RESPONSE body, which contains one SASL PLAIN token (RFC 4616).
 ClientCredentials readCredentials(std::string_view authResponseBody);
 
-// Compares what a client gave with what is expected, in a time that doesn't depend on where they
-// differ.
+// Compares the secret that a client sent with the expected one. The time doesn't depend on the
+// position of the first difference.
 bool isSameSecret(std::string_view given, std::string_view expected);
 
 }  // namespace reedchute::protocols::cassandra
--- a/src/protocols/cassandra/client_responses.cpp
+++ b/src/protocols/cassandra/client_responses.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr std::int64_t kMicrosecondsPerMillisecond = 1000;
-constexpr std::uint8_t kUnloggedBatch = 1;  // a BATCH's type
+constexpr std::uint8_t kUnloggedBatch = 1;  // type field of a BATCH
 
 const char* writeTypeOf(const Pending& pending) {
   switch (pending.kind) {
@@ -43,19 +43,20 @@
     std::string milliseconds = std::to_string(retryAfter.us / kMicrosecondsPerMillisecond);
     cql::addBytesMap(body, {{"retry_after_ms", milliseconds}});
   }
-  body += cql::errorBody(cql::kOverloaded, "rejected: trying again does no harm");
+  body += cql::errorBody(cql::kOverloaded,
+                         "rejected: the statement was not executed; it is safe to retry");
   return body;
 }
 
 std::string abortBody(const Pending& pending, int version) {
   bool isRead = pending.kind == cql::Kind::read || pending.preparing;
   std::int32_t code = isRead ? cql::kReadTimeout : cql::kWriteTimeout;
-  std::string body = cql::errorBody(code, "aborted: it may have run");
+  std::string body = cql::errorBody(code, "aborted: the statement may have been executed");
   cql::addShort(body, pending.consistency);
   cql::addInt(body, 0);  // replicas that responded
   cql::addInt(body, 1);  // replicas that were required
   if (isRead) {
-    cql::addByte(body, 0);  // no data came
+    cql::addByte(body, 0);  // data_present: the replica asked for data did not respond
     return body;
   }
   cql::addString(body, writeTypeOf(pending));
--- a/src/protocols/cassandra/client_responses.h
+++ b/src/protocols/cassandra/client_responses.h
@@ -1,4 +1,4 @@
-// The bodies of the responses that the proxy words itself. No I/O.
+// Encodes the bodies of responses that the proxy itself generates. No I/O.
 #pragma once
 
 #include <string>
@@ -8,18 +8,21 @@
 
 namespace reedchute::protocols::cassandra {
 
-// SUPPORTED, in answer to OPTIONS.
+// The body of SUPPORTED, the response to OPTIONS.
 std::string supportedBody(bool isVersion5Offered);
 
-// The text of the error for a client that begins with a version the proxy doesn't speak.
+// The error text for a client whose first frame has an unsupported protocol version. Lists the
+// supported versions.
 std::string unsupportedVersionText(int version, bool isVersion5Offered);
 
-// ERROR for a statement of which nothing has run. It begins with a custom payload where
-// `retryAfter` is above zero.
+// The body of ERROR (Overloaded) for a statement that was not executed. If `retryAfter` is above
+// zero, the body starts with a custom payload that contains `retry_after_ms`, and the frame needs
+// the payload flag.
 std::string rejectionBody(Duration retryAfter);
 
-// ERROR for a statement that may have run. It is never Overloaded or Unavailable, which tell a
-// client that a retry is harmless; a write time-out of any type promises nothing.
+// The body of ERROR (Read_timeout or Write_timeout) for a statement that may have been executed.
+// Never Overloaded or Unavailable, after which clients assume that a retry is safe; a write timeout
+// of any write type makes no such promise. `version` is the connection's protocol version.
 std::string abortBody(const Pending& pending, int version);
 
 }  // namespace reedchute::protocols::cassandra
--- a/src/protocols/cassandra/client_session.cpp
+++ b/src/protocols/cassandra/client_session.cpp
@@ -17,14 +17,14 @@
 namespace {
 
 constexpr const char* kAuthenticator = "org.apache.cassandra.auth.PasswordAuthenticator";
-constexpr const char* kCompression = "lz4";  // the only one offered
-constexpr int kNoStream = 0;                 // of an error that belongs to no request
+constexpr const char* kCompression = "lz4";  // the only supported algorithm
+constexpr int kNoStream = 0;                 // of an error that isn't the response to a request
 constexpr int kEventStream = -1;
-constexpr std::int32_t kNullLength = -1;  // of a [bytes] that is null
-constexpr int kLowestWithLongHeader = 3;  // from this version on a stream has two bytes
-constexpr int kFirstWithSegments = 5;
-constexpr int kVersionMask = 0x7f;  // of a frame's first byte; the highest bit marks responses
-constexpr int kOpcodeMask = 0xff;   // of Response::frameHeader; the flags stand above it
+constexpr std::int32_t kNullLength = -1;        // length of a null [bytes]
+constexpr int kFirstVersionWithLongHeader = 3;  // version 3 introduced stream ids of two bytes
+constexpr int kFirstVersionWithSegments = 5;
+constexpr int kVersionMask = 0x7f;  // of a frame's first byte; the highest bit is set in responses
+constexpr int kOpcodeMask = 0xff;   // of Response::frameHeader; the flags are in the byte above
 constexpr int kFlagsShift = 8;      // bits
 
 }  // namespace
@@ -33,7 +33,7 @@
     : protocol_(protocol),
       channel_(channel),
       rewriter_(protocol),
-      framing_(protocol.config().mostBody) {}
+      framing_(protocol.config().maxMessageBytes) {}
 
 Session::~Session() {
   protocol_.unregister(*this);
@@ -45,7 +45,7 @@
   Frame frame;
   Framed result = framing_.next(bytes, used, frame);
   isLastReceived_ = used == bytes.size();
-  // Where no bytes are used, the frame stood in a segment that arrived before.
+  // If no bytes were consumed, the frame was contained in a segment that arrived earlier.
   if (used > 0) arrivedAt_ = arrivals.arrivalOf(used);
   if (result == Framed::partial) return false;
   if (result == Framed::bad) {
@@ -61,12 +61,12 @@
   if (bytes.empty()) return true;
   int version = bytes[0] & kVersionMask;
   if (version >= cql::kLowest && version <= highestVersion()) return true;
-  bool hasLongHeader = version >= kLowestWithLongHeader;
-  // The stream hasn't arrived yet.
+  bool hasLongHeader = version >= kFirstVersionWithLongHeader;
+  // The stream id, which the error needs, may not have arrived yet.
   if (bytes.size() < cql::kHeader && hasLongHeader) return true;
   Frame frame;
   cql::frame(bytes, SIZE_MAX, frame);
-  // The error is sent in the highest version, with which a driver then connects again.
+  // The error is sent in the highest supported version, with which the driver then reconnects.
   version_ = highestVersion();
   log::line("client_version", "version=%d", version);
   sendErrorAndClose(hasLongHeader ? frame.stream : kNoStream, cql::kProtocolError,
@@ -80,15 +80,15 @@
   };
   if (frame.answer || !cql::askable(frame.opcode)) {
     log::line("client_protocol_error", "what=opcode");
-    return reject("no request that is known");
+    return reject("the opcode isn't a known request");
   }
   if (state_ != State::awaitingStartup && frame.version != version_)
-    return reject("another version than the connection began with");
-  if (frame.stream < 0) return reject("a negative stream");
+    return reject("the protocol version differs from that of the connection's first frame");
+  if (frame.stream < 0) return reject("the stream id is negative");
   if (pending_.contains(frame.stream)) {
-    // A response on this stream could be taken for either statement's.
+    // The client couldn't tell which of the two statements a response on this stream belongs to.
     log::line("client_protocol_error", "what=stream");
-    return reject("a stream that is still open");
+    return reject("the stream id is used by a pending request");
   }
   handle(frame);
 }
@@ -106,19 +106,22 @@
       break;
   }
   if (state_ != State::ready)
-    return sendErrorAndClose(frame.stream, cql::kProtocolError, "STARTUP comes first");
+    return sendErrorAndClose(frame.stream, cql::kProtocolError,
+                             "the request requires a completed startup");
   if (frame.opcode == Opcode::reg) return handleRegister(frame);
   handleStatement(frame);
 }
 
 void Session::handleStartup(const Frame& frame) {
   cql::Start options;
-  if (state_ != State::awaitingStartup) return sendProtocolError(frame.stream, "a second STARTUP");
+  if (state_ != State::awaitingStartup)
+    return sendProtocolError(frame.stream, "STARTUP was already received");
   if (!cql::readStart(frame.body, options))
-    return sendErrorAndClose(frame.stream, cql::kProtocolError, "a STARTUP that can't be read");
+    return sendErrorAndClose(frame.stream, cql::kProtocolError, "malformed STARTUP");
   bool isCompressed = !options.compression.empty();
   if (isCompressed && options.compression != kCompression)
-    return sendErrorAndClose(frame.stream, cql::kProtocolError, "a compression that isn't offered");
+    return sendErrorAndClose(frame.stream, cql::kProtocolError,
+                             "unsupported COMPRESSION in STARTUP; only lz4 is supported");
   bool needsPassword = !protocol_.config().user.empty();
   if (needsPassword) {
     std::string body;
@@ -129,22 +132,22 @@
     send(frame.stream, Opcode::ready, {});
     state_ = State::ready;
   }
-  // The response to STARTUP itself is bare, so compression and segments begin after it.
+  // The response to STARTUP is sent uncompressed and outside of a segment; compression and segments
+  // apply from the next frame on.
   if (isCompressed) framing_.compress();
-  if (version_ >= kFirstWithSegments) framing_.segments();
+  if (version_ >= kFirstVersionWithSegments) framing_.segments();
 }
 
 void Session::handleAuthResponse(const Frame& frame) {
   if (state_ != State::awaitingPassword)
-    return sendProtocolError(frame.stream, "nobody asked for a password");
+    return sendProtocolError(frame.stream, "unexpected AUTH_RESPONSE");
   ClientCredentials credentials = readCredentials(frame.body);
-  // Both are always compared, so that the time doesn't tell which one is wrong.
-  bool isUserRight = isSameSecret(credentials.user, protocol_.config().user);
-  bool isPasswordRight = isSameSecret(credentials.password, protocol_.config().password);
-  if (!credentials.isWellFormed || !isUserRight || !isPasswordRight) {
+  // Always compares both, so that the response time doesn't reveal which one is wrong.
+  bool isUserCorrect = isSameSecret(credentials.user, protocol_.config().user);
+  bool isPasswordCorrect = isSameSecret(credentials.password, protocol_.config().password);
+  if (!credentials.isWellFormed || !isUserCorrect || !isPasswordCorrect) {
     log::line("client_refused", "what=password");
-    return sendErrorAndClose(frame.stream, cql::kBadCredentials,
-                             "user or password are not those set up here");
+    return sendErrorAndClose(frame.stream, cql::kBadCredentials, "incorrect user name or password");
   }
   std::string body;
   cql::addInt(body, kNullLength);
@@ -155,7 +158,7 @@
 void Session::handleRegister(const Frame& frame) {
   std::vector<std::string_view> events;
   if (!cql::readRegister(frame.body, events))
-    return sendProtocolError(frame.stream, "a REGISTER that can't be read");
+    return sendProtocolError(frame.stream, "malformed REGISTER");
   bool wantsStatus = false;
   bool wantsSchema = false;
   for (std::string_view event : events) {
@@ -164,7 +167,10 @@
     else if (event == "SCHEMA_CHANGE")
       wantsSchema = true;
     else if (event != "TOPOLOGY_CHANGE")
-      return sendProtocolError(frame.stream, "an event that isn't known");
+      return sendProtocolError(
+          frame.stream,
+          "unknown event type in REGISTER; known are TOPOLOGY_CHANGE, STATUS_CHANGE and "
+          "SCHEMA_CHANGE");
   }
   if (wantsStatus) protocol_.registerForStatus(*this);
   if (wantsSchema) protocol_.registerForSchema(*this);
@@ -172,10 +178,11 @@
 }
 
 void Session::handleStatement(const Frame& frame) {
-  // A client that has sent its next request already would meet the end of the connection with it,
-  // so the connection closes only where this frame is the last one.
-  bool mayClose = isLastReceived_ && pending_.isEmpty();
-  if (mayClose && !protocol_.handler().acceptsReceivedAt(arrivedAt_))
+  // If the client has already sent its next request, closing the connection would lose that
+  // request. The connection is therefore closed only if this frame is the last one received and no
+  // response is pending.
+  bool canClose = isLastReceived_ && pending_.isEmpty();
+  if (canClose && !protocol_.handler().acceptsReceivedAt(arrivedAt_))
     return sendShuttingDownAndClose(frame.stream);
   DecodeResult decoded = protocol_.decoder().decode(frame, keyspace_, protocol_.scheduler().now(),
                                                     protocol_.scheduler().wallClock());
@@ -183,9 +190,9 @@
   if (!decoded.statement) return send(frame.stream, decoded.opcode, decoded.body);
   request::ReceivedStatement& statement = *decoded.statement;
   statement.receivedAt = arrivedAt_;
-  statement.version = protocol_.rowOf(version_);
-  decoded.pending.until = statement.receivedAt + statement.timeout;
-  // The handler may respond before it returns the statement's index, so the request is added first.
+  statement.version = protocol_.protocolVersion(version_);
+  decoded.pending.deadline = statement.receivedAt + statement.timeout;
+  // The handler may respond before admit() returns, so the request is added first.
   pending_.add(frame.stream, std::move(decoded.pending));
   int index = protocol_.handler().admit(std::move(statement), *this, frame.stream);
   pending_.setStatement(frame.stream, index);
@@ -194,22 +201,23 @@
 void Session::disconnect(client::DisconnectReason reason) {
   switch (reason) {
     case client::DisconnectReason::atCapacity:
-      return sendErrorAndClose(kNoStream, cql::kOverloaded, "too many clients");
+      return sendErrorAndClose(kNoStream, cql::kOverloaded, "too many client connections");
     case client::DisconnectReason::memoryLimit:
       return sendErrorAndClose(kNoStream, cql::kOverloaded,
-                               "no memory is left for so long a message");
+                               "not enough memory for a message of this length");
     case client::DisconnectReason::startupTimeout:
-      return sendErrorAndClose(kNoStream, cql::kProtocolError, "no STARTUP in time");
+      return sendErrorAndClose(kNoStream, cql::kProtocolError,
+                               "the startup was not completed in time");
     case client::DisconnectReason::messageTimeout:
       return sendErrorAndClose(kNoStream, cql::kProtocolError,
-                               "a message that was not finished in time");
+                               "the message was not completed in time");
     case client::DisconnectReason::draining:
       return sendShuttingDownAndClose(kNoStream);
   }
 }
 
 void Session::onClientClosed() {
-  // The statements end one by one, and none is answered any more.
+  // The handler ends the statements one by one. None of them gets a response.
   for (int statement : pending_.takeAllStatements()) protocol_.handler().onClientLeft(statement);
 }
 
@@ -259,7 +267,7 @@
 
 void Session::sendResponse(const Pending& pending, std::uint8_t flags, int stream, Opcode opcode,
                            std::string_view body) {
-  channel_.sendResponse(encodeFrame(flags, stream, opcode, body), pending.until);
+  channel_.sendResponse(encodeFrame(flags, stream, opcode, body), pending.deadline);
 }
 
 void Session::sendProtocolError(int stream, std::string_view text) {
@@ -272,7 +280,8 @@
 }
 
 void Session::sendShuttingDownAndClose(int stream) {
-  send(stream, Opcode::error, cql::errorBody(cql::kBootstrapping, "shutting down: ask another"));
+  send(stream, Opcode::error,
+       cql::errorBody(cql::kBootstrapping, "the proxy is shutting down; connect to another host"));
   channel_.closeForDrain();
 }
 
--- a/src/protocols/cassandra/client_session.h
+++ b/src/protocols/cassandra/client_session.h
@@ -1,6 +1,6 @@
-// One client connection of the Cassandra protocol: reads its frames, does the startup handshake,
-// hands statements to the handler and sends the responses. No I/O of its own: bytes go out through
-// the client channel.
+// One client connection of the Cassandra protocol: decodes frames, performs the startup handshake,
+// passes statements to the handler and encodes the responses. No I/O of its own: bytes are sent
+// through the client channel.
 #pragma once
 
 #include <cstdint>
@@ -31,24 +31,24 @@
   void disconnect(client::DisconnectReason reason) override;
   void onClientClosed() override;
 
-  // ResponseSink; a request's id is its stream.
+  // ResponseSink; the request id is the stream id.
   void onCompleted(int stream, request::Response response, int store,
                    std::optional<WallTime> position) override;
   void onRejected(int stream, Duration retryAfter) override;
   void onAborted(int stream) override;
   bool isClientGone() const override { return channel_.isClientGone(); }
 
-  // `event` is the body of EVENT.
+  // Sends an EVENT with the body `event`.
   void sendEvent(std::string_view event);
 
  private:
   enum class State { awaitingStartup, awaitingPassword, ready };
 
   int highestVersion() const { return protocol_.config().v5 ? 5 : 4; }
-  // Closes the connection and returns false where its first bytes are of a version that isn't
-  // offered.
+  // Checks the version in the first bytes of the connection. If it isn't supported, sends an error,
+  // closes the connection and returns false.
   bool acceptsVersionOf(std::string_view bytes);
-  // Handles the frame, or closes the connection where it breaks the protocol.
+  // Handles the frame, or closes the connection if the frame violates the protocol.
   void checkAndHandle(const cql::Frame& frame);
   void handle(const cql::Frame& frame);
   void handleStartup(const cql::Frame& frame);
@@ -58,11 +58,11 @@
 
   std::string encodeFrame(std::uint8_t flags, int stream, cql::Opcode opcode,
                           std::string_view body) const;
-  // Sends a frame that answers no statement.
+  // Sends a frame that isn't the response to a pending statement.
   void send(int stream, cql::Opcode opcode, std::string_view body);
   void sendResponse(const Pending& pending, std::uint8_t flags, int stream, cql::Opcode opcode,
                     std::string_view body);
-  // Sends an error after which the connection goes on.
+  // Sends a protocol error; the connection stays open.
   void sendProtocolError(int stream, std::string_view text);
   void sendErrorAndClose(int stream, std::int32_t code, std::string_view text);
   void sendShuttingDownAndClose(int stream);
@@ -74,8 +74,8 @@
   State state_ = State::awaitingStartup;
   int version_ = cql::kLowest;
   std::string keyspace_;
-  TimePoint arrivedAt_;          // when the bytes decoded last arrived
-  bool isLastReceived_ = false;  // no bytes have come after the frame decoded last
+  TimePoint arrivedAt_;          // when the last byte of the last decoded frame arrived
+  bool isLastReceived_ = false;  // no bytes were received after the last decoded frame
   PendingRequests pending_;
 };
 
--- a/src/protocols/cassandra/config.h
+++ b/src/protocols/cassandra/config.h
@@ -1,4 +1,4 @@
-// The settings of the Cassandra protocol, fixed from the start of the process on.
+// The settings of the Cassandra protocol. Read at process start and not reloaded.
 #pragma once
 
 #include <netinet/in.h>
@@ -13,8 +13,8 @@
 
 namespace reedchute::protocols::cassandra {
 
-// Gives statements of a table a workload and a group. A statement without a custom payload belongs
-// to the first mapping that it matches.
+// Assigns statements on a table to a workload and a replication group. The first matching mapping
+// applies; values in a statement's custom payload take precedence.
 struct Mapping {
   std::string keyspace, table;               // empty: any
   std::vector<reedchute::cql::Kind> kinds;   // none: any
@@ -25,7 +25,7 @@
   std::optional<Duration> timeout;  // none: Config::timeout
 };
 
-// Another proxy, as clients are shown it in the system tables.
+// Another proxy, as listed for clients in the system tables.
 struct Peer {
   sockaddr_in address{};
   std::string datacenter, rack;
@@ -35,19 +35,19 @@
   sockaddr_in listen{};
   std::string cluster = "reedchute", datacenter = "dc1", rack = "rack1";
   bool v5 = true;
-  std::string user, password;         // that clients must give; empty: none needed
-  std::size_t connections = 64;       // of clients, at most
-  std::size_t streams = 1024;         // outstanding requests on one connection, at most
-  std::size_t mostBody = 256 * 1024;  // bytes of one message, at most
-  std::size_t batchMost = 1000;       // statements in one batch, at most
-  Duration timeout;                   // of a statement that names none itself
-  bool storesDropMarks = false;       // whether stores drop a retry by its idempotency key
+  std::string user, password;    // required from clients; empty: no authentication
+  std::size_t connections = 64;  // maximum number of client connections
+  std::size_t streams = 1024;    // maximum number of outstanding requests on a connection
+  std::size_t maxMessageBytes = 256 * 1024;  // largest body of a client message, in bytes
+  std::size_t maxBatchStatements = 1000;     // maximum number of statements in a batch
+  Duration timeout;                          // of a statement without a timeout of its own
+  bool storesDeduplicateRetries = false;     // whether stores drop retries by their idempotency key
   // Connections to the stores.
-  std::uint16_t storePort = 9042;  // where the endpoint list has no own one
+  std::uint16_t storePort = 9042;  // for stores without a Cassandra address in the endpoint list
   std::string storeUser, storePassword;
-  std::size_t storeStreams = 128;  // outstanding requests on one connection, at most
-  bool storeCompression = false;
-  bool probes = false;  // probes use this protocol instead of PostgreSQL's
+  std::size_t storeStreams = 128;  // maximum number of outstanding requests on a connection
+  bool storeCompression = false;   // lz4
+  bool probes = false;             // probes use this protocol instead of PostgreSQL's
   std::vector<Peer> peers;
   std::vector<Mapping> mappings;
 };
--- a/src/protocols/cassandra/payload_fields.cpp
+++ b/src/protocols/cassandra/payload_fields.cpp
@@ -8,15 +8,15 @@
 
 namespace {
 
-constexpr std::int64_t kMaxTimeoutMs = 86'400'000;
-// Unix time: far ahead, and far from what microseconds can hold.
+constexpr std::int64_t kMaxTimeoutMs = 86'400'000;  // one day
+// Unix time, in the year 5138. Far below the value at which a conversion to microseconds overflows.
 constexpr std::int64_t kMaxPositionMs = 100'000'000'000'000;
 
 using Error = std::optional<std::string_view>;
 
 Error readNumber(std::string_view value, std::optional<std::int64_t>& number) {
   number = parseNumber<std::int64_t>(value);
-  if (!number) return "a field of the payload can't be read";
+  if (!number) return "the payload fields cluster, after and d must be integers";
   return std::nullopt;
 }
 
@@ -40,7 +40,7 @@
   return std::nullopt;
 }
 
-// A session's key: its hex digits as a number, or a hash of whatever else it is.
+// A session key is a hexadecimal number; any other string is hashed.
 Error readSession(std::string_view value, const Names&, PayloadFields& fields) {
   std::optional<std::uint64_t> digits = parseNumber<std::uint64_t>(value, 16);
   fields.session = digits ? *digits : hashOf(value);
@@ -68,18 +68,18 @@
 }
 
 struct FieldReader {
-  std::string_view name;  // as the platform has it
+  std::string_view name;  // the platform's name
   Error (*read)(std::string_view value, const Names& names, PayloadFields& fields);
 };
 
-// The same names as in the comment of a PostgreSQL statement.
+// The names are the same as in the comment of a PostgreSQL statement.
 constexpr FieldReader kFieldReaders[] = {
     {"id", readId},         {"c", readWorkload},      {"k", readIdempotencyKey},
     {"r", readIsRetry},     {"session", readSession}, {"tenant", readTenant},
     {"cluster", readGroup}, {"after", readAfter},     {"d", readTimeout},
 };
 
-// Fields of other names are the client's own and are passed over.
+// Unknown fields are for the client's own use and are ignored.
 Error readField(std::string_view name, std::string_view value, const Names& names,
                 PayloadFields& fields) {
   for (const FieldReader& reader : kFieldReaders)
@@ -87,8 +87,8 @@
   return std::nullopt;
 }
 
-bool isWithin(const std::optional<std::int64_t>& number, std::int64_t most) {
-  return !number || (*number >= 0 && *number <= most);
+bool isWithin(const std::optional<std::int64_t>& number, std::int64_t max) {
+  return !number || (*number >= 0 && *number <= max);
 }
 
 }  // namespace
@@ -97,8 +97,10 @@
                                                   const Names& names, PayloadFields& fields) {
   for (const auto& [name, value] : payload)
     if (Error error = readField(name, value, names, fields)) return error;
-  if (!isWithin(fields.timeoutMs, kMaxTimeoutMs)) return "a wait that makes no sense";
-  if (!isWithin(fields.afterMs, kMaxPositionMs)) return "a position that makes no sense";
+  if (!isWithin(fields.timeoutMs, kMaxTimeoutMs))
+    return "the timeout (payload field d) must be 0 to 86400000 ms";
+  if (!isWithin(fields.afterMs, kMaxPositionMs))
+    return "the time of the last write (payload field after) must be 0 to 100000000000000 ms";
   return std::nullopt;
 }
 
--- a/src/protocols/cassandra/settings.cpp
+++ b/src/protocols/cassandra/settings.cpp
@@ -11,11 +11,11 @@
 namespace cql = reedchute::cql;
 using config::Section;
 
-constexpr std::int64_t kMaxTimeoutMs = 86'400'000;
+constexpr std::int64_t kMaxTimeoutMs = 86'400'000;  // one day
 constexpr std::int64_t kDefaultTimeoutMs = 5000;
 constexpr std::int64_t kMaxConnections = 65'536;
 constexpr std::int64_t kDefaultConnections = 64;
-constexpr std::int64_t kMaxStreams = 32'768;  // as many as the protocol has numbers for
+constexpr std::int64_t kMaxStreams = 32'768;  // stream ids 0 to 32767 of the protocol
 constexpr std::int64_t kDefaultStreams = 1024;
 constexpr std::int64_t kDefaultStoreStreams = 128;
 constexpr std::int64_t kMinMessageKb = 16;
@@ -29,6 +29,7 @@
 constexpr int kVersion4 = 4;
 constexpr int kVersion5 = 5;
 
+// Whether port 0 (any free port) is accepted.
 enum class PortZero { allowed, refused };
 
 sockaddr_in parseAddress(Section& section, std::string_view name, PortZero portZero) {
@@ -37,9 +38,9 @@
   return *address;
 }
 
-std::size_t parseSize(Section& section, std::string_view name, std::int64_t most,
-                      std::int64_t otherwise) {
-  return static_cast<std::size_t>(section.number(name, 1, most, otherwise));
+std::size_t parseSize(Section& section, std::string_view name, std::int64_t max,
+                      std::int64_t defaultValue) {
+  return static_cast<std::size_t>(section.number(name, 1, max, defaultValue));
 }
 
 Duration milliseconds(std::int64_t count) {
@@ -87,7 +88,7 @@
   return peer;
 }
 
-// Is version 5 spoken? Version 4 always is.
+// Returns whether version 5 is supported. Version 4 is mandatory. Without `versions`, both are.
 bool parseVersions(Section& section) {
   std::vector<std::int64_t> versions = section.numbers("versions");
   auto includes = [&](int version) {
@@ -120,9 +121,9 @@
   config.streams = parseSize(section, "streams", kMaxStreams, kDefaultStreams);
   std::int64_t messageKb = section.number("message_kb", kMinMessageKb, kMaxMessageKb,
                                           kDefaultMessageKb);
-  config.mostBody = static_cast<std::size_t>(messageKb * kBytesPerKb);
-  config.batchMost = parseSize(section, "batch_statements", kMaxBatchStatements,
-                               kDefaultBatchStatements);
+  config.maxMessageBytes = static_cast<std::size_t>(messageKb * kBytesPerKb);
+  config.maxBatchStatements = parseSize(section, "batch_statements", kMaxBatchStatements,
+                                        kDefaultBatchStatements);
   config.timeout = milliseconds(section.number("timeout_ms", 1, kMaxTimeoutMs, kDefaultTimeoutMs));
 }
 
@@ -147,7 +148,7 @@
   config.v5 = parseVersions(section);
   parseCredentials(section, config);
   parseLimits(section, config);
-  config.storesDropMarks = section.boolean("stores_drop_marks", false);
+  config.storesDeduplicateRetries = section.boolean("stores_drop_marks", false);
   config.probes = section.boolean("probes", false);
   for (Section& store : section.blocks("store")) parseStore(std::move(store), config);
   for (Section& peer : section.blocks("peer"))
--- a/src/protocols/cassandra/settings.h
+++ b/src/protocols/cassandra/settings.h
@@ -1,4 +1,4 @@
-// Reads the block `cassandra` of the settings file.
+// Parses the block `cassandra` of the settings file.
 #pragma once
 
 #include "config/hcl_settings.h"
@@ -6,8 +6,7 @@
 
 namespace reedchute::protocols::cassandra {
 
-// Throws InvalidInput, with file, line and key, where something is missing, unknown or makes no
-// sense.
+// Throws InvalidInput, with file, line and key, if a value is missing, unknown or invalid.
 Config parseConfig(config::Section section);
 
 }  // namespace reedchute::protocols::cassandra
--- a/src/protocols/cassandra/statement_decoder.cpp
+++ b/src/protocols/cassandra/statement_decoder.cpp
@@ -14,21 +14,22 @@
 
 namespace {
 
-constexpr std::size_t kLongLengthBytes = 4;   // before a text or a value
-constexpr std::size_t kShortLengthBytes = 2;  // before a prepared id
-constexpr std::size_t kPatchReserveBytes = 64;
-constexpr std::uint8_t kCounterBatch = 2;
+constexpr std::size_t kLongLengthBytes = 4;     // of a [long string] or [bytes]
+constexpr std::size_t kShortLengthBytes = 2;    // of [short bytes], such as a prepared id
+constexpr std::size_t kPatchReserveBytes = 64;  // reserved for growth by patches
+constexpr std::uint8_t kCounterBatch = 2;       // type field of a BATCH
 
 std::size_t offsetIn(const Frame& frame, std::string_view part) {
   return static_cast<std::size_t>(part.data() - frame.body.data());
 }
 
+// The index of `text` in `requiredTexts`, or their number if it isn't among them.
 std::size_t indexOfText(const Statement& statement, const PreparedRef& text) {
   const std::vector<PreparedRef>& texts = statement.requiredTexts;
   return static_cast<std::size_t>(std::find(texts.begin(), texts.end(), text) - texts.begin());
 }
 
-// Why a text can't be read; empty where it can.
+// The error text for a statement text that can't be parsed; empty for one that can.
 std::string_view errorOf(cql::TextState state) {
   switch (state) {
     case cql::TextState::good:
@@ -36,14 +37,14 @@
     case cql::TextState::empty:
       return "an empty statement";
     case cql::TextState::several:
-      return "several statements in one";
+      return "several statements in one text";
     case cql::TextState::unclosed:
-      return "a literal, comment, bracket or batch without its end";
+      return "an unterminated literal, comment, bracket or batch";
   }
   return "";
 }
 
-bool mayStandInBatch(cql::Kind kind) {
+bool isAllowedInBatch(cql::Kind kind) {
   return kind == cql::Kind::write || kind == cql::Kind::conditional || kind == cql::Kind::counter;
 }
 
@@ -72,109 +73,111 @@
   return body.append(statement.body, copied);
 }
 
-// What is gathered of one frame.
+// The intermediate results of decoding one frame.
 struct StatementDecoder::DecodeState {
   const Frame& frame;
   const std::string& sessionKeyspace;
   TimePoint now;
   const runtime::WallClock& wall;
   cql::Asked asked = {};
-  cql::TextRead text = {};        // of a batch: its first statement
-  std::string bareKeyspace = {};  // the keyspace of names without one
+  cql::TextRead text = {};           // of a batch: its first statement
+  std::string defaultKeyspace = {};  // for unqualified table names
   StatementDescription description = {};
   PayloadFields fields = {};
   std::unique_ptr<Statement> statement = std::make_unique<Statement>();
   request::ReceivedStatement received = {};
-  bool isAnswered = false;
+  bool hasResponse = false;
   DecodeResult result = {};
 
   void refuse(std::int32_t code, std::string_view what) {
     log::line("bad_statement", "code=%04x what=\"%.*s\"", static_cast<unsigned>(code),
               static_cast<int>(what.size()), what.data());
-    answer(Opcode::error, cql::errorBody(code, what));
+    respond(Opcode::error, cql::errorBody(code, what));
   }
 
   void refuseUnprepared(std::string_view id) {
     std::string body = cql::errorBody(cql::kUnprepared,
-                                      "an id that isn't known here: prepare it again");
+                                      "unknown prepared statement id; prepare the statement again");
     cql::addShortBytes(body, id);
-    answer(Opcode::error, std::move(body));
+    respond(Opcode::error, std::move(body));
   }
 
-  void answer(Opcode opcode, std::string body) {
-    isAnswered = true;
+  void respond(Opcode opcode, std::string body) {
+    hasResponse = true;
     result.opcode = opcode;
     result.body = std::move(body);
   }
 };
 
-// The bytes of `text` stand at `offset` in the frame's body, their length before them.
+// `offset` is the position of `text` in the frame's body, after its length field.
 void StatementDecoder::decodeText(DecodeState& state, std::string_view text,
                                   std::size_t offset) const {
   if (text.find('\0') != std::string_view::npos)
-    return state.refuse(cql::kSyntaxError, "a zero byte in the statement");
+    return state.refuse(cql::kSyntaxError, "the statement contains a zero byte");
   cql::TextRead read;
   std::string_view error = errorOf(cql::readText(text, read));
   if (!error.empty()) return state.refuse(cql::kSyntaxError, error);
   std::string_view named = state.asked.parameters.keyspace;
-  state.bareKeyspace = named.empty() ? state.sessionKeyspace : std::string(named);
+  state.defaultKeyspace = named.empty() ? state.sessionKeyspace : std::string(named);
   if (!read.bare.empty() && read.kind != cql::Kind::use) {
     qualifyNames(state, text, offset, read);
-    if (state.isAnswered) return;
+    if (state.hasResponse) return;
   }
   state.text = std::move(read);
 }
 
+// Adds the default keyspace to the unqualified table names in the body and in `read`.
 void StatementDecoder::qualifyNames(DecodeState& state, std::string_view text, std::size_t offset,
                                     cql::TextRead& read) const {
-  if (state.bareKeyspace.empty())
-    return state.refuse(cql::kInvalid, "no keyspace is named, neither here nor by USE");
-  // A connection to a store is shared by clients who are in different keyspaces, so names without
-  // a keyspace are given the session's.
+  if (state.defaultKeyspace.empty())
+    return state.refuse(cql::kInvalid, "no keyspace: qualify the table name or send USE first");
+  // Connections to stores are shared by clients with different keyspaces, so unqualified names are
+  // qualified with the session's keyspace. A keyspace in the query's parameters (version 5) is
+  // forwarded in them.
   if (state.asked.parameters.keyspace.empty()) {
     std::string bytes;
-    cql::addLongString(bytes, cql::qualified(text, read.bare, state.bareKeyspace));
+    cql::addLongString(bytes, cql::qualified(text, read.bare, state.defaultKeyspace));
     state.statement->patches.push_back({.offset = offset - kLongLengthBytes,
                                         .size = kLongLengthBytes + text.size(),
                                         .replacement = Statement::Replacement::bytes,
                                         .text = nullptr,
                                         .bytes = std::move(bytes)});
   }
-  if (read.keyspace.empty()) read.keyspace = state.bareKeyspace;
+  if (read.keyspace.empty()) read.keyspace = state.defaultKeyspace;
   read.systemTable = cql::systemKeyspace(read.keyspace);
-  if (cql::systemKeyspace(state.bareKeyspace)) read.someSystem = true;
+  if (cql::systemKeyspace(state.defaultKeyspace)) read.someSystem = true;
 }
 
 void StatementDecoder::decodeQuery(DecodeState& state) const {
   decodeText(state, state.asked.text, offsetIn(state.frame, state.asked.text));
-  if (state.isAnswered) return;
+  if (state.hasResponse) return;
   if (state.text.kind == cql::Kind::use) {
     if (!system_.knowsKeyspace(state.text.keyspace))
-      return state.refuse(cql::kInvalid, "a keyspace that is not set up here");
+      return state.refuse(cql::kInvalid, "unknown keyspace: no mapping contains it");
     state.result.useKeyspace = state.text.keyspace;
-    return state.answer(Opcode::result, cql::setKeyspaceBody(state.text.keyspace));
+    return state.respond(Opcode::result, cql::setKeyspaceBody(state.text.keyspace));
   }
   if (!state.text.systemTable) return;
   std::string_view error;
-  std::optional<std::string> body = system_.answer(state.text, state.asked.text, error);
+  std::optional<std::string> body = system_.resultBody(state.text, state.asked.text, error);
   if (!body) return state.refuse(cql::kInvalid, error);
-  state.answer(Opcode::result, std::move(*body));
+  state.respond(Opcode::result, std::move(*body));
 }
 
 void StatementDecoder::decodePrepare(DecodeState& state) const {
   decodeText(state, state.asked.text, offsetIn(state.frame, state.asked.text));
-  if (state.isAnswered) return;
+  if (state.hasResponse) return;
   if (state.text.kind == cql::Kind::use)
-    return state.refuse(cql::kInvalid, "USE can't be prepared");
+    return state.refuse(cql::kInvalid, "a USE statement can't be prepared");
   PreparedText prepared;
   prepared.read = state.text;
-  // With its names in full it is the same text in every version and for every client.
-  prepared.text = cql::qualified(state.asked.text, state.text.bare, state.bareKeyspace);
+  // With qualified names the text is the same for every protocol version and every client.
+  prepared.text = cql::qualified(state.asked.text, state.text.bare, state.defaultKeyspace);
   prepared.id = preparedId(prepared.text);
   state.statement->preparedId = prepared.id;
   if (PreparedRef known = texts_.find(prepared.id)) {
     const std::string& body = known->resultBodies[state.frame.version - cql::kLowest];
-    if (!body.empty()) return state.answer(Opcode::result, body);
+    if (!body.empty()) return state.respond(Opcode::result, body);
   }
   state.result.pending.preparing = std::move(prepared);
 }
@@ -183,7 +186,7 @@
   usePreparedText(state, state.asked.id, state.asked.idAt);
 }
 
-// `id` stands at `offset` in the frame's body, its length included.
+// `offset` is the position of the length field of `id` in the frame's body.
 void StatementDecoder::usePreparedText(DecodeState& state, std::string_view id,
                                        std::size_t offset) const {
   PreparedRef prepared = texts_.find(id);
@@ -204,22 +207,23 @@
     usePreparedText(state, part.text, part.at);
   else
     decodeText(state, part.text, part.at + kLongLengthBytes);
-  if (state.isAnswered) return;
-  if (!mayStandInBatch(state.text.kind))
+  if (state.hasResponse) return;
+  if (!isAllowedInBatch(state.text.kind))
     state.refuse(cql::kInvalid, "only INSERT, UPDATE and DELETE in a batch");
 }
 
-// A batch is described by its first statement, and by the first nature that isn't idempotent.
+// A batch is mapped by the table of its first statement. Its nature is the first one among its
+// statements that isn't idempotent.
 void StatementDecoder::decodeBatch(DecodeState& state) const {
   const std::vector<cql::Part>& parts = state.asked.parts;
-  if (parts.empty()) return state.refuse(cql::kInvalid, "a batch of nothing");
+  if (parts.empty()) return state.refuse(cql::kInvalid, "an empty batch");
   bool isCounter = state.asked.batchType == kCounterBatch;
   cql::Nature nature = isCounter ? cql::Nature::counter : cql::Nature::idempotent;
   bool hasSystemTable = false;
   cql::TextRead first;
   for (const cql::Part& part : parts) {
     decodeBatchPart(state, part);
-    if (state.isAnswered) return;
+    if (state.hasResponse) return;
     if (nature == cql::Nature::idempotent) nature = state.text.nature;
     if (state.text.someSystem) hasSystemTable = true;
     if (&part == &parts.front()) first = state.text;
@@ -246,19 +250,22 @@
   state.received.arrival.session = fields.session;
   state.received.arrival.repeated = fields.isRetry;
   state.description.workload = fields.workload;
-  state.description.mark = fields.idempotencyKey;
+  state.description.idempotencyKey = fields.idempotencyKey;
   state.description.group = fields.group;
-  // Of two open statements with the same id, the later would be taken for the earlier.
+  // A statement with the id of another open one would be mistaken for it.
   if (!state.received.id.empty() && openIds_.contains(state.received.id))
-    state.refuse(cql::kInvalid, "an id that is open already");
+    state.refuse(cql::kInvalid, "the id is used by another open statement");
 }
 
 void StatementDecoder::decodePaging(DecodeState& state) const {
   const cql::Parameters& parameters = state.asked.parameters;
   if (!parameters.pageState) return;
-  // A paging state of another proxy, or one that was altered, would change what the read means.
+  // A paging state that no proxy issued, or that was modified, could change the meaning of the
+  // read.
   std::optional<PagingState> paging = decodePagingState(*parameters.pageState);
-  if (!paging) return state.refuse(cql::kProtocolError, "a paging state that was not issued here");
+  if (!paging)
+    return state.refuse(cql::kProtocolError,
+                        "the paging state was not issued by the proxy or was modified");
   std::string bytes;
   cql::addBytes(bytes, paging->state);
   state.statement->patches.push_back({.offset = parameters.pageAt,
@@ -266,14 +273,13 @@
                                       .replacement = Statement::Replacement::bytes,
                                       .text = nullptr,
                                       .bytes = std::move(bytes)});
-  state.description.nextPage = true;
+  state.description.isLaterPage = true;
   state.description.pagePosition = paging->position;
 }
 
 void StatementDecoder::mapStatement(DecodeState& state) const {
   if (state.text.systemTable || state.text.someSystem)
-    return state.refuse(cql::kInvalid,
-                        "the stores' own tables can only be read here, by a plain query");
+    return state.refuse(cql::kInvalid, "system tables only support SELECT in a QUERY");
   StatementDescription& description = state.description;
   description.kind = state.text.kind;
   description.nature = state.text.nature;
@@ -294,9 +300,11 @@
   if (state.fields.timeoutMs) received.timeout = Duration{*state.fields.timeoutMs * 1000};
 }
 
-// The latest of the client's write and the position of the page before.
+// Sets the time since the client's last write or since the position at which the previous page was
+// read, whichever is later.
 void StatementDecoder::setSinceWrite(DecodeState& state) const {
-  // A commit's time is rounded up and may lie ahead of this clock; it is a write all the same.
+  // A commit time is rounded up and may be ahead of this clock, which makes the result negative; it
+  // still counts as a write.
   auto since = [&](WallTime position) { return state.now - state.wall.toSteady(position); };
   std::optional<Duration>& sinceWrite = state.received.arrival.sinceWrite;
   if (state.fields.afterMs) sinceWrite = since(WallTime{*state.fields.afterMs * 1000});
@@ -337,7 +345,7 @@
                                       TimePoint now, const runtime::WallClock& wall) const {
   DecodeState state{.frame = frame, .sessionKeyspace = keyspace, .now = now, .wall = wall};
   const char* error = "";
-  if (!cql::readAsked(frame, config_.batchMost, state.asked, error)) {
+  if (!cql::readAsked(frame, config_.maxBatchStatements, state.asked, error)) {
     state.refuse(cql::kProtocolError, error);
     return std::move(state.result);
   }
@@ -347,7 +355,7 @@
                              &StatementDecoder::setSinceWrite,  &StatementDecoder::finish};
   for (Step step : kSteps) {
     (this->*step)(state);
-    if (state.isAnswered) break;
+    if (state.hasResponse) break;
   }
   return std::move(state.result);
 }
--- a/src/protocols/cassandra/statement_decoder.h
+++ b/src/protocols/cassandra/statement_decoder.h
@@ -1,5 +1,5 @@
-// Decodes a QUERY, PREPARE, EXECUTE or BATCH of the Cassandra protocol: from a frame to a statement
-// for the pipeline, or to an answer that is ready at once, which may be an error. No I/O.
+// Decodes a QUERY, PREPARE, EXECUTE or BATCH frame of the Cassandra protocol into a statement for
+// the pipeline, or into an immediate response, which may be an error. No I/O.
 #pragma once
 
 #include <optional>
@@ -18,48 +18,55 @@
 
 namespace reedchute::protocols::cassandra {
 
-// A statement's body as it came, and the places where an attempt puts something else.
+// A statement's body as received, and the patches that are applied to it before it is sent to a
+// store.
 struct Statement : request::StatementPayload {
   enum class Replacement { timeLeft, preparedId, bytes };
+  // Replaces a range of `body`.
   struct Patch {
     std::size_t offset = 0;  // in `body`
-    std::size_t size = 0;    // bytes that are replaced, with the length before them
+    std::size_t size = 0;    // bytes that are replaced, including their length field
     Replacement replacement = Replacement::bytes;
-    PreparedRef text;   // of a `preparedId`: the text whose id at the store is put here
-    std::string bytes;  // of `bytes`: what is put here
+    PreparedRef text;   // for `preparedId`: the text whose id at the store is inserted
+    std::string bytes;  // for `bytes`: what is inserted, including a length field
   };
   std::size_t size() const override { return body.size(); }
 
   reedchute::cql::Opcode opcode = reedchute::cql::Opcode::query;
   std::uint8_t flags = 0;
   std::string body;
-  std::vector<Patch> patches;              // by ascending offset
-  std::string preparedId;                  // of a PREPARE: the id that clients will know it by
-  std::vector<PreparedRef> requiredTexts;  // that a store must have prepared first, each once
+  std::vector<Patch> patches;  // in ascending order of offset
+  std::string preparedId;      // of a PREPARE: the id that clients receive
+  // Texts that a store must have prepared before it receives the statement, without duplicates.
+  std::vector<PreparedRef> requiredTexts;
 };
 
-// The body for one store. `ids` holds the store's id of each of `requiredTexts`, in their order.
+// Returns the body to send to one store. `timeLeftMs` is the time until the statement's deadline in
+// milliseconds. `ids` contains the store's ids of `requiredTexts`, in the same order.
 std::string encodeBody(const Statement& statement, std::int64_t timeLeftMs,
                        const std::vector<std::string>& ids);
 
-// What a session must know of a statement until its answer.
+// State that a session keeps for a statement until its response is sent.
 struct Pending {
   reedchute::cql::Kind kind = reedchute::cql::Kind::other;
   std::uint8_t batchType = 0;
   std::uint16_t consistency = 0;
   std::optional<PreparedText> preparing;  // of a PREPARE
-  TimePoint until;                        // when its client stops waiting
+  TimePoint deadline;                     // when the client stops waiting
 };
 
-// What a frame decodes to: a statement, or where there is none a complete answer.
+// The result of decoding a frame. If `statement` is empty, `opcode` and `body` are a complete
+// response.
 struct DecodeResult {
   std::optional<request::ReceivedStatement> statement;
   Pending pending;
   reedchute::cql::Opcode opcode = reedchute::cql::Opcode::error;
-  std::string body;         // of the answer
-  std::string useKeyspace;  // the session's keyspace from now on; empty: unchanged
+  std::string body;         // of the response
+  std::string useKeyspace;  // new keyspace of the session; empty: unchanged
 };
 
+// Stateless; decoding only updates the order of use in `texts`. The references passed to the
+// constructor must outlive the decoder.
 class StatementDecoder {
  public:
   StatementDecoder(const Config& config, const Names& names, const IdIndex<std::int64_t>& groups,
@@ -73,14 +80,15 @@
         texts_(texts),
         system_(config) {}
 
-  // `keyspace` is the session's. Errors are found in a fixed order; the first one is the answer.
+  // `keyspace` is the session's. Checks are made in a fixed order; the response contains the first
+  // error.
   DecodeResult decode(const reedchute::cql::Frame& frame, const std::string& keyspace,
                       TimePoint now, const runtime::WallClock& wall) const;
 
  private:
   struct DecodeState;
 
-  // Each of these either goes on with `state`, or gives it an answer.
+  // Each of these steps either updates `state` or sets its response, which ends the decoding.
   void decodeText(DecodeState& state, std::string_view text, std::size_t offset) const;
   void qualifyNames(DecodeState& state, std::string_view text, std::size_t offset,
                     reedchute::cql::TextRead& read) const;
--- a/src/protocols/cassandra/system_tables.cpp
+++ b/src/protocols/cassandra/system_tables.cpp
@@ -20,7 +20,7 @@
 constexpr const char* kCassandraRelease = "4.0.0";
 constexpr const char* kPartitioner = "org.apache.cassandra.dht.Murmur3Partitioner";
 
-// The bytes of a UUID that hold its version and its variant.
+// The positions of a UUID's version and variant (RFC 4122).
 constexpr std::size_t kUuidVersionByte = 6;
 constexpr std::size_t kUuidVariantByte = 8;
 constexpr std::size_t kUuidBytes = 16;
@@ -46,7 +46,7 @@
   return intCell(ntohs(address.sin_port));
 }
 
-// A host's id follows from its address, so that all proxies give the same one.
+// Derived from the address, so that all proxies report the same id for a host.
 std::string hostId(const sockaddr_in& address) {
   std::string id = "reedchute-";
   id += addressCell(address);
@@ -63,14 +63,15 @@
   return version;
 }
 
-// Each host owns another token, or a token-aware driver would send everything to one of them.
+// Each host has a different token; otherwise a token-aware driver would send all requests to one
+// host.
 std::string tokensCell(std::size_t hostIndex, std::size_t hostCount) {
   std::int64_t step = INT64_MAX / static_cast<std::int64_t>(hostCount) * 2;
   std::int64_t token = INT64_MIN + 1 + step * static_cast<std::int64_t>(hostIndex);
   return cql::textSet({std::to_string(token)});
 }
 
-// Returns null where system_schema has no such table.
+// The columns of a table of system_schema; null if there is no such table.
 const std::vector<Column>* schemaColumns(std::string_view table) {
   static const std::vector<Column> kKeyspaces = {
       {"keyspace_name"}, {"durable_writes", Type::boolean}, {"replication", Type::mapOfText}};
@@ -215,7 +216,7 @@
   return table;
 }
 
-// All tables of system_schema but that of keyspaces are empty.
+// All tables of system_schema except `keyspaces` are empty.
 Table schemaTable(const Config& config, std::string_view name, const std::vector<Column>& columns) {
   Table table{.columns = columns, .rows = {}};
   if (name != "keyspaces") return table;
@@ -240,7 +241,7 @@
   return std::nullopt;
 }
 
-// The columns of these names, in their order; nothing where one isn't in the table.
+// Returns the named columns in the given order, or nothing if the table lacks one of them.
 std::optional<Table> selectColumns(const Table& table, const std::vector<std::string>& names) {
   Table selection{.columns = {}, .rows = std::vector<Row>(table.rows.size())};
   for (const std::string& name : names) {
@@ -264,20 +265,21 @@
   });
 }
 
-std::optional<std::string> SystemTables::answer(const cql::TextRead& read, std::string_view text,
-                                                std::string_view& why) const {
-  why = "only reads of the front's system tables";
+std::optional<std::string> SystemTables::resultBody(const cql::TextRead& read,
+                                                    std::string_view text,
+                                                    std::string_view& error) const {
+  error = "system tables only support SELECT";
   if (read.kind != cql::Kind::read) return std::nullopt;
   std::optional<Table> table = findTable(config_, read);
   if (!table) {
-    why = "no such system table here";
+    error = "unknown system table";
     return std::nullopt;
   }
-  why = "columns by their names, or all of them";
+  error = "a SELECT from a system table only supports column names or *";
   std::vector<std::string> names;
   if (!cql::readSelection(text, names)) return std::nullopt;
   if (names.empty()) return cql::rowsBody(read.keyspace, read.table, table->columns, table->rows);
-  why = "an unknown column";
+  error = "unknown column in a SELECT from a system table";
   std::optional<Table> selection = selectColumns(*table, names);
   if (!selection) return std::nullopt;
   return cql::rowsBody(read.keyspace, read.table, selection->columns, selection->rows);
--- a/src/protocols/cassandra/system_tables.h
+++ b/src/protocols/cassandra/system_tables.h
@@ -1,5 +1,5 @@
-// The tables from which a driver learns about its cluster, answered by the proxy: the cluster is
-// this proxy and its configured peers. No I/O.
+// The system tables from which a driver discovers its cluster. The proxy answers these reads itself
+// and presents itself and its configured peers as the cluster. No I/O.
 #pragma once
 
 #include <optional>
@@ -11,15 +11,17 @@
 
 namespace reedchute::protocols::cassandra {
 
-inline constexpr const char* kCqlVersion = "3.4.5";  // that drivers are told
+inline constexpr const char* kCqlVersion = "3.4.5";  // reported to drivers
 
 class SystemTables {
  public:
   explicit SystemTables(const Config& config) : config_(config) {}
 
-  // Returns the body of a RESULT, or nothing where the read can't be answered; `why` then says why.
-  std::optional<std::string> answer(const cql::TextRead& read, std::string_view text,
-                                    std::string_view& why) const;
+  // Returns the body of the RESULT for a read of a system table. If the read isn't supported,
+  // returns nothing and sets `error` to the reason; otherwise `error` is unspecified.
+  std::optional<std::string> resultBody(const cql::TextRead& read, std::string_view text,
+                                        std::string_view& error) const;
+  // Whether `keyspace` is a system keyspace or matches a mapping.
   bool knowsKeyspace(std::string_view keyspace) const;
 
  private:
--- a/src/protocols/cassandra/table_mapping.cpp
+++ b/src/protocols/cassandra/table_mapping.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 template <class List, class Value>
-bool isAnyOrAmong(const List& list, const Value& value) {
+bool isEmptyOrContains(const List& list, const Value& value) {
   return list.empty() || std::find(list.begin(), list.end(), value) != list.end();
 }
 
@@ -24,26 +24,26 @@
     : mappings_(config.mappings),
       names_(names.workloads),
       workloads_(settings.workloads),
-      storesDropMarks_(config.storesDropMarks) {
+      storesDeduplicateRetries_(config.storesDeduplicateRetries) {
   auto addVariant = [&](const Workload& variant, int original) {
     settings.workloads.push_back(variant);
     names.templateOf.push_back(original);
     return static_cast<int>(settings.workloads.size()) - 1;
   };
   for (std::size_t k = 0; k < workloads_.size(); ++k) {
-    const int self = static_cast<int>(k);
-    Variants variants{.neverRetried = self, .laterPages = self};
+    const int original = static_cast<int>(k);
+    Variants variants{.nonIdempotent = original, .laterPages = original};
     if (workloads_[k].effect != Effect::nonIdempotent) {
-      Workload neverRetried = workloads_[k];
-      neverRetried.effect = Effect::nonIdempotent;
-      variants.neverRetried = addVariant(neverRetried, self);
+      Workload nonIdempotent = workloads_[k];
+      nonIdempotent.effect = Effect::nonIdempotent;
+      variants.nonIdempotent = addVariant(nonIdempotent, original);
     }
-    // A read at any age or within a bound has no promise from one page to the next; this variant
-    // gives it one.
+    // Levels `any` and `bounded` don't order the pages of a read: a page may be older than the
+    // previous one. The variant with level `session` prevents this.
     if (workloads_[k].level == Level::any || workloads_[k].level == Level::bounded) {
       Workload laterPages = workloads_[k];
       laterPages.level = Level::session;
-      variants.laterPages = addVariant(laterPages, self);
+      variants.laterPages = addVariant(laterPages, original);
     }
     variants_.push_back(variants);
   }
@@ -60,7 +60,7 @@
                                                   const IdIndex<std::int64_t>& groups,
                                                   MappedStatement& into) const {
   if (!statement.group && !mapping)
-    return "neither a payload with its group nor a mapping that names one";
+    return "no group: the payload has no cluster field and no mapping matches";
   into.group = groups.find(statement.group ? *statement.group : mapping->group);
   if (into.group < 0) return "an unknown group";
   if (mapping) into.timeout = mapping->timeout;
@@ -71,7 +71,7 @@
                                                         const IdIndex<std::int64_t>& groups,
                                                         MappedStatement& into) const {
   into.workload = preparation_;
-  // Which consistency the text will be executed with isn't known yet.
+  // Maps by table only, as the consistency of later executions isn't known yet.
   return mapGroup(statement, findByTable(statement), groups, into);
 }
 
@@ -84,8 +84,8 @@
 const Mapping* TableMapping::find(const StatementDescription& statement) const {
   for (const Mapping& mapping : mappings_) {
     if (!matchesTable(mapping, statement)) continue;
-    bool matches = isAnyOrAmong(mapping.kinds, statement.kind) &&
-                   isAnyOrAmong(mapping.consistencies, statement.consistency);
+    bool matches = isEmptyOrContains(mapping.kinds, statement.kind) &&
+                   isEmptyOrContains(mapping.consistencies, statement.consistency);
     if (matches) return &mapping;
   }
   return nullptr;
@@ -102,19 +102,21 @@
                                                      : statement.workload;
   into.workload = indexOf(names_, name);
   if (into.workload < 0) return "an unknown workload";
-  if (std::optional<std::string> why = mapGroup(statement, mapping, groups, into)) return why;
+  if (std::optional<std::string> error = mapGroup(statement, mapping, groups, into)) return error;
   const Workload& workload = workloads_[static_cast<std::size_t>(into.workload)];
   const Variants& variants = variants_[static_cast<std::size_t>(into.workload)];
-  // A write in a workload of reads would go to replicas and be retried at will.
+  // In a workload of reads, a write would be sent to replicas and retried freely.
   bool isWrite = statement.kind != cql::Kind::read;
   if (isWrite && workload.level != Level::write) return "a write in a workload of reads";
-  bool isDeduplicated = workload.effect == Effect::deduplicated && storesDropMarks_;
-  if (isDeduplicated && statement.mark.empty()) return "no k where the workload needs one";
-  // What isn't idempotent by its nature doesn't become so by what its client says. Idempotency keys
-  // help where stores drop a retry by them, and only as far.
+  bool isDeduplicated = workload.effect == Effect::deduplicated && storesDeduplicateRetries_;
+  if (isDeduplicated && statement.idempotencyKey.empty())
+    return "the workload requires an idempotency key (payload field k)";
+  // A statement that isn't idempotent by nature is not retried once it may have been executed,
+  // whichever workload its client names. The exception is a statement with an idempotency key, if
+  // the stores drop retries by that key.
   bool isIdempotent = statement.nature == cql::Nature::idempotent;
-  if (!isIdempotent && !isDeduplicated) into.workload = variants.neverRetried;
-  if (isIdempotent && statement.nextPage && statement.pagePosition)
+  if (!isIdempotent && !isDeduplicated) into.workload = variants.nonIdempotent;
+  if (isIdempotent && statement.isLaterPage && statement.pagePosition)
     into.workload = variants.laterPages;
   return std::nullopt;
 }
--- a/src/protocols/cassandra/table_mapping.h
+++ b/src/protocols/cassandra/table_mapping.h
@@ -1,6 +1,6 @@
-// Decides which workload and group a statement of this protocol belongs to, and how far it may be
-// retried. No I/O, no clock. Whether the statement is then sent, and where, is the decision
-// engine's alone.
+// Maps statements of this protocol to a workload and a replication group, and restricts their
+// retries. Whether and where a statement is sent is decided by the decision engine. No I/O, no
+// clock.
 #pragma once
 
 #include <optional>
@@ -15,44 +15,47 @@
 
 namespace reedchute::protocols::cassandra {
 
-// What a statement says of itself, from its text, its parameters and its custom payload.
+// The properties of a statement by which it is mapped, from its text, parameters and custom
+// payload.
 struct StatementDescription {
   reedchute::cql::Kind kind = reedchute::cql::Kind::other;
   reedchute::cql::Nature nature = reedchute::cql::Nature::idempotent;
   std::string_view keyspace, table;
   std::uint16_t consistency = 0;
-  bool nextPage = false;                 // of a paged read, not the first
-  std::optional<WallTime> pagePosition;  // what the page before it was read at
-  std::string_view workload, mark;       // empty: not told
+  bool isLaterPage = false;                   // of a paged read, any page after the first
+  std::optional<WallTime> pagePosition;       // replication position of the previous page
+  std::string_view workload, idempotencyKey;  // empty: none given
   std::optional<std::int64_t> group;
 };
 
 struct MappedStatement {
   int workload = -1, group = -1;
-  std::optional<Duration> timeout;  // the mapping's
+  std::optional<Duration> timeout;  // from the mapping
 };
 
-// Maps statements to workloads. Beside the workloads of the settings it adds variants of them with
-// something taken off: an effect that the statement's nature forbids, or a page that must be as
-// fresh as the one before.
+// Maps statements to workloads. Adds stricter variants of the configured workloads: one with
+// effect `nonIdempotent`, for statements whose nature doesn't allow a second run, and one with
+// level `session`, for later pages of a read, which must not be older than the previous page.
 class TableMapping {
  public:
-  // Adds the variants to `settings`; `names` keeps only those that clients may name, and learns
-  // what the others stand for.
+  // Appends the variants to `settings.workloads`. They get no entry in `names.workloads`, so that
+  // clients can't name them; `names.templateOf` receives the workload that each was made from.
   TableMapping(const Config& config, EngineSettings& settings, Names& names);
 
-  // Either fills `into`, or says why the statement can't be taken.
+  // Sets `into`. Returns the reason if the statement can't be mapped; `into` may then be set in
+  // part.
   std::optional<std::string> map(const StatementDescription& statement,
                                  const IdIndex<std::int64_t>& groups, MappedStatement& into) const;
-  // The same for the preparation of a text, which is a read of any age at any member of the group.
+  // The same for a PREPARE, which is an idempotent read without a staleness bound that any member
+  // of the group may serve.
   std::optional<std::string> mapPreparation(const StatementDescription& statement,
                                             const IdIndex<std::int64_t>& groups,
                                             MappedStatement& into) const;
 
  private:
-  // Variants of one workload; itself where it needs none.
+  // The variants of one workload, by index; the workload itself where no variant is needed.
   struct Variants {
-    int neverRetried = -1;
+    int nonIdempotent = -1;
     int laterPages = -1;
   };
 
@@ -64,10 +67,10 @@
 
   std::vector<Mapping> mappings_;
   std::vector<std::string> names_;
-  std::vector<Workload> workloads_;  // of the settings
-  std::vector<Variants> variants_;   // by workload
-  int preparation_ = -1;             // the workload of preparations
-  bool storesDropMarks_;
+  std::vector<Workload> workloads_;  // as configured, without variants
+  std::vector<Variants> variants_;   // by workload index
+  int preparation_ = -1;             // the workload of PREPARE requests
+  bool storesDeduplicateRetries_;
 };
 
 }  // namespace reedchute::protocols::cassandra
--- a/tests/protocols/cassandra_test.cpp
+++ b/tests/protocols/cassandra_test.cpp
@@ -54,7 +54,7 @@
   for (bool marks : {false, true}) {
     EngineSettings t = terms();
     Config g;
-    g.storesDropMarks = marks;
+    g.storesDeduplicateRetries = marks;
     g.mappings = {{"weather", "history", {Kind::read}, {1}, "near", 7, 0, Duration{100'000}},
                   {"weather", "history", {Kind::read}, {}, "any", 7, 0, {}},
                   {"weather",
@@ -84,15 +84,15 @@
                               .keyspace = "weather",
                               .table = "history",
                               .consistency = 1,
-                              .nextPage = false,
+                              .isLaterPage = false,
                               .pagePosition = {},
                               .workload = {},
-                              .mark = {},
+                              .idempotencyKey = {},
                               .group = {}};
     tell("a read at ONE", read);
     read.consistency = 4;
     tell("at QUORUM", read);
-    read.nextPage = true;
+    read.isLaterPage = true;
     tell("its next page, position unknown", read);
     read.pagePosition = WallTime{5};
     tell("its next page", read);
@@ -111,15 +111,15 @@
                                .keyspace = "weather",
                                .table = "x",
                                .consistency = 1,
-                               .nextPage = false,
+                               .isLaterPage = false,
                                .pagePosition = {},
                                .workload = {},
-                               .mark = "k",
+                               .idempotencyKey = "k",
                                .group = {}};
     tell("a marked write", write);
-    write.mark = {};
+    write.idempotencyKey = {};
     tell("without its mark", write);
-    write.mark = "k";
+    write.idempotencyKey = "k";
     for (Nature n : {Nature::conditional, Nature::counter, Nature::function, Nature::appends,
                      Nature::byPlace}) {
       write.nature = n;
@@ -135,10 +135,10 @@
                                  .keyspace = "weather",
                                  .table = "x",
                                  .consistency = 0,
-                                 .nextPage = false,
+                                 .isLaterPage = false,
                                  .pagePosition = {},
                                  .workload = {},
-                                 .mark = {},
+                                 .idempotencyKey = {},
                                  .group = {}};
     auto why = c.mapPreparation(prepare, groups, p);
     std::printf("preparing: %s\n", why ? why->c_str() : rowName(t, p.workload).c_str());
@@ -270,7 +270,7 @@
   EngineSettings t = terms();
   Config g;
   g.timeout = Duration{2'000'000};
-  g.batchMost = 3;
+  g.maxBatchStatements = 3;
   g.mappings = {{"weather", "", {Kind::read}, {}, "any", 7, 0, {}},
                 {"weather", "", {}, {}, "write", 7, 0, Duration{300'000}}};
   Names names = kNames;
