--- a/tests/protocols/cassandra_test.cpp
+++ b/tests/protocols/cassandra_test.cpp
@@ -56,7 +56,7 @@
   for (bool dropsMarks : {false, true}) {
     EngineSettings settings = makeSettings();
     Config config;
-    config.storesDropMarks = dropsMarks;
+    config.storesDeduplicateRetries = dropsMarks;
     config.mappings = {{"weather", "history", {Kind::read}, {1}, "near", 7, 0, Duration{100'000}},
                        {"weather", "history", {Kind::read}, {}, "any", 7, 0, {}},
                        {"weather",
@@ -87,15 +87,15 @@
                               .keyspace = "weather",
                               .table = "history",
                               .consistency = 1,
-                              .nextPage = false,
+                              .isLaterPage = false,
                               .pagePosition = {},
                               .workload = {},
-                              .mark = {},
+                              .idempotencyKey = {},
                               .group = {}};
     printMapping("a read at ONE", read);
     read.consistency = 4;
     printMapping("at QUORUM", read);
-    read.nextPage = true;
+    read.isLaterPage = true;
     printMapping("its next page, position unknown", read);
     read.pagePosition = WallTime{5};
     printMapping("its next page", read);
@@ -114,15 +114,15 @@
                                .keyspace = "weather",
                                .table = "x",
                                .consistency = 1,
-                               .nextPage = false,
+                               .isLaterPage = false,
                                .pagePosition = {},
                                .workload = {},
-                               .mark = "k",
+                               .idempotencyKey = "k",
                                .group = {}};
     printMapping("a marked write", write);
-    write.mark = {};
+    write.idempotencyKey = {};
     printMapping("without its mark", write);
-    write.mark = "k";
+    write.idempotencyKey = "k";
     for (Nature nature : {Nature::conditional, Nature::counter, Nature::function, Nature::appends,
                           Nature::byPlace}) {
       write.nature = nature;
@@ -138,10 +138,10 @@
                                  .keyspace = "weather",
                                  .table = "x",
                                  .consistency = 0,
-                                 .nextPage = false,
+                                 .isLaterPage = false,
                                  .pagePosition = {},
                                  .workload = {},
-                                 .mark = {},
+                                 .idempotencyKey = {},
                                  .group = {}};
     auto error = mapping.mapPreparation(prepare, groups, mapped);
     std::printf("preparing: %s\n",
@@ -283,7 +283,7 @@
   EngineSettings settings = makeSettings();
   Config config;
   config.timeout = Duration{2'000'000};
-  config.batchMost = 3;
+  config.maxBatchStatements = 3;
   config.mappings = {{"weather", "", {Kind::read}, {}, "any", 7, 0, {}},
                      {"weather", "", {}, {}, "write", 7, 0, Duration{300'000}}};
   Names names = kNames;
