--- a/src/ledger/reconciliation.cpp
+++ b/src/ledger/reconciliation.cpp
@@ -158,9 +158,8 @@
   correction.set_statements(sign);
   correction.set_bytes_in(sign * static_cast<std::int64_t>(use.bytes_in()));
   correction.set_bytes_out(sign * static_cast<std::int64_t>(use.bytes_out()));
-  correction.set_reason(original
-                            ? "billed at " + original->name() + " under the same idempotency key"
-                            : "not a retry when all ledgers are considered");
+  correction.set_reason(original ? "billed at " + original->name() + " under the same mark"
+                                 : "no repeat, seen with all ledgers");
   correction.set_by("reconcile");
   return missing;
 }
