--- a/tests/proxy/clock_steps_test.cpp
+++ b/tests/proxy/clock_steps_test.cpp
@@ -213,7 +213,7 @@
 // The exact wait is refused: the front takes the other one.
 void waitRefused() {
   test::FaultyMachine machine;
-  machine.failsOften(soak::Call::exactWait, EPERM, 1024);
+  machine.failsOften(soak::Call::epollPwait2, EPERM, 1024);
   Drive d(1);
   Client c(d);
   c.asks("a read", Client::read("a"));
--- a/tests/proxy/system_call_faults_test.cpp
+++ b/tests/proxy/system_call_faults_test.cpp
@@ -142,7 +142,7 @@
 void startLacks() {
   for (const auto& [what, call, error] : {std::tuple{"its listening socket", Call::socket, ENFILE},
                                           {"its address", Call::bind, EADDRINUSE},
-                                          {"its signals", Call::makeSignals, ENFILE},
+                                          {"its signals", Call::createSignalFd, ENFILE},
                                           {"its configuration", Call::open, EMFILE}}) {
     FaultyMachine machine;
     machine.fails(call, error);
--- a/tests/soak/clients.cpp
+++ b/tests/soak/clients.cpp
@@ -1,5 +1,5 @@
-// Clients: each thread is one that asks over a connection to some front, in good and in bad
-// manners.
+// Clients: each thread is a client that sends statements over a connection to a random front. Some
+// of them misbehave: they disconnect early, stop in the middle of a message or send random bytes.
 #include <sys/prctl.h>
 #include <unistd.h>
 
@@ -15,9 +15,11 @@
 namespace {
 
 constexpr int kConnectMs = 1'000;
-constexpr std::int64_t kPatienceUs = 800'000;  // that a client waits beyond its time
+// How long a client awaits responses beyond the deadline.
+constexpr std::int64_t kResponseGraceUs = 800'000;
+// How long a client that stopped in the middle of a message keeps its connection open.
 constexpr std::int64_t kStoppedUs = 3'600'000;
-constexpr int kMostPipelined = 12;
+constexpr int kMaxPipelined = 12;
 
 class Client {
  public:
@@ -27,28 +29,28 @@
         fronts_(options.fronts),
         prefix_((static_cast<std::uint64_t>(options.number) + 1) << 32 |
                 static_cast<std::uint64_t>(thread) << 24),
-        chance_(static_cast<unsigned>(options.seed * 7919 + prefix_ / 4096 +
+        random_(static_cast<unsigned>(options.seed * 7919 + prefix_ / 4096 +
                                       static_cast<std::uint64_t>(thread))) {}
 
   void run() {
     while (!control_.stop) {
-      if (socket_ < 0 && !comes()) continue;
-      behave();
+      if (socket_ < 0 && !connectToFront()) continue;
+      act();
       if (int think = control_.thinkUs; think > 0) usleep(below(static_cast<unsigned>(think)));
     }
     if (socket_ >= 0) close(socket_);
   }
 
  private:
-  struct Asked {
+  struct SentStatement {
     std::uint64_t id = 0;
     std::int64_t deadline = 0;
   };
 
-  unsigned below(unsigned n) { return static_cast<unsigned>(chance_() % n); }
+  unsigned below(unsigned n) { return static_cast<unsigned>(random_() % n); }
   bool oneIn(int n) { return n > 0 && below(static_cast<unsigned>(n)) == 0; }
 
-  bool comes() {
+  bool connectToFront() {
     front_ = static_cast<int>(below(static_cast<unsigned>(fronts_)));
     socket_ = connectTo(frontHost(front_), control_.frontPort[front_], kConnectMs);
     if (socket_ < 0) {
@@ -57,20 +59,19 @@
     }
     port_ = localPort(socket_);
     in_.clear(), written_ = 0;
-    return put(startupMessage());
+    return writeBytes(startupMessage());
   }
-  void behave() {
-    if (oneIn(control_.garbageOneIn)) return sayGarbage();
-    if (oneIn(control_.stopsOneIn)) return stopMidway();
+  void act() {
+    if (oneIn(control_.garbageOneIn)) return sendRandomBytes();
+    if (oneIn(control_.stopsOneIn)) return stopMidMessage();
     if (oneIn(control_.restsOneIn)) usleep(below(1'500'000));
-    int statements = oneIn(control_.pipelinesOneIn)
-                         ? 2 + static_cast<int>(below(kMostPipelined - 1))
-                         : 1;
-    ask(statements, oneIn(control_.leavesOneIn));
-    if (socket_ >= 0 && oneIn(60)) leave(0, false);
+    int statements = oneIn(control_.pipelinesOneIn) ? 2 + static_cast<int>(below(kMaxPipelined - 1))
+                                                    : 1;
+    sendStatements(statements, oneIn(control_.leavesOneIn));
+    if (socket_ >= 0 && oneIn(60)) disconnect(0, false);
   }
 
-  bool put(const std::string& bytes) {
+  bool writeBytes(const std::string& bytes) {
     if (!writeAll(socket_, bytes)) {
       close(socket_), socket_ = -1;
       return false;
@@ -78,13 +79,13 @@
     written_ += static_cast<std::int64_t>(bytes.size());
     return true;
   }
-  void leave(std::uint64_t statement, bool resets) {
+  void disconnect(std::uint64_t statement, bool resets) {
     resets ? closeWithReset(socket_) : static_cast<void>(close(socket_));
     socket_ = -1;
     recorder_.add(
         {.kind = Kind::clientLeft, .statement = statement, .front = front_, .port = port_});
   }
-  void sawEnd(std::uint64_t statement) {
+  void recordConnectionEnd(std::uint64_t statement) {
     recorder_.add(
         {.kind = Kind::clientSawEnd, .statement = statement, .front = front_, .port = port_});
     close(socket_), socket_ = -1;
@@ -101,8 +102,8 @@
            payload + "') RETURNING payload " + tail;
   }
 
-  void ask(int count, bool leavesEarly) {
-    std::vector<Asked> asked;
+  void sendStatements(int count, bool leavesEarly) {
+    std::vector<SentStatement> sent;
     std::vector<Event> events;
     std::string bytes;
     for (int k = 0; k < count; ++k) {
@@ -112,7 +113,7 @@
                                        static_cast<int>(below(kMaxDeadlineMs - kMinDeadlineMs));
       std::uint64_t id = prefix_ + ++counter_;
       bytes += queryMessage(statement(id, w, deadlineMs));
-      asked.push_back({id, deadlineMs * 1000});
+      sent.push_back({id, deadlineMs * 1000});
       events.push_back({.kind = Kind::clientSent,
                         .statement = id,
                         .front = front_,
@@ -121,41 +122,41 @@
                         .value = count,
                         .offset = written_ + static_cast<std::int64_t>(bytes.size())});
     }
-    if (!put(bytes)) return;
+    if (!writeBytes(bytes)) return;
     std::int64_t now = monotonicUs();
     for (std::size_t k = 0; k < events.size(); ++k) {
-      asked[k].deadline += now;
-      events[k].at = now, events[k].deadline = asked[k].deadline;
+      sent[k].deadline += now;
+      events[k].at = now, events[k].deadline = sent[k].deadline;
       recorder_.add(events[k]);
     }
     std::int64_t leavesAt = leavesEarly ? now + below(400'000) : INT64_MAX;
-    await(asked, leavesAt);
+    awaitAnswers(sent, leavesAt);
   }
 
-  void await(const std::vector<Asked>& asked, std::int64_t leavesAt) {
+  void awaitAnswers(const std::vector<SentStatement>& sent, std::int64_t leavesAt) {
     std::size_t next = 0;
     int bursts = control_.leaveBurst;
     std::int64_t last = 0;
-    for (const Asked& a : asked) last = std::max(last, a.deadline);
-    while (next < asked.size()) {
+    for (const SentStatement& a : sent) last = std::max(last, a.deadline);
+    while (next < sent.size()) {
       std::optional<Message> m = takeMessage(in_);
-      if (m && (m->type == 'D' || m->type == 'E')) answered(asked[next].id, *m), ++next;
+      if (m && (m->type == 'D' || m->type == 'E')) recordAnswer(sent[next].id, *m), ++next;
       if (m && m->type == 'E' && isFatal(*m))
-        return next < asked.size() ? sawEnd(asked[next].id) : leave(0, false);
+        return next < sent.size() ? recordConnectionEnd(sent[next].id) : disconnect(0, false);
       if (m) continue;
       std::int64_t now = monotonicUs(),
-                   until = std::min({leavesAt, last + kPatienceUs, now + 20'000});
+                   until = std::min({leavesAt, last + kResponseGraceUs, now + 20'000});
       if (waitReadable(socket_, until) == Wait::readable) {
-        if (readSome(socket_, in_) <= 0) return sawEnd(asked[next].id);
+        if (readSome(socket_, in_) <= 0) return recordConnectionEnd(sent[next].id);
         continue;
       }
       bool burst = bursts != control_.leaveBurst && oneIn(2);
       bursts = control_.leaveBurst;
-      if (burst || monotonicUs() >= std::min(leavesAt, last + kPatienceUs))
-        return leave(asked[next].id, oneIn(3));
+      if (burst || monotonicUs() >= std::min(leavesAt, last + kResponseGraceUs))
+        return disconnect(sent[next].id, oneIn(3));
     }
   }
-  void answered(std::uint64_t id, const Message& m) {
+  void recordAnswer(std::uint64_t id, const Message& m) {
     Answer code = Answer::served;
     if (m.type == 'E') {
       std::string sqlstate = errorCode(m);
@@ -168,24 +169,24 @@
                    .code = static_cast<int>(code)});
   }
 
-  // Sends half of a statement and stays.
-  void stopMidway() {
+  // Sends a part of a statement and keeps the connection open without sending the rest.
+  void stopMidMessage() {
     std::string whole = queryMessage(statement(prefix_ + ++counter_, kWorkloads[0], 1'000));
-    if (!put(whole.substr(0, 1 + below(static_cast<unsigned>(whole.size() - 1))))) return;
+    if (!writeBytes(whole.substr(0, 1 + below(static_cast<unsigned>(whole.size() - 1))))) return;
     recorder_.add({.kind = Kind::clientStopped,
                    .statement = prefix_ + counter_,
                    .front = front_,
                    .port = port_});
     std::int64_t until = monotonicUs() + kStoppedUs;
     while (waitReadable(socket_, until) == Wait::readable)
-      if (readSome(socket_, in_) <= 0) return sawEnd(prefix_ + counter_);
-    leave(prefix_ + counter_, true);
+      if (readSome(socket_, in_) <= 0) return recordConnectionEnd(prefix_ + counter_);
+    disconnect(prefix_ + counter_, true);
   }
-  void sayGarbage() {
+  void sendRandomBytes() {
     std::string garbage;
     for (unsigned k = 0, size = 1 + below(4'000); k < size; ++k)
       garbage.push_back(static_cast<char>(below(256)));
-    if (put(garbage)) close(socket_), socket_ = -1;
+    if (writeBytes(garbage)) close(socket_), socket_ = -1;
   }
 
   Control& control_;
@@ -194,29 +195,30 @@
   std::string in_;
   std::int64_t written_ = 0;
   std::uint64_t prefix_, counter_ = 0;
-  std::minstd_rand chance_;
+  std::minstd_rand random_;
 };
 
 }  // namespace
 
 namespace {
 
-// Connections that are made and say nothing, as many as the control asks for.
-void runCrowd(Control& control, const ClientOptions& options) {
-  std::vector<int> silent;
+// Keeps Control::crowd connections open that send no statement; every second one sends a startup
+// message.
+void holdIdleConnections(Control& control, const ClientOptions& options) {
+  std::vector<int> idle;
   while (!control.stop) {
-    while (static_cast<int>(silent.size()) < control.crowd) {
-      int front = static_cast<int>(silent.size()) % options.fronts;
+    while (static_cast<int>(idle.size()) < control.crowd) {
+      int front = static_cast<int>(idle.size()) % options.fronts;
       int socket = connectTo(frontHost(front), control.frontPort[front], 200);
       if (socket < 0) break;
-      if (silent.size() % 2) writeAll(socket, startupMessage());
-      silent.push_back(socket);
+      if (idle.size() % 2) writeAll(socket, startupMessage());
+      idle.push_back(socket);
     }
     if (control.crowd == 0)
-      while (!silent.empty()) close(silent.back()), silent.pop_back();
+      while (!idle.empty()) close(idle.back()), idle.pop_back();
     usleep(20'000);
   }
-  for (int socket : silent) close(socket);
+  for (int socket : idle) close(socket);
 }
 
 }  // namespace
@@ -228,7 +230,7 @@
   std::vector<std::thread> threads;
   for (int k = 0; k < options.threads; ++k)
     threads.emplace_back([&, k] { Client(control, options, k, recorder).run(); });
-  threads.emplace_back([&] { runCrowd(control, options); });
+  threads.emplace_back([&] { holdIdleConnections(control, options); });
   for (std::thread& t : threads) t.join();
   _exit(0);
 }
--- a/tests/soak/control.h
+++ b/tests/soak/control.h
@@ -1,5 +1,6 @@
-// Memory that the controller shares with all its peers: what each of them is to do wrong at this
-// moment.
+// Memory that the controller shares with the peer processes of a soak run: the faults that each
+// peer injects at present. A "front" is a reedchute process under test, to tell it apart from the
+// fault-injecting proxies between the fronts and the stores.
 #pragma once
 
 #include <atomic>
@@ -9,44 +10,47 @@
 
 namespace soak {
 
-inline constexpr int kStores = 64;  // in all, with those that come later
+inline constexpr int kStores = 64;  // at most, including those that join during a run
 inline constexpr int kFronts = 8;
 
 enum class ListState : int { absent = 0, up, draining, removed };
 enum class ListMode : int { normal = 0, silent, unavailable, slow };
 
-// A store and the proxy before it.
+// A store and the fault-injecting proxy before it.
 struct StoreControl {
   std::atomic<int> proxyPort, backendPort;  // 0: none
   std::atomic<int> group, listed;           // a ListState
   std::atomic<bool> primary;
-  std::atomic<std::int64_t> startedMs;  // wall clock, as the list tells
-  std::atomic<std::int64_t>
-      frozenAt;             // its log stands since then (wall clock, us); 0: it follows the primary
-  std::atomic<bool> hangs;  // takes statements and never answers
-  std::atomic<int> failsOneIn, refusesOneIn;  // statements that end as an error, or are turned away
-  std::atomic<int> spoilsOneIn;               // answers that are garbage
-  std::atomic<int> serviceUs;                 // that a statement takes
-  // the proxy
-  std::atomic<bool> blackhole;   // nothing passes, nothing is closed
-  std::atomic<int> resetOneIn;   // chunks at which a connection is reset
-  std::atomic<int> closeIdleMs;  // connections that rest so long are closed; 0: never
+  std::atomic<std::int64_t> startedMs;  // wall clock, as reported in the endpoint list
+  // Wall clock (us) at which its replication log stopped advancing; 0: it follows the primary.
+  std::atomic<std::int64_t> frozenAt;
+  std::atomic<bool> hangs;  // accepts statements and never responds
+  // One in so many statements ends in an error, or is refused; 0: none.
+  std::atomic<int> failsOneIn, refusesOneIn;
+  std::atomic<int> spoilsOneIn;  // one in so many responses is malformed
+  std::atomic<int> serviceUs;    // service time of a statement
+  // The fault-injecting proxy.
+  std::atomic<bool> blackhole;   // forwards nothing and closes nothing
+  std::atomic<int> resetOneIn;   // resets the connection at one in so many chunks; 0: never
+  std::atomic<int> closeIdleMs;  // closes connections that are idle for so long; 0: never
   std::atomic<int> connectDelayMs;
-  std::atomic<int> resetAll;  // counted up to reset all connections
+  std::atomic<int> resetAll;  // incremented to reset all connections
 };
 
 struct Control {
   StoreControl stores[kStores];
   std::atomic<int> storeCount;
   std::atomic<std::int64_t> listVersion;
-  std::atomic<int> changedAt[kStores];  // the list's version at which this store changed last
-  std::atomic<int> listMode[2];         // a ListMode, of either agent of all fronts
-  std::atomic<int> resetLists;          // counted up to reset all watches
-  std::atomic<bool> stop;               // clients ask nothing new
-  std::atomic<int> leaveBurst;          // counted up: clients that wait for an answer leave
-  std::atomic<int> crowd;               // connections of each client process that say nothing
+  std::atomic<int> changedAt[kStores];  // endpoint list version at which this store last changed
+  std::atomic<int> listMode[2];         // a ListMode; index: which of the two agents of each front
+  std::atomic<int> resetLists;          // incremented to reset all endpoint list connections
+  std::atomic<bool> stop;               // clients send no new statements
+  std::atomic<int> leaveBurst;  // incremented: half of the clients awaiting a response disconnect
+  std::atomic<int> crowd;       // connections of each client process that send no statement
+  // Client behaviour, each once in so many times (0: never): disconnects before the response,
+  // pipelines statements, stops in the middle of a message, pauses, sends random bytes.
   std::atomic<int> leavesOneIn, pipelinesOneIn, stopsOneIn, restsOneIn, garbageOneIn;
-  std::atomic<int> thinkUs;
+  std::atomic<int> thinkUs;  // upper bound of the random pause between statements
   std::atomic<int> frontPort[kFronts];
 };
 
--- a/tests/soak/faults.h
+++ b/tests/soak/faults.h
@@ -1,4 +1,5 @@
-// What the fault library (faulty_machine.cpp) does to one front, which maps it from a file.
+// Faults that the fault library (faulty_machine.cpp) injects into one front. The controller and the
+// front map this structure from the same file.
 #pragma once
 
 #include <atomic>
@@ -14,31 +15,30 @@
   send,
   open,
   registerEvents,  // epoll_ctl
-  makeSignals,     // signalfd
+  createSignalFd,  // signalfd
   bind,
-  interrupt,     // receiving, sending and waiting, by EINTR
-  read,          // of files and signals
-  exactWait,     // epoll_pwait2, as a filter refuses it that doesn't know it
-  wait,          // stops only: behind one that has brought events
-  shortReceive,  // so few bytes come at a time
-  shortSend,
+  interrupt,     // recv, send and epoll_pwait2 fail with EINTR
+  read,          // read of files and of the signalfd
+  epollPwait2,   // epoll_pwait2 fails with EPERM, as under a seccomp filter that doesn't know it
+  wait,          // only for `stops`: after an epoll_pwait2 that returned events
+  shortReceive,  // recv returns at most 64 bytes
+  shortSend,     // send writes at most 64 bytes
   count
 };
 
 struct CallFaults {
-  std::atomic<int> rate;    // of 1,024 calls, so many fail
-  std::atomic<int> next;    // so many of the next calls fail
-  std::atomic<int> error;   // with this; 0: one of those that Linux documents, drawn each time
-  std::atomic<int> failed;  // how many have failed so far
-  std::atomic<int>
-      stops;  // before so many of the next calls the process stops itself, as by SIGSTOP
+  std::atomic<int> rate;    // how many of 1,024 calls fail
+  std::atomic<int> next;    // number of upcoming calls that fail
+  std::atomic<int> error;   // errno; 0: drawn for each call from the errors that Linux documents
+  std::atomic<int> failed;  // number of calls that have failed so far
+  std::atomic<int> stops;   // number of upcoming calls before which the process raises SIGSTOP
 };
 
 struct FrontControl {
-  std::atomic<std::int64_t> clockShiftUs;
+  std::atomic<std::int64_t> clockShiftUs;  // added to the wall clock
   CallFaults calls[static_cast<int>(Call::count)];
-  std::atomic<std::int64_t>
-      readAndDropped;  // bytes that were read from clients after their connection was shut
+  // Bytes read from client connections after shutdown() was called on them.
+  std::atomic<std::int64_t> readAndDropped;
 
   CallFaults& of(Call call) { return calls[static_cast<int>(call)]; }
 };
--- a/tests/soak/faulty_machine.cpp
+++ b/tests/soak/faulty_machine.cpp
@@ -1,7 +1,8 @@
-// Loaded into the fronts of the soak: system calls fail now and then as Linux documents, the wall
-// clock is shifted, and what the front does on its connections is recorded at the call itself.
-// SOAK_FAULTS names the file of its FrontControl, SOAK_EVENTS the file of its events, SOAK_FRONT
-// its number; SOAK_SIGNAL a signal that comes as the process begins.
+// Fault library, preloaded into the fronts of the soak. It makes system calls fail at random with
+// errors that Linux documents, shifts the wall clock, and records what the front does on its
+// connections at the system call itself. Environment: SOAK_FAULTS is the path of the file with the
+// front's FrontControl, SOAK_EVENTS the path of its event file, SOAK_FRONT its index, and
+// SOAK_SIGNAL the number of a signal that is raised before main.
 #include <arpa/inet.h>
 #include <dlfcn.h>
 #include <fcntl.h>
@@ -31,14 +32,14 @@
 using soak::Kind;
 
 constexpr int kDescriptors = 4096;
-constexpr unsigned kOf = 1024;  // rates are of so many calls
+constexpr unsigned kRateScale = 1024;  // CallFaults::rate is out of so many calls
 
 struct Descriptor {
   bool accepted = false, shut = false;
-  int port = 0;  // the other end's
+  int port = 0;  // of the peer
   std::int64_t read = 0;
-  std::uint64_t statement = 0;  // being written
-  std::size_t unwritten = 0;    // bytes of it
+  std::uint64_t statement = 0;  // statement that is being written
+  std::size_t unwritten = 0;    // its bytes that aren't written yet
 };
 
 struct Machine {
@@ -66,23 +67,23 @@
     random ^= random << 13, random ^= random >> 7, random ^= random << 17;
     return static_cast<unsigned>(random >> 24);
   }
-  // Does this call fail? With which error, where it is told which.
-  bool strikes(soak::Call call, int& error) {
+  // Whether this call is to fail. Sets `error` to the configured errno, or to 0 if any will do.
+  bool shouldFail(soak::Call call, int& error) {
     if (!faults) return false;
     soak::CallFaults& f = faults->of(call);
     if (f.stops.load(std::memory_order_relaxed) > 0) --f.stops, raise(SIGSTOP);
     int left = f.next.load(std::memory_order_relaxed),
         rate = f.rate.load(std::memory_order_relaxed);
-    bool fails = left > 0 || (rate > 0 && draw() % kOf < static_cast<unsigned>(rate));
+    bool fails = left > 0 || (rate > 0 && draw() % kRateScale < static_cast<unsigned>(rate));
     if (!fails) return false;
     if (left > 0) --f.next;
     ++f.failed;
     error = f.error;
     return true;
   }
-  bool strikes(soak::Call call) {
-    int none = 0;
-    return strikes(call, none);
+  bool shouldFail(soak::Call call) {
+    int ignoredError = 0;
+    return shouldFail(call, ignoredError);
   }
   void record(soak::Event e) {
     if (!recorder) return;
@@ -95,12 +96,12 @@
 };
 
 Machine& machine() {
-  static auto* one = new Machine;
-  return *one;
+  static auto* instance = new Machine;
+  return *instance;
 }
 
 template <class F>
-F next(const char* name) {
+F originalFunction(const char* name) {
   return reinterpret_cast<F>(dlsym(RTLD_NEXT, name));
 }
 
@@ -110,20 +111,21 @@
              : 0;
 }
 
-// Where a call is to fail: sets errno, to what is told or to one of `errors`.
+// Returns whether a call is to fail, and if so sets errno to the configured error or to a random
+// one of `errors`.
 template <std::size_t N>
 bool fails(soak::Call call, const int (&errors)[N]) {
   int error = 0;
-  if (!machine().strikes(call, error)) return false;
+  if (!machine().shouldFail(call, error)) return false;
   errno = error != 0 ? error : errors[machine().draw() % N];
   return true;
 }
-bool interrupted() {
+bool failsWithEintr() {
   static const int errors[] = {EINTR};
   return fails(soak::Call::interrupt, errors);
 }
 
-std::uint64_t figure(std::string_view text, std::string_view name) {
+std::uint64_t parseNumberAfter(std::string_view text, std::string_view name) {
   std::size_t at = text.find(name);
   if (at == std::string_view::npos) return 0;
   std::uint64_t value = 0;
@@ -132,20 +134,21 @@
   return value;
 }
 
-// A statement that begins on a connection to a store; its first byte leaves now.
-void noteAttempt(Descriptor& d, std::string_view bytes) {
+// Records an attempt if `bytes`, which are about to be written to a store, begin a statement.
+void recordAttempt(Descriptor& d, std::string_view bytes) {
   if (d.accepted || d.unwritten > 0 || bytes.empty() || bytes[0] != 'Q') return;
   std::size_t tail = bytes.rfind("/* id=");
   if (tail == std::string_view::npos) return;
-  d.statement = figure(bytes.substr(tail), "id=");
+  d.statement = parseNumberAfter(bytes.substr(tail), "id=");
   d.unwritten = bytes.size();
-  machine().record({.kind = Kind::attemptBegan,
-                    .statement = d.statement,
-                    .port = d.port,
-                    .value = static_cast<std::int64_t>(figure(bytes.substr(tail), ",d="))});
+  machine().record(
+      {.kind = Kind::attemptBegan,
+       .statement = d.statement,
+       .port = d.port,
+       .value = static_cast<std::int64_t>(parseNumberAfter(bytes.substr(tail), ",d="))});
 }
 
-void noteWritten(Descriptor& d, ssize_t n) {
+void recordWritten(Descriptor& d, ssize_t n) {
   if (d.unwritten == 0 || n <= 0) return;
   d.unwritten -= std::min(d.unwritten, static_cast<std::size_t>(n));
   if (d.unwritten == 0)
@@ -154,7 +157,7 @@
 
 }  // namespace
 
-// A signal that comes before main: SOAK_SIGNAL names it by its number.
+// Raises the signal with the number SOAK_SIGNAL before main.
 __attribute__((constructor)) void signalAtStart() {
   if (const char* number = std::getenv("SOAK_SIGNAL")) raise(std::atoi(number));
 }
@@ -180,15 +183,16 @@
                                ETIMEDOUT,    EOPNOTSUPP,   EHOSTDOWN,   ENOPROTOOPT};
   if (fails(soak::Call::accept, errors)) return -1;
   sockaddr_in from{};
-  socklen_t its = sizeof from;
-  int got = static_cast<int>(syscall(SYS_accept4, fd, &from, &its, flags));
+  socklen_t addressSize = sizeof from;
+  int got = static_cast<int>(syscall(SYS_accept4, fd, &from, &addressSize, flags));
   if (got < 0) return got;
   if (Descriptor* d = machine().at(got)) {
     *d = Descriptor{};
     d->accepted = true, d->port = portOf(reinterpret_cast<sockaddr*>(&from));
     machine().record({.kind = Kind::frontAccepted, .port = d->port});
   }
-  if (address && size) std::memcpy(address, &from, std::min(*size, its)), *size = its;
+  if (address && size)
+    std::memcpy(address, &from, std::min(*size, addressSize)), *size = addressSize;
   return got;
 }
 
@@ -197,7 +201,7 @@
                                EAGAIN,        ECONNREFUSED, EINTR,        ENOBUFS};
   if (Descriptor* d = machine().at(fd)) *d = Descriptor{}, d->port = portOf(to);
   if (fails(soak::Call::connect, errors)) {
-    // Interrupted, it comes up all the same.
+    // An interrupted connect(2) still establishes the connection asynchronously.
     if (errno == EINTR) syscall(SYS_connect, fd, to, size), errno = EINTR;
     return -1;
   }
@@ -207,8 +211,8 @@
 ssize_t recv(int fd, void* into, size_t size, int flags) {
   static const int errors[] = {ENOMEM, ENOBUFS};
   Machine& m = machine();
-  if (interrupted() || fails(soak::Call::receive, errors)) return -1;
-  if (size > 64 && m.strikes(soak::Call::shortReceive)) size = 1 + m.draw() % 64;
+  if (failsWithEintr() || fails(soak::Call::receive, errors)) return -1;
+  if (size > 64 && m.shouldFail(soak::Call::shortReceive)) size = 1 + m.draw() % 64;
   ssize_t n = syscall(SYS_recvfrom, fd, into, size, flags, nullptr, nullptr);
   Descriptor* d = m.at(fd);
   if (!d || n <= 0 || flags & MSG_PEEK) return n;
@@ -220,13 +224,13 @@
 ssize_t send(int fd, const void* bytes, size_t size, int flags) {
   static const int errors[] = {ENOBUFS, ENOMEM};
   Machine& m = machine();
-  if (interrupted() || fails(soak::Call::send, errors)) return -1;
+  if (failsWithEintr() || fails(soak::Call::send, errors)) return -1;
   Descriptor* d = m.at(fd);
-  if (d) noteAttempt(*d, {static_cast<const char*>(bytes), size});
-  if (size > 1 && m.strikes(soak::Call::shortSend))
+  if (d) recordAttempt(*d, {static_cast<const char*>(bytes), size});
+  if (size > 1 && m.shouldFail(soak::Call::shortSend))
     size = 1 + m.draw() % std::min<std::size_t>(size, 64);
   ssize_t n = syscall(SYS_sendto, fd, bytes, size, flags, nullptr, 0);
-  if (d) noteWritten(*d, n);
+  if (d) recordWritten(*d, n);
   return n;
 }
 
@@ -252,14 +256,14 @@
 
 int signalfd(int fd, const sigset_t* signals, int flags) noexcept {
   static const int errors[] = {EMFILE, ENFILE, ENOMEM};
-  if (fails(soak::Call::makeSignals, errors)) return -1;
+  if (fails(soak::Call::createSignalFd, errors)) return -1;
   return static_cast<int>(syscall(SYS_signalfd4, fd, signals, _NSIG / 8, flags));
 }
 
 std::FILE* fopen(const char* path, const char* mode) {
   static const int errors[] = {EMFILE, ENFILE, EIO, EINTR};
   if (fails(soak::Call::open, errors)) return nullptr;
-  return next<std::FILE* (*)(const char*, const char*)>("fopen")(path, mode);
+  return originalFunction<std::FILE* (*)(const char*, const char*)>("fopen")(path, mode);
 }
 
 std::FILE* fopen64(const char* path, const char* mode) {
@@ -285,11 +289,11 @@
 int epoll_pwait2(int epoll, epoll_event* events, int most, const timespec* left,
                  const sigset_t* signals) {
   static const int errors[] = {EPERM};
-  if (interrupted() || fails(soak::Call::exactWait, errors)) return -1;
+  if (failsWithEintr() || fails(soak::Call::epollPwait2, errors)) return -1;
   int count =
       static_cast<int>(syscall(SYS_epoll_pwait2, epoll, events, most, left, signals, _NSIG / 8));
-  // Held up here, a process has events that are old by the time at which it looks at its clock.
-  if (count > 0) machine().strikes(soak::Call::wait);
+  // A process that is stopped here reads its clock long after the returned events occurred.
+  if (count > 0) machine().shouldFail(soak::Call::wait);
   return count;
 }
 
--- a/tests/soak/fleet.cpp
+++ b/tests/soak/fleet.cpp
@@ -18,15 +18,15 @@
 namespace soak {
 namespace {
 
-constexpr std::int64_t kStartUs = 30'000'000;
-constexpr std::int64_t kEndUs = 6'000'000;
-constexpr int kProxies = 2;
+constexpr std::int64_t kStartTimeoutUs = 30'000'000;
+constexpr std::int64_t kExitTimeoutUs = 6'000'000;
+constexpr int kProxyProcesses = 2;
 
 template <class T>
-T* shared(int file) {
+T* mapShared(int file) {
   int flags = file < 0 ? MAP_SHARED | MAP_ANONYMOUS : MAP_SHARED;
   void* map = mmap(nullptr, sizeof(T), PROT_READ | PROT_WRITE, flags, file, 0);
-  if (map == MAP_FAILED) throw std::runtime_error("no shared memory");
+  if (map == MAP_FAILED) throw std::runtime_error("mmap of shared memory failed");
   return new (map) T{};
 }
 
@@ -34,7 +34,7 @@
 
 Fleet::Fleet(FleetOptions options)
     : options_(std::move(options)),
-      control_(shared<Control>(-1)),
+      control_(mapShared<Control>(-1)),
       recorder_(options_.folder + "/controller.events"),
       fronts_(static_cast<std::size_t>(options_.fronts)) {
   control_->listVersion = 1;
@@ -53,7 +53,7 @@
 template <class F>
 pid_t Fleet::forkPeer(F run) {
   pid_t pid = fork();
-  if (pid < 0) throw std::runtime_error("no process can be had");
+  if (pid < 0) throw std::runtime_error("fork failed");
   if (pid == 0) {
     std::signal(SIGPIPE, SIG_IGN);
     run();
@@ -62,15 +62,15 @@
   return pid;
 }
 
-bool Fleet::begin() {
+bool Fleet::start() {
   int planned = options_.groups * options_.storesPerGroup + options_.spareStores;
-  std::vector<ProxyOptions> proxies(kProxies);
+  std::vector<ProxyOptions> proxies(kProxyProcesses);
   std::vector<int> sockets;
   for (int k = 0; k < planned; ++k) {
     int port = 0, socket = listenOn("127.0.0.1", port);
     control_->stores[k].proxyPort = port;
     control_->stores[k].serviceUs = 2'000;
-    proxies[static_cast<std::size_t>(k % kProxies)].listeners.emplace_back(k, socket);
+    proxies[static_cast<std::size_t>(k % kProxyProcesses)].listeners.emplace_back(k, socket);
     sockets.push_back(socket);
   }
   ListOptions list{{}, path("list.events")};
@@ -99,14 +99,15 @@
     f.configPath = path("front" + std::to_string(front) + ".json");
     int file = open(f.faultsPath.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0644);
     if (file < 0 || ftruncate(file, sizeof(FrontControl)) < 0)
-      throw std::runtime_error("no file for faults");
-    f.faults = shared<FrontControl>(file);
+      throw std::runtime_error("cannot create fault file " + f.faultsPath);
+    f.faults = mapShared<FrontControl>(file);
     close(file);
     startFront(front);
   }
-  for (std::int64_t until = monotonicUs() + kStartUs; monotonicUs() < until; usleep(10'000)) {
+  for (std::int64_t until = monotonicUs() + kStartTimeoutUs; monotonicUs() < until;
+       usleep(10'000)) {
     bool all = true;
-    for (int front = 0; front < options_.fronts; ++front) all = all && answers(front);
+    for (int front = 0; front < options_.fronts; ++front) all = all && isAnswering(front);
     if (!all) continue;
     for (int k = 0; k < options_.clientProcesses; ++k) {
       ClientOptions c{k, options_.threadsPerProcess, options_.fronts, options_.seed,
@@ -118,7 +119,7 @@
   return false;
 }
 
-bool Fleet::answers(int front) const {
+bool Fleet::isAnswering(int front) const {
   int socket = connectTo(frontHost(front), control_->frontPort[front], 200);
   if (socket < 0) return false;
   bool good = writeAll(socket, startupMessage() + queryMessage(""));
@@ -141,7 +142,7 @@
 
 bool Fleet::finish() {
   control_->stop = true;
-  std::int64_t until = monotonicUs() + kEndUs;
+  std::int64_t until = monotonicUs() + kExitTimeoutUs;
   while (!clients_.empty() && monotonicUs() < until) {
     std::erase_if(clients_, [](pid_t p) { return waitpid(p, nullptr, WNOHANG) == p; });
     reap();
@@ -153,15 +154,16 @@
     return std::any_of(fronts_.begin(), fronts_.end(),
                        [](const FrontProcess& f) { return f.pid > 0; });
   };
-  for (until = monotonicUs() + kEndUs; anyRuns() && monotonicUs() < until; usleep(10'000)) reap();
+  for (until = monotonicUs() + kExitTimeoutUs; anyRuns() && monotonicUs() < until; usleep(10'000))
+    reap();
   for (int k = 0; k < options_.fronts; ++k)
     if (frontRuns(k)) killFront(k, true);
   return clients_.empty();
 }
 
-// ---- stores ----
+// Stores.
 
-void Fleet::startStore(int store, bool withOldData) {
+void Fleet::startStore(int store, bool isWarm) {
   StoreControl& s = control_->stores[store];
   s.frozenAt = 0;
   StoreOptions o{store, path("store" + std::to_string(store) + ".events")};
@@ -169,7 +171,7 @@
                  .store = store,
                  .port = s.proxyPort,
                  .code = s.group,
-                 .value = withOldData,
+                 .value = isWarm,
                  .offset = control_->listVersion + 1});
   storePids_[store] = forkPeer([&] { runStore(*control_, o); });
 }
@@ -184,7 +186,7 @@
   storePids_.erase(it);
 }
 
-void Fleet::changed(int store) {
+void Fleet::publishChange(int store) {
   std::int64_t version = control_->listVersion + 1;
   control_->changedAt[store] = static_cast<int>(version);
   control_->listVersion = version;
@@ -194,7 +196,7 @@
   control_->stores[store].listed = static_cast<int>(ListState::draining);
   std::int64_t version = control_->listVersion + 1;
   recorder_.add({.kind = Kind::storeDraining, .store = store, .value = version});
-  changed(store);
+  publishChange(store);
 }
 
 void Fleet::makePrimary(int store) {
@@ -218,14 +220,14 @@
   s.startedMs = wallUs() / 1000;
   control_->storeCount = store + 1;
   startStore(store, false);
-  changed(store);
+  publishChange(store);
   return store;
 }
 
-// ---- fronts ----
+// Fronts.
 
 std::string Fleet::settings() const {
-  auto truth = [](bool so) { return std::string(so ? "true" : "false"); };
+  auto jsonBool = [](bool value) { return std::string(value ? "true" : "false"); };
   std::string classes;
   for (const Workload& w : kWorkloads) {
     const char* repeat = w.effect == Effect::repeatable ? "repeatable"
@@ -235,7 +237,7 @@
                "\",\"repeat\":\"" + repeat + "\"" +
                (w.effect == Effect::deduplicated
                     ? ",\"key_scope\":\"cell\",\"repeat_window\":" +
-                          std::to_string(options_.repeatWindowMs * 1000)
+                          std::to_string(options_.deduplicationWindowMs * 1000)
                     : "") +
                ",\"slo\":500000,\"worth\":" + (w.write ? "4" : "1") + ",\"late_worth\":0.2}";
   }
@@ -246,12 +248,12 @@
          ",0,0],\"origin_time\":0,\"role_in_list\":\"static\",\"checks\":\"none\",\"tokens\":"
          "\"brought\"},"
          "\"failure_domains\":[\"a\"],\"membership_mode\":\"" +
-         (options_.asksForList ? "subscribe" : "automatic") +
+         (options_.subscribesToList ? "subscribe" : "automatic") +
          "\",\"siblings\":" + std::to_string(options_.fronts) +
          ",\"tick\":5000,\"limits\":{\"connect_timeout\":250000,\"keepalive\":15000000,\"max_"
          "attempts\":" +
-         std::to_string(options_.mostAttempts) + ",\"may_cancel\":" + truth(options_.mayCancel) +
-         ",\"parallel_tries\":" + truth(options_.secondCopies) +
+         std::to_string(options_.maxAttempts) + ",\"may_cancel\":" + jsonBool(options_.mayCancel) +
+         ",\"parallel_tries\":" + jsonBool(options_.allowsParallelAttempts) +
          ",\"probes\":true,\"retry_after\":true,\"max_retry_after\":2000000},"
          "\"obligations\":{\"ask_every\":2000000,\"cold_from\":0.27,\"fall_multiple\":2.5,\"ramp_"
          "time\":"
@@ -270,9 +272,9 @@
                      "\",\"limits\":{\"sockets\":" + std::to_string(options_.descriptors) +
                      ",\"memory_mb\":64},\"known\":" + wholeList(*control_) +
                      ",\"settings\":" + settings() + "}";
-  std::string aside = f.configPath + ".new";
-  std::ofstream(aside) << text;
-  std::rename(aside.c_str(), f.configPath.c_str());
+  std::string temporaryPath = f.configPath + ".new";
+  std::ofstream(temporaryPath) << text;
+  std::rename(temporaryPath.c_str(), f.configPath.c_str());
 }
 
 void Fleet::startFront(int front) {
@@ -292,10 +294,14 @@
   setenv("SOAK_EVENTS", path("front" + std::to_string(front) + ".events").c_str(), 1);
   setenv("SOAK_FRONT", std::to_string(front).c_str(), 1);
   setenv("LD_PRELOAD", options_.library.c_str(), 1);
-  // ASan asks to be the first that is loaded; nothing of its own is replaced here.
-  const char* had = std::getenv("ASAN_OPTIONS");
-  setenv("ASAN_OPTIONS", ((had ? std::string(had) + ":" : "") + "verify_asan_link_order=0").c_str(),
-         1);
+  // ASan requires its runtime to be the first library loaded. The check is disabled, as the fault
+  // library replaces no function of ASan.
+  const char* inheritedOptions = std::getenv("ASAN_OPTIONS");
+  setenv(
+      "ASAN_OPTIONS",
+      ((inheritedOptions ? std::string(inheritedOptions) + ":" : "") + "verify_asan_link_order=0")
+          .c_str(),
+      1);
   execl(options_.program.c_str(), options_.program.c_str(), static_cast<char*>(nullptr));
   _exit(127);
 }
--- a/tests/soak/fleet.h
+++ b/tests/soak/fleet.h
@@ -1,4 +1,5 @@
-// The processes of one run: fronts with the fault library, stores, proxies, the list's service and
+// The processes of one soak run: fronts (reedchute processes under test, with the fault library
+// preloaded), stores, the fault-injecting proxies before them, the endpoint list service and
 // clients.
 #pragma once
 
@@ -19,10 +20,10 @@
   std::string program, library, folder;
   std::uint64_t seed = 0;
   int fronts = 4, groups = 2, storesPerGroup = 4, spareStores = 6, clientProcesses = 6;
-  // Of the fronts' settings.
-  int descriptors = 256, repeatWindowMs = 1'000, mostAttempts = 4, drainGraceMs = 250;
-  bool secondCopies = true, mayCancel = true, asksForList = false;
-  // Of the clients.
+  // Settings of the fronts.
+  int descriptors = 256, deduplicationWindowMs = 1'000, maxAttempts = 4, drainGraceMs = 250;
+  bool allowsParallelAttempts = true, mayCancel = true, subscribesToList = false;
+  // Settings of the clients.
   int threadsPerProcess = 4, thinkUs = 20'000;
 };
 
@@ -33,32 +34,36 @@
   Fleet(const Fleet&) = delete;
   Fleet& operator=(const Fleet&) = delete;
 
-  // Starts everything, and returns once each front answers; false where one doesn't in 30 s.
-  bool begin();
-  // Takes up which processes have ended.
+  // Starts all processes and waits until each front answers a query; returns false if one doesn't
+  // within 30 s.
+  bool start();
+  // Collects and records the exits of fronts.
   void reap();
-  // Clients ask nothing new, and the fronts end as they do for a restart; false where something
-  // stays.
+  // Stops the clients, then terminates the fronts by SIGTERM as for a restart, and kills those that
+  // don't exit. Returns false if a client process didn't end.
   bool finish();
 
-  void startStore(int store, bool withOldData);
+  void startStore(int store, bool isWarm);
   void killStore(int store);
-  void changed(int store);  // what the list says of it
+  // Publishes the present state of a store in the next version of the endpoint list.
+  void publishChange(int store);
   void drain(int store);
   void makePrimary(int store);
-  // The next store that was never used; -1: none is left.
+  // Starts the next spare store in `group` and returns its index, or -1 if none is left.
   int nextSpare(int group);
 
   void startFront(int front);
   void terminateFront(int front);
-  // `overdue`: as it has not ended by itself in its time.
+  // `overdue`: the front didn't exit in time after SIGTERM.
   void killFront(int front, bool overdue = false);
+  // Sends SIGSTOP if `stopped`, SIGCONT otherwise.
   void stopFront(int front, bool stopped);
-  // Writes its configuration, with either agent for its list, and tells it to read that.
+  // Rewrites the front's configuration with the given agent (0 or 1) of the endpoint list service,
+  // and sends SIGHUP.
   void reloadFront(int front, int agent);
-  // Sends SIGTERM once more.
+  // Sends another SIGTERM, without recording it.
   void signalAgain(int front);
-  // Has it been told to end in this life?
+  // Whether SIGTERM was sent to the present process of this front.
   bool frontIsEnding(int front) const { return fronts_[static_cast<std::size_t>(front)].isEnding; }
   bool frontRuns(int front) const { return fronts_[static_cast<std::size_t>(front)].pid > 0; }
   int frontStarts(int front) const { return fronts_[static_cast<std::size_t>(front)].starts; }
@@ -90,7 +95,7 @@
   std::string settings() const;
   std::string path(const std::string& name) const { return options_.folder + "/" + name; }
   void configure(int front);
-  bool answers(int front) const;
+  bool isAnswering(int front) const;
   FrontProcess& frontAt(int k) { return fronts_[static_cast<std::size_t>(k)]; }
 
   FleetOptions options_;
--- a/tests/soak/list.cpp
+++ b/tests/soak/list.cpp
@@ -1,4 +1,5 @@
-// The list's service: an agent for each front, and a second one to which the configuration moves.
+// Endpoint list service: two agents for each front, between which a reload of the configuration may
+// switch.
 #include <poll.h>
 #include <sys/prctl.h>
 #include <sys/socket.h>
@@ -40,16 +41,17 @@
   return listing(version, false, entries);
 }
 
-std::int64_t figure(const std::string& head, const std::string& name) {
+std::int64_t parseNumberAfter(const std::string& head, const std::string& name) {
   std::size_t at = head.find(name);
   return at == std::string::npos
              ? -1
              : static_cast<std::int64_t>(numberOf(head.substr(at + name.size())));
 }
 
-class ListCall {
+class ListConnection {
  public:
-  ListCall(Control& control, const ListOptions::Agent& agent, const Recorder& recorder, int socket)
+  ListConnection(Control& control, const ListOptions::Agent& agent, const Recorder& recorder,
+                 int socket)
       : control_(control),
         agent_(agent),
         recorder_(recorder),
@@ -78,20 +80,21 @@
     }
     std::string head = in.substr(0, end);
     in.erase(0, end + 4);
-    std::int64_t known = figure(head, "index="), waitMs = figure(head, "wait=");
+    std::int64_t known = parseNumberAfter(head, "index="), waitMs = parseNumberAfter(head, "wait=");
     if (mode() == ListMode::unavailable)
       return writeAll(socket_, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
     std::int64_t until = monotonicUs() + waitMs * 1000;
     while (known >= 0 && control_.listVersion <= known && monotonicUs() < until) {
-      if (!stays()) return false;
+      if (!isConnected()) return false;
       usleep(2'000);
     }
     if (mode() == ListMode::slow) usleep(300'000);
     while (mode() == ListMode::silent) {
-      if (!stays()) return false;
+      if (!isConnected()) return false;
       usleep(5'000);
     }
-    // Danger: the version is read first: what changes meanwhile is told again with the next one.
+    // The version must be read before the entries: a change made in between is then sent again with
+    // the next version instead of being lost.
     std::int64_t version = control_.listVersion;
     std::string body = known < 0 ? wholeList(control_) : changesSince(control_, version, known);
     bool written = writeAll(
@@ -100,8 +103,8 @@
     if (written) recorder_.add({.kind = Kind::listTold, .front = agent_.front, .value = version});
     return written;
   }
-  // False once its caller has gone, or all are reset.
-  bool stays() {
+  // Returns false once the front has disconnected or all connections are to be reset.
+  bool isConnected() {
     if (resets_ != control_.resetLists) return false;
     char byte;
     return recv(socket_, &byte, 1, MSG_PEEK | MSG_DONTWAIT) != 0;
@@ -137,7 +140,7 @@
         int socket = accept4(agent.socket, nullptr, nullptr, SOCK_CLOEXEC);
         if (socket >= 0)
           std::thread([&control, &recorder, agent, socket] {
-            ListCall(control, agent, recorder, socket).run();
+            ListConnection(control, agent, recorder, socket).run();
           }).detach();
       }
     });
--- a/tests/soak/main.cpp
+++ b/tests/soak/main.cpp
@@ -1,9 +1,8 @@
-// The soak: some thirty real processes on loopback under troubles drawn from a seed, judged by what
-// they recorded.
+// The soak: runs some thirty real processes on loopback, injects disruptions ("troubles") drawn
+// from a seed, and checks the events that the processes recorded.
 //   soak PROGRAM LIBRARY [--seed N] [--runs N] [--seconds N] [--fronts N] [--keep FOLDER]
-// Each run prints its troubles, its counts and the violations that were found; exit code 1 where
-// there was one. With
-// --keep the folder of a run that found something stays, with the logs of its fronts.
+// Each run prints its disruptions, its counts and the violations found; the exit code is 1 if there
+// were any. With --keep the events and the logs of the fronts of a failed run are copied to FOLDER.
 #include <unistd.h>
 
 #include <algorithm>
@@ -23,7 +22,7 @@
 namespace soak {
 namespace {
 
-constexpr std::size_t kMostTold = 6;  // violations of one rule that are told in full
+constexpr std::size_t kMaxPrinted = 6;  // violations of one rule that are printed in full
 
 struct Options {
   std::string program, library, keep;
@@ -31,20 +30,21 @@
   int seconds = 8, fronts = 0;
 };
 
-// What the fronts' own checks have counted, from their logs.
-std::size_t countLines(const std::string& folder, const char* event, bool tell) {
+// Counts the lines with `event`, from the fronts' own checks, in the logs of the fronts, and prints
+// the first of them if `isPrinted`.
+std::size_t countLines(const std::string& folder, const char* event, bool isPrinted) {
   std::size_t found = 0;
   for (const auto& entry : std::filesystem::directory_iterator(folder)) {
     if (entry.path().extension() != ".log") continue;
     std::ifstream log(entry.path());
     for (std::string line; std::getline(log, line);)
-      if (line.find(event) != std::string::npos && ++found <= kMostTold && tell)
+      if (line.find(event) != std::string::npos && ++found <= kMaxPrinted && isPrinted)
         std::printf("  %s: %s\n", entry.path().filename().c_str(), line.c_str());
   }
   return found;
 }
 
-void tell(const Verdict& verdict) {
+void printVerdict(const Verdict& verdict) {
   std::printf(
       "  statements=%zu served=%zu refused=%zu failed=%zu left=%zu resent=%zu excused=%zu "
       "attempts=%zu\n",
@@ -52,7 +52,7 @@
       verdict.resent, verdict.excused, verdict.attempts);
   std::map<std::string, std::size_t> counts;
   for (const Violation& v : verdict.violations) {
-    if (++counts[v.rule] > kMostTold) continue;
+    if (++counts[v.rule] > kMaxPrinted) continue;
     std::printf("  VIOLATION %s: %s\n", v.rule.c_str(), v.what.c_str());
     for (const Event& e : v.about) std::printf("      %s\n", describe(e).c_str());
   }
@@ -65,51 +65,53 @@
   std::printf("seed %llu\n", static_cast<unsigned long long>(seed));
   FleetOptions f{.program = o.program, .library = o.library, .folder = folder, .seed = seed};
   f.fronts = o.fronts > 0 ? o.fronts : 2 + static_cast<int>(seed % 5);
-  // Other settings by the seed, as other customers have them.
-  f.secondCopies = seed % 3 != 0, f.mayCancel = seed % 7 != 0, f.asksForList = seed % 5 == 0;
+  // The settings vary by the seed, as they do between customers.
+  f.allowsParallelAttempts = seed % 3 != 0, f.mayCancel = seed % 7 != 0,
+  f.subscribesToList = seed % 5 == 0;
   f.descriptors = seed % 4 == 1 ? 96 : 256;
-  f.repeatWindowMs = seed % 2 ? 1'000 : 300;
-  f.mostAttempts = 2 + static_cast<int>(seed % 4);
-  // At times many clients, on few processes.
+  f.deduplicationWindowMs = seed % 2 ? 1'000 : 300;
+  f.maxAttempts = 2 + static_cast<int>(seed % 4);
+  // One seed in twelve has many clients on few fronts.
   if (seed % 12 == 7) f.threadsPerProcess = 40, f.thinkUs = 400'000, f.fronts = 2;
-  bool good = true, stepped = false;
+  bool passed = true, stepped = false;
   Stalls stalls;
   {
     Fleet fleet(f);
-    if (!fleet.begin()) {
+    if (!fleet.start()) {
       std::printf("  the fronts did not start\n");
-      good = false;
+      passed = false;
     } else {
       StallWatch watch;
       Troubles troubles(fleet, seed);
       troubles.run(o.seconds);
-      stepped = troubles.steppedClocks();
-      if (!fleet.finish()) std::printf("  clients did not end\n"), good = false;
+      stepped = troubles.hasSteppedClocks();
+      if (!fleet.finish()) std::printf("  clients did not end\n"), passed = false;
       stalls = watch.stop();
     }
   }
-  OracleOptions judgedBy;
-  judgedBy.checksStaleness = !stepped;
-  judgedBy.drainGraceUs = f.drainGraceMs * 1000, judgedBy.repeatWindowUs = f.repeatWindowMs * 1000;
-  judgedBy.secondCopies = f.secondCopies;
-  Verdict verdict = judge(readEvents(folder), judgedBy);
-  tell(verdict);
-  std::size_t own = countLines(folder, " invariant_violated ", true) +
-                    countLines(folder, " responses_missing ", true) +
-                    countLines(folder, " task_failed ", true);
-  good = good && verdict.violations.empty() && own == 0 && verdict.served > 0;
+  OracleOptions oracleOptions;
+  oracleOptions.checksStaleness = !stepped;
+  oracleOptions.drainGraceUs = f.drainGraceMs * 1000,
+  oracleOptions.deduplicationWindowUs = f.deduplicationWindowMs * 1000;
+  oracleOptions.allowsParallelAttempts = f.allowsParallelAttempts;
+  Verdict verdict = judge(readEvents(folder), oracleOptions);
+  printVerdict(verdict);
+  std::size_t invariantFailures = countLines(folder, " invariant_violated ", true) +
+                                  countLines(folder, " responses_missing ", true) +
+                                  countLines(folder, " task_failed ", true);
+  passed = passed && verdict.violations.empty() && invariantFailures == 0 && verdict.served > 0;
   std::printf("  the machine stood still %d times for over 0.1 s, at most %lld ms\n", stalls.count,
               static_cast<long long>(stalls.longestUs / 1000));
-  std::printf("seed %llu: %s\n", static_cast<unsigned long long>(seed), good ? "kept" : "BROKEN");
+  std::printf("seed %llu: %s\n", static_cast<unsigned long long>(seed), passed ? "kept" : "BROKEN");
   std::fflush(stdout);
-  if (!good && !o.keep.empty()) {
-    std::string kept = o.keep + "/" + std::to_string(seed);
+  if (!passed && !o.keep.empty()) {
+    std::string keptFolder = o.keep + "/" + std::to_string(seed);
     std::filesystem::create_directories(o.keep);
-    std::filesystem::remove_all(kept);
-    std::filesystem::copy(folder, kept, std::filesystem::copy_options::recursive);
+    std::filesystem::remove_all(keptFolder);
+    std::filesystem::copy(folder, keptFolder, std::filesystem::copy_options::recursive);
   }
   std::filesystem::remove_all(folder);
-  return good;
+  return passed;
 }
 
 bool readOptions(int argc, char** argv, Options& o) {
--- a/tests/soak/oracle.cpp
+++ b/tests/soak/oracle.cpp
@@ -11,27 +11,30 @@
 namespace soak {
 namespace {
 
-constexpr std::int64_t kStillOwedUs =
-    500'000;  // after its time an answer earns nothing; later it is lost
-constexpr std::int64_t kLeftSlackUs =
-    100'000;  // an attempt may begin so long after its client has gone
-constexpr std::int64_t kToldSlackUs = 150'000;  // more than is left, that a store may be told
-constexpr std::int64_t kStoppedUs =
-    3'000'000;  // that a client which stops in the middle is kept waiting
-constexpr std::int64_t kToldAnywayUs = 6'000'000;  // a change of the list counts as told by then
+// An answer this long after its deadline is worthless but accepted; after that it counts as lost.
+constexpr std::int64_t kLateAnswerUs = 500'000;
+// An attempt may begin so long after its client disconnected.
+constexpr std::int64_t kDisconnectSlackUs = 100'000;
+// The time left that is sent to a store may exceed the actual one by so much.
+constexpr std::int64_t kTimeLeftSlackUs = 150'000;
+// The connection of a client that stops in the middle of a message must be closed within this time.
+constexpr std::int64_t kStoppedUs = 3'000'000;
+// A change of the endpoint list counts as received by all fronts after this time.
+constexpr std::int64_t kListPropagationUs = 6'000'000;
 
-// As the fronts' settings have it (fleet.cpp).
+// Slow start, as in the fronts' settings (fleet.cpp).
 constexpr double kColdFrom = 0.27, kColdMultiple = 2.5, kColdRampUs = 4e6;
 constexpr std::int64_t kColdWindowUs = 1'000'000;
-constexpr std::int64_t kBeginsUs = 500'000;  // that a process takes until it can be told anything
+// Time that a process takes until it handles signals.
+constexpr std::int64_t kProcessStartUs = 500'000;
 
 struct Attempt {
   Event began;
-  bool whole = false;
-  std::optional<Event> reply;  // what its store answered
+  bool isWhole = false;
+  std::optional<Event> reply;  // response of the store
 };
 
-struct Story {
+struct StatementHistory {
   Event sent;
   std::optional<Event> answered, left, sawEnd;
   int answers = 0;
@@ -39,10 +42,10 @@
   std::vector<Event> runs, all;
 };
 
-struct FrontLife {
+struct FrontProcess {
   std::int64_t from = 0, to = INT64_MAX;
   bool killed = false;
-  std::vector<Event> told = {};  // lists
+  std::vector<Event> lists = {};  // endpoint lists that were sent to it
   std::int64_t terminatedAt = INT64_MAX;
 };
 
@@ -52,26 +55,26 @@
       : events_(events), options_(options) {}
 
   Verdict run() {
-    gather();
-    for (auto& [id, story] : stories_) {
-      findEnd(story);
-      if (story.sent.statement == 0) continue;
-      checkAnswer(story);
-      checkAttempts(story);
-      checkRepeats(story);
-      checkReads(story);
+    collect();
+    for (auto& [id, history] : histories_) {
+      findEnd(history);
+      if (history.sent.statement == 0) continue;
+      checkAnswer(history);
+      checkAttempts(history);
+      checkRepeats(history);
+      checkReads(history);
     }
-    checkStopped();
+    checkStoppedClients();
     checkFronts();
     checkSlowStart();
     return std::move(verdict_);
   }
 
  private:
-  void gather() {
+  void collect() {
     for (const Event& e : events_) {
-      if (e.statement != 0) stories_[e.statement].all.push_back(e);
-      Story* s = e.statement != 0 ? &stories_[e.statement] : nullptr;
+      if (e.statement != 0) histories_[e.statement].all.push_back(e);
+      StatementHistory* s = e.statement != 0 ? &histories_[e.statement] : nullptr;
       switch (e.kind) {
         case Kind::clientSent:
           s->sent = e;
@@ -91,10 +94,10 @@
           ++verdict_.attempts;
           break;
         case Kind::attemptWhole:
-          // Of two on the same way it is the later: the first broke off.
+          // Of two attempts at the same store it is the later one, as the earlier one was cut off.
           for (auto a = s->attempts.rbegin(); a != s->attempts.rend(); ++a)
             if (a->began.port == e.port) {
-              a->whole = true;
+              a->isWhole = true;
               break;
             }
           break;
@@ -102,7 +105,7 @@
           s->runs.push_back(e);
           break;
         case Kind::storeReplied:
-          noteReply(*s, e);
+          recordReply(*s, e);
           break;
         case Kind::storeStarted:
           storePorts_[e.port] = e.store;
@@ -114,19 +117,20 @@
           primaries_[e.store].push_back(e.at);
           break;
         case Kind::frontStarted:
-          lives_[e.front].push_back({.from = e.at});
+          processes_[e.front].push_back({.from = e.at});
           break;
         case Kind::frontTerminated:
-          lives_[e.front].back().terminatedAt = std::min(lives_[e.front].back().terminatedAt, e.at);
+          processes_[e.front].back().terminatedAt = std::min(
+              processes_[e.front].back().terminatedAt, e.at);
           break;
         case Kind::frontKilled:
-          lives_[e.front].back().killed = true, lives_[e.front].back().to = e.at;
+          processes_[e.front].back().killed = true, processes_[e.front].back().to = e.at;
           break;
         case Kind::frontExited:
-          if (lives_[e.front].back().to == INT64_MAX) lives_[e.front].back().to = e.at;
+          if (processes_[e.front].back().to == INT64_MAX) processes_[e.front].back().to = e.at;
           break;
         case Kind::listTold:
-          if (!lives_[e.front].empty()) lives_[e.front].back().told.push_back(e);
+          if (!processes_[e.front].empty()) processes_[e.front].back().lists.push_back(e);
           break;
         case Kind::frontClosed:
           closes_[{e.front, e.port}].push_back(e);
@@ -139,10 +143,10 @@
       }
     }
   }
-  // How its connection ended, where it stood without an answer; behind others it is told of the
-  // first of them.
-  void findEnd(Story& s) {
-    // A copy: events are added below.
+  // Finds how the connection of an unanswered statement ended. Clients record the end of a
+  // connection only for the first of several pipelined statements.
+  void findEnd(StatementHistory& s) {
+    // A copy, because events are added to `s.all` below.
     const Event first = s.sent.statement != 0 ? s.sent : s.all.front();
     auto ends = ends_.find({first.front, first.port});
     if (ends == ends_.end()) return;
@@ -156,7 +160,7 @@
         for (const Event& e : at->second)
           if (e.at >= first.at - 1'000'000 && e.at <= end->at + 1'000'000) s.all.push_back(e);
   }
-  void noteReply(Story& s, const Event& reply) {
+  void recordReply(StatementHistory& s, const Event& reply) {
     for (Attempt& a : s.attempts) {
       auto store = storePorts_.find(a.began.port);
       if (!a.reply && store != storePorts_.end() && store->second == reply.store) {
@@ -166,54 +170,55 @@
     }
   }
 
-  void blame(const char* rule, const std::string& what, const Story& s) {
+  void addViolation(const char* rule, const std::string& what, const StatementHistory& s) {
     verdict_.violations.push_back({rule, what, s.all});
   }
   static std::string ms(std::int64_t us) { return std::to_string(us / 1000) + " ms"; }
 
-  // Was its front killed since its connection was accepted? Where it had been told to end, that
-  // excuses nothing that came more than 0.7 s later.
-  bool killedMeanwhile(const Event& sent, std::int64_t until) const {
-    auto lives = lives_.find(sent.front);
-    if (lives == lives_.end()) return false;
+  // Whether the front was killed between the accept of the connection and `until`. A kill excuses
+  // no statement that was sent more than 0.7 s after SIGTERM.
+  bool wasKilledMeanwhile(const Event& sent, std::int64_t until) const {
+    auto processes = processes_.find(sent.front);
+    if (processes == processes_.end()) return false;
     std::int64_t since = sent.at - options_.slackUs;
     if (auto accepted = acceptedAt(sent)) since = std::min(since, *accepted);
-    for (const FrontLife& l : lives->second)
-      if (l.killed && l.to >= since && l.to <= until &&
-          (l.terminatedAt == INT64_MAX || sent.at <= l.terminatedAt + kDrainUs))
+    for (const FrontProcess& process : processes->second)
+      if (process.killed && process.to >= since && process.to <= until &&
+          (process.terminatedAt == INT64_MAX || sent.at <= process.terminatedAt + kDrainUs))
         return true;
     return false;
   }
 
-  // Rule 1: one final answer in time.
-  void checkAnswer(const Story& s) {
-    if (s.answers > 1) blame("answers", "answered " + std::to_string(s.answers) + " times", s);
+  // Rule 1: each statement gets exactly one final answer, in time.
+  void checkAnswer(const StatementHistory& s) {
+    if (s.answers > 1)
+      addViolation("answers", "answered " + std::to_string(s.answers) + " times", s);
     if (s.answered) {
       Answer code = static_cast<Answer>(s.answered->code);
       verdict_.served += code == Answer::served, verdict_.refused += code == Answer::refused;
       verdict_.failed += code == Answer::failed;
       std::int64_t late = s.answered->at - s.sent.deadline;
-      if (late > kStillOwedUs + options_.slackUs && s.sent.value == 1)
-        blame("late", "answered " + ms(late) + " after its time", s);
-      checkPromise(s, code);
+      if (late > kLateAnswerUs + options_.slackUs && s.sent.value == 1)
+        addViolation("late", "answered " + ms(late) + " after its time", s);
+      checkRefusal(s, code);
       return;
     }
-    std::int64_t owedUntil = s.sent.deadline + kStillOwedUs;
-    // One that stood behind another's answer may have waited for that.
+    std::int64_t answerUntil = s.sent.deadline + kLateAnswerUs;
+    // A pipelined statement may have waited for the answer to an earlier one.
     bool behind = s.sent.value > 1 && s.left && s.left->statement != s.sent.statement;
-    if (s.left && (behind || s.left->at < owedUntil)) return void(++verdict_.left);
-    if (killedMeanwhile(s.sent, s.sawEnd ? s.sawEnd->at + options_.slackUs : owedUntil))
+    if (s.left && (behind || s.left->at < answerUntil)) return void(++verdict_.left);
+    if (wasKilledMeanwhile(s.sent, s.sawEnd ? s.sawEnd->at + options_.slackUs : answerUntil))
       return void(++verdict_.excused);
     bool accepted = acceptedAt(s.sent).has_value();
     if (s.sawEnd && accepted && !wasRead(s)) return void(++verdict_.resent);
     if (s.sawEnd && !accepted)
-      blame("lost", "its connection ended without being accepted", s);
+      addViolation("lost", "its connection ended without being accepted", s);
     else if (s.sawEnd)
-      blame("lost", "read, and its connection ended without an answer", s);
-    else if (s.left || s.sent.deadline + kStillOwedUs + options_.slackUs < events_.back().at)
-      blame("lost", "never answered", s);
+      addViolation("lost", "read, and its connection ended without an answer", s);
+    else if (s.left || s.sent.deadline + kLateAnswerUs + options_.slackUs < events_.back().at)
+      addViolation("lost", "never answered", s);
   }
-  // When the connection was accepted on which it was sent; nothing: it wasn't.
+  // Returns when the statement's connection was accepted, or nothing if it wasn't.
   std::optional<std::int64_t> acceptedAt(const Event& sent) const {
     auto accepts = accepts_.find({sent.front, sent.port});
     if (accepts == accepts_.end()) return std::nullopt;
@@ -222,8 +227,8 @@
       if (e.at <= sent.at || !at) at = e.at;
     return at;
   }
-  // Had the front read its last byte by the time it closed the connection?
-  bool wasRead(const Story& s) const {
+  // Whether the front had read the last byte of the statement when it closed the connection.
+  bool wasRead(const StatementHistory& s) const {
     auto closes = closes_.find({s.sent.front, s.sent.port});
     std::optional<std::int64_t> since = acceptedAt(s.sent);
     if (closes == closes_.end() || !since) return true;
@@ -231,94 +236,99 @@
       if (e.at >= *since) return e.value >= s.sent.offset;
     return true;
   }
-  // A refusal promises that nothing has run, where a second effect would matter.
-  void checkPromise(const Story& s, Answer code) {
+  // A refusal means that the statement has not run; checked only if running it twice would matter.
+  void checkRefusal(const StatementHistory& s, Answer code) {
     if (code != Answer::refused || kWorkloads[s.sent.code].effect == Effect::repeatable) return;
     for (const Event& run : s.runs)
-      if (run.at <= s.answered->at) return blame("promise", "refused though it had run", s);
+      if (run.at <= s.answered->at) return addViolation("promise", "refused though it had run", s);
   }
 
-  // Nothing is sent after the answer or for a client that has gone; what is left is told; no store
-  // that drains.
-  void checkAttempts(const Story& s) {
+  // No attempt is sent after the answer, after the deadline, for a disconnected client or to a
+  // draining store, and stores are sent no more time than is left.
+  void checkAttempts(const StatementHistory& s) {
     for (const Attempt& a : s.attempts) {
       std::int64_t at = a.began.at;
-      if (s.left && at > s.left->at + kLeftSlackUs)
-        blame("left", "an attempt " + ms(at - s.left->at) + " after its client closed", s);
+      if (s.left && at > s.left->at + kDisconnectSlackUs)
+        addViolation("left", "an attempt " + ms(at - s.left->at) + " after its client closed", s);
       if (s.answered && at > s.answered->at + options_.slackUs)
-        blame("sent", "an attempt " + ms(at - s.answered->at) + " after its answer", s);
-      // A front may be held up between its clock and its write.
-      if (at > s.sent.deadline + kToldSlackUs + options_.slackUs)
-        blame("sent", "an attempt after its time", s);
+        addViolation("sent", "an attempt " + ms(at - s.answered->at) + " after its answer", s);
+      // A front may be suspended between reading its clock and the write.
+      if (at > s.sent.deadline + kTimeLeftSlackUs + options_.slackUs)
+        addViolation("sent", "an attempt after its time", s);
       std::int64_t more = a.began.value * 1000 - (s.sent.deadline - at);
-      if (more > kToldSlackUs + options_.slackUs)
-        blame("told", "a store was told " + ms(more) + " more than was left", s);
+      if (more > kTimeLeftSlackUs + options_.slackUs)
+        addViolation("told", "a store was told " + ms(more) + " more than was left", s);
       checkDrain(s, a);
     }
   }
-  void checkDrain(const Story& s, const Attempt& a) {
+  void checkDrain(const StatementHistory& s, const Attempt& a) {
     auto store = storePorts_.find(a.began.port);
     if (store == storePorts_.end()) return;
     auto drain = drains_.find(store->second);
     if (drain == drains_.end()) return;
-    std::int64_t told = toldAt(a.began.front, a.began.at, drain->second.value);
-    if (a.began.at - options_.drainGraceUs - options_.slackUs > told)
-      blame("drain", "an attempt " + ms(a.began.at - told) + " after its store's drain was told",
-            s);
+    std::int64_t receivedAt = listReceivedAt(a.began.front, a.began.at, drain->second.value);
+    if (a.began.at - options_.drainGraceUs - options_.slackUs > receivedAt)
+      addViolation(
+          "drain",
+          "an attempt " + ms(a.began.at - receivedAt) + " after its store's drain was told", s);
   }
-  // When this front was told of a list's version, in the life in which it is at `at`.
-  std::int64_t toldAt(int front, std::int64_t at, std::int64_t version) const {
-    auto lives = lives_.find(front);
-    if (lives == lives_.end()) return INT64_MAX;
-    std::int64_t told = INT64_MAX;
-    for (const FrontLife& l : lives->second) {
-      if (l.from > at || at > l.to + options_.slackUs) continue;
-      for (const Event& e : l.told)
-        if (e.value >= version) told = std::min(told, e.at);
+  // Returns when the process of `front` that runs at `at` received the endpoint list `version`;
+  // INT64_MAX if it didn't.
+  std::int64_t listReceivedAt(int front, std::int64_t at, std::int64_t version) const {
+    auto processes = processes_.find(front);
+    if (processes == processes_.end()) return INT64_MAX;
+    std::int64_t receivedAt = INT64_MAX;
+    for (const FrontProcess& process : processes->second) {
+      if (process.from > at || at > process.to + options_.slackUs) continue;
+      for (const Event& e : process.lists)
+        if (e.value >= version) receivedAt = std::min(receivedAt, e.at);
     }
-    return told;
+    return receivedAt;
   }
 
-  // Rule 2: no effect twice.
-  void checkRepeats(const Story& s) {
+  // Rule 2: no effect is applied twice.
+  void checkRepeats(const StatementHistory& s) {
     Effect effect = kWorkloads[s.sent.code].effect;
     if (effect == Effect::repeatable) return;
     if (effect == Effect::once && s.runs.size() > 1)
-      blame("duplicate", "ran " + std::to_string(s.runs.size()) + " times", s);
+      addViolation("duplicate", "ran " + std::to_string(s.runs.size()) + " times", s);
     for (std::size_t k = 1; k < s.attempts.size(); ++k)
       for (std::size_t before = 0; before < k; ++before) {
         const Attempt& earlier = s.attempts[before];
         if (!mayHaveRun(earlier)) continue;
         std::int64_t gap = s.attempts[k].began.at - earlier.began.at;
         if (effect == Effect::once)
-          blame("duplicate", "sent again though it may have run", s);
-        else if (gap > options_.repeatWindowUs + options_.slackUs)
-          blame("window", "sent again " + ms(gap) + " after it may have run", s);
+          addViolation("duplicate", "sent again though it may have run", s);
+        else if (gap > options_.deduplicationWindowUs + options_.slackUs)
+          addViolation("window", "sent again " + ms(gap) + " after it may have run", s);
       }
   }
-  // As the front can know it.
+  // Whether the attempt may have run, as far as the front can know.
   static bool mayHaveRun(const Attempt& a) {
-    if (!a.whole) return false;
+    if (!a.isWhole) return false;
     if (!a.reply) return true;
     Answer code = static_cast<Answer>(a.reply->code);
     return code != Answer::miss && code != Answer::refused;
   }
 
-  // Rule 5: no stale read.
-  void checkReads(const Story& s) {
+  // Rule 5: no read is staler than its bound.
+  void checkReads(const StatementHistory& s) {
     std::int64_t bound = kWorkloads[s.sent.code].boundUs;
     if (bound == 0 || !options_.checksStaleness) return;
     for (const Event& e : s.all) {
       if (e.kind != Kind::storeReceived) continue;
-      // A bound counts from the send: what the proxy has held since is not the front's.
+      // The bound applies when the attempt is sent. Delay in the fault-injecting proxy after that
+      // isn't the front's.
       std::int64_t age = e.value - (e.at - sentTo(s, e));
       if (age <= bound + 2 * options_.slackUs) continue;
-      // One that was primary is excused until an answer has told that it is none.
+      // A former primary is excused, as the front learns only from its next response that it isn't
+      // the primary any more.
       if (primaries_.contains(e.store)) continue;
-      blame("stale", "read from data " + ms(age) + " old as it was sent, at most " + ms(bound), s);
+      addViolation("stale",
+                   "read from data " + ms(age) + " old as it was sent, at most " + ms(bound), s);
     }
   }
-  std::int64_t sentTo(const Story& s, const Event& received) const {
+  std::int64_t sentTo(const StatementHistory& s, const Event& received) const {
     std::int64_t at = received.at;
     for (const Attempt& a : s.attempts) {
       auto store = storePorts_.find(a.began.port);
@@ -328,15 +338,16 @@
     return at;
   }
 
-  void checkStopped() {
-    for (auto& [id, story] : stories_) {
-      auto stopped = std::find_if(story.all.begin(), story.all.end(),
+  void checkStoppedClients() {
+    for (auto& [id, history] : histories_) {
+      auto stopped = std::find_if(history.all.begin(), history.all.end(),
                                   [](const Event& e) { return e.kind == Kind::clientStopped; });
-      if (stopped == story.all.end()) continue;
-      bool ended = story.sawEnd && story.sawEnd->at <= stopped->at + kStoppedUs + options_.slackUs;
-      if (!ended && story.left && !killedMeanwhile(*stopped, stopped->at + kStoppedUs))
-        blame("stopped", "a client that stopped in the middle of a message was kept waiting",
-              story);
+      if (stopped == history.all.end()) continue;
+      bool ended = history.sawEnd &&
+                   history.sawEnd->at <= stopped->at + kStoppedUs + options_.slackUs;
+      if (!ended && history.left && !wasKilledMeanwhile(*stopped, stopped->at + kStoppedUs))
+        addViolation("stopped", "a client that stopped in the middle of a message was kept waiting",
+                     history);
     }
   }
   void checkFronts() {
@@ -347,17 +358,18 @@
       if (e.kind == Kind::frontTerminated) ending[e.front] = true;
       if (e.kind == Kind::frontKilled && e.code == 1)
         verdict_.violations.push_back({"exit", "a front did not end by itself after SIGTERM", {e}});
-      // One that was told to end before it had begun ends by the signal.
+      // A front that receives SIGTERM before it handles signals is terminated by the signal.
       bool early = e.kind == Kind::frontExited && e.code == SIGTERM && ending[e.front] &&
-                   e.at - begun[e.front] < kBeginsUs;
-      if (e.kind == Kind::frontExited && (e.code != 0 || !ending[e.front]) && !killedAt(e) &&
+                   e.at - begun[e.front] < kProcessStartUs;
+      if (e.kind == Kind::frontExited && (e.code != 0 || !ending[e.front]) && !wasKilledAt(e) &&
           !early)
         verdict_.violations.push_back(
             {"crash", "a front ended with status " + std::to_string(e.code), {e}});
     }
   }
-  // Rule 4: in no window a cold store gets more than its start allows, by the load of the other
-  // members of its group, where two thirds of it come from fronts that were told of the start.
+  // Rule 4: in no window a cold store receives more attempts than slow start allows, relative to
+  // the load of the other members of its group. Checked only for windows in which at least two
+  // thirds of the attempts come from fronts that received the endpoint list with the start.
   void checkSlowStart() {
     std::map<int, std::vector<Event>> arrivals;  // by store
     std::map<int, int> groups;
@@ -368,7 +380,7 @@
       if (e.kind == Kind::storeStarted) groups[e.store] = e.code;
     }
     for (const Event& e : events_)
-      if (e.kind == Kind::storeStarted && e.value == 0) checkStart(e, arrivals, groups);
+      if (e.kind == Kind::storeStarted && e.value == 0) checkColdStore(e, arrivals, groups);
   }
   static std::vector<Event> within(const std::vector<Event>& all, std::int64_t from,
                                    std::int64_t to) {
@@ -376,42 +388,42 @@
     return {std::lower_bound(all.begin(), all.end(), from, before),
             std::lower_bound(all.begin(), all.end(), to, before)};
   }
-  // What a store bears is not told; it is at least what a member of its group has borne in some
-  // second.
-  double mostBorne(int group, std::map<int, std::vector<Event>>& arrivals,
-                   const std::map<int, int>& groups) const {
+  // Estimates the capacity of a store, which isn't known: at least the most attempts that a member
+  // of its group received in any one second.
+  double peakArrivals(int group, std::map<int, std::vector<Event>>& arrivals,
+                      const std::map<int, int>& groups) const {
     std::size_t most = 0;
     for (const auto& [store, its] : groups) {
       if (its != group) continue;
       const std::vector<Event>& all = arrivals[store];
       for (std::int64_t at = all.empty() ? 0 : all.front().at; !all.empty() && at < all.back().at;
            at += kColdWindowUs)
-        if (!startsWithin(store, at))
+        if (!isInSlowStart(store, at))
           most = std::max(most, within(all, at, at + kColdWindowUs).size());
     }
     return static_cast<double>(most);
   }
-  bool startsWithin(int store, std::int64_t at) const {
+  bool isInSlowStart(int store, std::int64_t at) const {
     return std::any_of(events_.begin(), events_.end(), [&](const Event& e) {
       return e.kind == Kind::storeStarted && e.store == store && e.value == 0 &&
              e.at <= at + kColdWindowUs && static_cast<double>(at - e.at) < kColdRampUs;
     });
   }
-  void checkStart(const Event& start, std::map<int, std::vector<Event>>& arrivals,
-                  const std::map<int, int>& groups) {
-    double borne = mostBorne(start.code, arrivals, groups);
+  void checkColdStore(const Event& start, std::map<int, std::vector<Event>>& arrivals,
+                      const std::map<int, int>& groups) {
+    double peak = peakArrivals(start.code, arrivals, groups);
     for (std::int64_t age = 0; static_cast<double>(age) < kColdRampUs; age += kColdWindowUs / 4) {
       std::int64_t from = start.at + age, to = from + kColdWindowUs;
       double warmth = kColdFrom +
                       (1 - kColdFrom) * std::min(1.0, static_cast<double>(age) / kColdRampUs);
-      double n = kColdMultiple * warmth * borne;
+      double n = kColdMultiple * warmth * peak;
       double most = n < 30 ? n + 3 * std::sqrt(n) + 3 : n + 2 * std::sqrt(n) + 2;
       std::vector<Event> got = within(arrivals[start.store], from, to);
-      auto told = std::count_if(got.begin(), got.end(), [&](const Event& e) {
-        return toldAt(e.front, e.at, start.offset) <= e.at;
+      auto fromNotifiedFronts = std::count_if(got.begin(), got.end(), [&](const Event& e) {
+        return listReceivedAt(e.front, e.at, start.offset) <= e.at;
       });
       if (static_cast<double>(got.size()) <= most ||
-          static_cast<std::size_t>(told) * 3 < got.size() * 2)
+          static_cast<std::size_t>(fromNotifiedFronts) * 3 < got.size() * 2)
         continue;
       verdict_.violations.push_back({"slow start",
                                      "store " + std::to_string(start.store) + " got " +
@@ -421,22 +433,23 @@
       return;
     }
   }
-  bool killedAt(const Event& exited) const {
-    for (const FrontLife& l : lives_.at(exited.front))
-      if (l.killed && l.to <= exited.at && exited.at - l.to < 2'000'000) return true;
+  bool wasKilledAt(const Event& exited) const {
+    for (const FrontProcess& process : processes_.at(exited.front))
+      if (process.killed && process.to <= exited.at && exited.at - process.to < 2'000'000)
+        return true;
     return false;
   }
 
   const std::vector<Event>& events_;
   OracleOptions options_;
   Verdict verdict_;
-  std::map<std::uint64_t, Story> stories_;
+  std::map<std::uint64_t, StatementHistory> histories_;
   std::map<std::pair<int, int>, std::vector<Event>> closes_;
   std::map<std::pair<int, int>, std::vector<Event>> accepts_, ends_;
   std::map<int, int> storePorts_;
   std::map<int, Event> drains_;
   std::map<int, std::vector<std::int64_t>> primaries_;
-  std::map<int, std::vector<FrontLife>> lives_;
+  std::map<int, std::vector<FrontProcess>> processes_;
 };
 
 }  // namespace
--- a/tests/soak/oracle.h
+++ b/tests/soak/oracle.h
@@ -1,4 +1,5 @@
-// Judges a run by its events alone: which rule was broken, by which statement.
+// Checks the events of a run, without any other knowledge of it, for statements that violate a
+// rule.
 #pragma once
 
 #include <string>
@@ -9,17 +10,18 @@
 namespace soak {
 
 struct OracleOptions {
-  std::int64_t drainGraceUs = 250'000, repeatWindowUs = 1'000'000;
-  bool secondCopies = true;       // may a statement be out twice?
-  std::int64_t slackUs = 60'000;  // of this machine, on which all processes share the cores
-  bool checksStaleness =
-      true;  // not where clocks are stepped: a store's positions are told by its own clock
+  std::int64_t drainGraceUs = 250'000, deduplicationWindowUs = 1'000'000;
+  bool allowsParallelAttempts = true;
+  // Allowed scheduling delay, as all processes share the cores of one machine.
+  std::int64_t slackUs = 60'000;
+  // Off if wall clocks were stepped: positions of stores are times of the wall clock.
+  bool checksStaleness = true;
 };
 
 struct Violation {
   std::string rule;
   std::string what;
-  std::vector<Event> about;  // the events of its statement
+  std::vector<Event> about;  // the events of the statement
 };
 
 struct Verdict {
@@ -28,6 +30,7 @@
               resent = 0, excused = 0;
 };
 
+// `events`: in the order of their times, as from readEvents().
 Verdict judge(const std::vector<Event>& events, const OracleOptions& options);
 
 }  // namespace soak
--- a/tests/soak/peers.h
+++ b/tests/soak/peers.h
@@ -1,6 +1,6 @@
-// The processes around the fronts: stores, the proxy before them, the list's service, and clients.
-// Each runs until it is killed, does what the shared control tells it to do wrong, and records what
-// it sees.
+// The processes around the fronts: stores, the fault-injecting proxies before them, the endpoint
+// list service, and clients. Each runs until it is killed, injects the faults that the shared
+// Control contains, and records events.
 #pragma once
 
 #include <cstdint>
@@ -12,22 +12,23 @@
 
 namespace soak {
 
-// The workloads of the fronts' settings, in their order.
+// The workloads, in the order of the fronts' settings.
 struct Workload {
   const char* name;
   Effect effect;
   bool write;
-  std::int64_t boundUs;  // how old a read's data may be; 0: of any age
+  std::int64_t boundUs;  // staleness bound of a read; 0: unbounded
 };
 inline constexpr Workload kWorkloads[] = {{"any", Effect::repeatable, false, 0},
                                           {"near", Effect::repeatable, false, 1'000'000},
                                           {"write", Effect::deduplicated, true, 0},
                                           {"once", Effect::once, true, 0}};
 
-// The time that clients give a statement.
+// Range of the deadlines that clients set for their statements.
 inline constexpr int kMinDeadlineMs = 300;
 inline constexpr int kMaxDeadlineMs = 1'500;
-// The page: SIGKILL comes no earlier after SIGTERM than the longest of these times and 0.7 s.
+// The shutdown contract: after SIGTERM, SIGKILL is sent no earlier than the longest of these
+// deadlines plus 0.7 s.
 inline constexpr std::int64_t kDrainUs = 700'000;
 inline constexpr std::int64_t kKillAfterTermUs = kMaxDeadlineMs * 1'000 + kDrainUs;
 
@@ -38,7 +39,7 @@
 [[noreturn]] void runStore(Control& control, const StoreOptions& options);
 
 struct ProxyOptions {
-  std::vector<std::pair<int, int>> listeners;  // store and listening socket
+  std::vector<std::pair<int, int>> listeners;  // store index and listening socket
 };
 [[noreturn]] void runProxy(Control& control, const ProxyOptions& options);
 
@@ -50,7 +51,7 @@
   std::string events;
 };
 [[noreturn]] void runList(Control& control, const ListOptions& options);
-// The list as it stands, in the service's form.
+// Returns the whole endpoint list in the JSON form of the discovery service.
 std::string wholeList(const Control& control);
 
 struct ClientOptions {
@@ -58,7 +59,7 @@
   std::uint64_t seed = 0;
   std::string events;
 };
-// Ends once the control says so and nothing is waited for any more.
+// Exits once Control::stop is set and no response is awaited.
 [[noreturn]] void runClients(Control& control, const ClientOptions& options);
 
 // The address on which front `k` listens.
--- a/tests/soak/proxy.cpp
+++ b/tests/soak/proxy.cpp
@@ -1,4 +1,4 @@
-// The fault proxy between fronts and stores.
+// The fault-injecting proxy between fronts and stores.
 #include <poll.h>
 #include <sys/prctl.h>
 #include <sys/socket.h>
@@ -14,38 +14,38 @@
 namespace soak {
 namespace {
 
-constexpr int kLookMs = 10;
+constexpr int kPollMs = 10;
 constexpr int kConnectMs = 500;
 
-class Pair {
+class ProxiedConnection {
  public:
-  Pair(StoreControl& control, int client)
+  ProxiedConnection(StoreControl& control, int client)
       : control_(control), client_(client), resets_(control.resetAll) {}
 
   void run() {
     if (int delay = control_.connectDelayMs; delay > 0)
       usleep(static_cast<useconds_t>(delay) * 1000);
-    while (control_.blackhole) usleep(kLookMs * 1000);
+    while (control_.blackhole) usleep(kPollMs * 1000);
     int port = control_.backendPort;
     store_ = port > 0 ? connectTo("127.0.0.1", port, kConnectMs) : -1;
     if (store_ < 0) return closeWithReset(client_);
     lastByte_ = monotonicUs();
-    while (pass()) {
+    while (forwardNext()) {
     }
   }
 
  private:
-  // False once both ends are closed.
-  bool pass() {
-    if (resets_ != control_.resetAll) return end(true);
+  // Forwards the next bytes; returns false once both sockets are closed.
+  bool forwardNext() {
+    if (resets_ != control_.resetAll) return closeBoth(true);
     if (control_.blackhole) {
-      usleep(kLookMs * 1000);
+      usleep(kPollMs * 1000);
       return true;
     }
     int idle = control_.closeIdleMs;
-    if (idle > 0 && monotonicUs() - lastByte_ > idle * 1000) return end(false);
+    if (idle > 0 && monotonicUs() - lastByte_ > idle * 1000) return closeBoth(false);
     pollfd ends[2] = {{client_, POLLIN, 0}, {store_, POLLIN, 0}};
-    if (poll(ends, 2, kLookMs) <= 0) return true;
+    if (poll(ends, 2, kPollMs) <= 0) return true;
     if (control_.blackhole) return true;
     if (ends[0].revents && !forward(client_, store_)) return false;
     return !ends[1].revents || forward(store_, client_);
@@ -53,17 +53,17 @@
   bool forward(int from, int to) {
     std::string bytes;
     if (readSome(from, bytes) <= 0)
-      return end(from == store_ && bytes.empty() && control_.backendPort == 0);
+      return closeBoth(from == store_ && bytes.empty() && control_.backendPort == 0);
     lastByte_ = monotonicUs();
     int oneIn = control_.resetOneIn;
-    if (oneIn > 0 && chance_() % static_cast<unsigned>(oneIn) == 0) {
-      // Either before the bytes have passed, or behind half of them.
-      if (chance_() % 2) writeAll(to, std::string_view(bytes).substr(0, bytes.size() / 2));
-      return end(true);
+    if (oneIn > 0 && random_() % static_cast<unsigned>(oneIn) == 0) {
+      // Reset either before the bytes are forwarded or after half of them.
+      if (random_() % 2) writeAll(to, std::string_view(bytes).substr(0, bytes.size() / 2));
+      return closeBoth(true);
     }
-    return writeAll(to, bytes) || end(false);
+    return writeAll(to, bytes) || closeBoth(false);
   }
-  bool end(bool resets) {
+  bool closeBoth(bool resets) {
     resets ? closeWithReset(client_) : static_cast<void>(close(client_));
     close(store_);
     return false;
@@ -72,7 +72,7 @@
   StoreControl& control_;
   int client_, store_ = -1, resets_;
   std::int64_t lastByte_ = 0;
-  std::minstd_rand chance_{static_cast<unsigned>(monotonicUs())};
+  std::minstd_rand random_{static_cast<unsigned>(monotonicUs())};
 };
 
 }  // namespace
@@ -86,7 +86,7 @@
         int client = accept4(listener, nullptr, nullptr, SOCK_CLOEXEC | SOCK_NONBLOCK);
         if (client >= 0)
           std::thread([&control, store, client] {
-            Pair(control.stores[store], client).run();
+            ProxiedConnection(control.stores[store], client).run();
           }).detach();
       }
     });
--- a/tests/soak/record.cpp
+++ b/tests/soak/record.cpp
@@ -42,10 +42,10 @@
 }
 
 Recorder::Recorder(const std::string& path)
-    // Danger: the fault library replaces the C library's open.
+    // Uses the system call, because the fault library replaces the C library's open.
     : file_(static_cast<int>(syscall(SYS_openat, AT_FDCWD, path.c_str(),
                                      O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0644))) {
-  if (file_ < 0) throw std::runtime_error("no file for events: " + path);
+  if (file_ < 0) throw std::runtime_error("cannot open event file " + path);
 }
 
 void Recorder::add(Event e) const {
@@ -74,7 +74,7 @@
           line, "%" SCNd64 " %d %" SCNu64 " %d %d %d %d %" SCNd64 " %" SCNd64 " %" SCNd64, &e.at,
           &kind, &e.statement, &e.front, &e.store, &e.port, &e.code, &e.value, &e.deadline,
           &e.offset);
-      if (got != 10) continue;  // a process was killed in the middle of its line
+      if (got != 10) continue;  // incomplete line of a process that was killed while writing it
       e.kind = static_cast<Kind>(kind);
       all.push_back(e);
     }
--- a/tests/soak/sockets.cpp
+++ b/tests/soak/sockets.cpp
@@ -53,7 +53,7 @@
   sockaddr_in address = addressOf(host, port);
   if (bind(socket, reinterpret_cast<sockaddr*>(&address), sizeof address) < 0 ||
       listen(socket, kBacklog) < 0)
-    throw std::runtime_error("can't listen on " + host);
+    throw std::runtime_error("cannot listen on " + host);
   port = localPort(socket);
   return socket;
 }
--- a/tests/soak/stall_watch.h
+++ b/tests/soak/stall_watch.h
@@ -1,5 +1,6 @@
-// Tells whether the machine kept its processes waiting during a run: a thread that sleeps for short
-// times notes how late it wakes. What a run finds beside long stalls may be the machine's doing.
+// Detects whether processes had to wait for the machine during a run: a thread sleeps for short
+// times and measures how late it wakes up. Violations found in a run with long stalls may be caused
+// by the machine.
 #pragma once
 
 #include <atomic>
@@ -21,7 +22,7 @@
   StallWatch(const StallWatch&) = delete;
   StallWatch& operator=(const StallWatch&) = delete;
 
-  // Ends the watch and returns what it saw.
+  // Stops the thread and returns the stalls detected so far.
   Stalls stop();
 
  private:
--- a/tests/soak/store.cpp
+++ b/tests/soak/store.cpp
@@ -1,4 +1,5 @@
-// A store: one database process, a primary or a replica whose log may stand still.
+// A store: one database process, either the primary or a replica whose replication log may be
+// frozen.
 #include <sys/prctl.h>
 #include <sys/socket.h>
 #include <unistd.h>
@@ -37,8 +38,8 @@
     return parameter("server_role", control_.primary ? "writer" : "reader");
   }
   bool oneIn(int n) {
-    thread_local std::minstd_rand chance(static_cast<unsigned>(monotonicUs()));
-    return n > 0 && chance() % static_cast<unsigned>(n) == 0;
+    thread_local std::minstd_rand random(static_cast<unsigned>(monotonicUs()));
+    return n > 0 && random() % static_cast<unsigned>(n) == 0;
   }
   void record(Kind kind, std::uint64_t statement, Answer code = Answer::served,
               std::int64_t value = 0) const {
--- a/tests/soak/troubles.cpp
+++ b/tests/soak/troubles.cpp
@@ -11,72 +11,73 @@
 namespace {
 
 constexpr std::int64_t kStepUs = 5'000;
-constexpr std::int64_t kStopUs = 140'000;      // a front may be held up for 0.15 s
-constexpr std::int64_t kSeriesUs = 900'000;    // in which signals follow SIGTERM
-constexpr int kOften = 300, kNowAndThen = 40;  // of 1,024 calls
+constexpr std::int64_t kSuspensionUs = 140'000;  // below the 0.15 s that a front may be suspended
+constexpr std::int64_t kFurtherSignalsUs = 900'000;  // period after SIGTERM with further signals
+constexpr int kFrequentRate = 300, kOccasionalRate = 40;  // failures in 1,024 calls
 
 }  // namespace
 
 const Troubles::Trouble Troubles::kAll[] = {
-    {"a front is told to end", &Troubles::terminates},
-    {"a front is killed", &Troubles::killsFront},
-    {"fronts are told to end one after the other", &Troubles::rollsFronts},
-    {"a new configuration", &Troubles::reloads},
-    {"a new configuration for all", &Troubles::reloadsAll},
-    {"fronts are held up", &Troubles::holdsUp},
-    {"a wall clock is stepped", &Troubles::stepsClock},
-    {"accepts fail", &Troubles::failsAccepts},
-    {"system calls fail", &Troubles::failsCalls},
-    {"a store dies and comes back", &Troubles::killsStore},
-    {"stores hang", &Troubles::hangsStores},
-    {"a store falls silent", &Troubles::silencesStore},
-    {"connections are reset under statements", &Troubles::resetsConnections},
-    {"all connections to a store are reset", &Troubles::resetsAll},
-    {"idle connections are closed early", &Troubles::closesIdle},
-    {"connections come up late", &Troubles::delaysConnections},
-    {"statements fail at a store", &Troubles::failsStatements},
-    {"a replica's log stands still", &Troubles::freezesLog},
-    {"the primary changes", &Troubles::changesPrimary},
-    {"a store drains", &Troubles::drains},
-    {"a store joins", &Troubles::joins},
-    {"the list falls silent", &Troubles::silencesList},
-    {"the list is refused", &Troubles::refusesList},
-    {"the list is slow", &Troubles::slowsList},
-    {"watches are reset", &Troubles::resetsList},
-    {"clients leave", &Troubles::clientsLeave},
-    {"clients pipeline", &Troubles::clientsPipeline},
-    {"clients misbehave", &Troubles::clientsMisbehave},
-    {"clients ask again at once", &Troubles::clientsHurry},
-    {"a crowd that says nothing", &Troubles::clientsCrowd},
-    {"clients leave as a front is held up and connections are reset", &Troubles::leavesWithReset},
-    {"a front is told to end, held up, as stores hang", &Troubles::endsHeldUp},
+    {"a front is told to end", &Troubles::terminateFront},
+    {"a front is killed", &Troubles::killFront},
+    {"fronts are told to end one after the other", &Troubles::terminateFrontsInTurn},
+    {"a new configuration", &Troubles::reloadFront},
+    {"a new configuration for all", &Troubles::reloadAllFronts},
+    {"fronts are held up", &Troubles::suspendRepeatedly},
+    {"a wall clock is stepped", &Troubles::stepClock},
+    {"accepts fail", &Troubles::failAccepts},
+    {"system calls fail", &Troubles::failSystemCalls},
+    {"a store dies and comes back", &Troubles::restartStore},
+    {"stores hang", &Troubles::hangStores},
+    {"a store falls silent", &Troubles::blackholeStore},
+    {"connections are reset under statements", &Troubles::resetConnections},
+    {"all connections to a store are reset", &Troubles::resetAllConnections},
+    {"idle connections are closed early", &Troubles::closeIdleConnections},
+    {"connections come up late", &Troubles::delayConnections},
+    {"statements fail at a store", &Troubles::failStatements},
+    {"a replica's log stands still", &Troubles::freezeLog},
+    {"the primary changes", &Troubles::changePrimary},
+    {"a store drains", &Troubles::drainReplica},
+    {"a store joins", &Troubles::addStore},
+    {"the list falls silent", &Troubles::stallList},
+    {"the list is refused", &Troubles::refuseList},
+    {"the list is slow", &Troubles::slowDownList},
+    {"watches are reset", &Troubles::resetListConnections},
+    {"clients leave", &Troubles::disconnectClients},
+    {"clients pipeline", &Troubles::pipelineStatements},
+    {"clients misbehave", &Troubles::sendMalformedMessages},
+    {"clients ask again at once", &Troubles::removeThinkTime},
+    {"a crowd that says nothing", &Troubles::openIdleConnections},
+    {"clients leave as a front is held up and connections are reset",
+     &Troubles::disconnectFromSuspendedFront},
+    {"a front is told to end, held up, as stores hang", &Troubles::terminateSuspendedFront},
     {"a front is told to end in a crowd, as stores hang and the list is away",
-     &Troubles::endsInCrowd},
-    {"a front is told to end as it begins to serve", &Troubles::endsAsItServes},
+     &Troubles::terminateUnderLoad},
+    {"a front is told to end as it begins to serve", &Troubles::terminateAfterStart},
 };
 
 Troubles::Troubles(Fleet& fleet, std::uint64_t seed)
-    : fleet_(fleet), chance_(seed * 2654435761u + 17) {}
+    : fleet_(fleet), random_(seed * 2654435761u + 17) {}
 
 void Troubles::run(std::int64_t seconds) {
   Control& c = fleet_.control();
   c.leavesOneIn = 30, c.pipelinesOneIn = 20, c.restsOneIn = 25, c.stopsOneIn = 400,
   c.garbageOneIn = 400;
   std::int64_t end = monotonicUs() + seconds * 1'000'000;
-  pass(monotonicUs() + 500'000);
+  runUntil(monotonicUs() + 500'000);
   while (monotonicUs() < end) {
-    drawSome();
-    pass(monotonicUs() + between(150, 1'000));
+    injectSome();
+    runUntil(monotonicUs() + between(150, 1'000));
   }
-  while (!later_.empty()) pass(later_.begin()->first);
+  while (!scheduled_.empty()) runUntil(scheduled_.begin()->first);
 }
 
-void Troubles::drawSome() {
+void Troubles::injectSome() {
   for (unsigned k = 0, n = 1 + below(4); k < n; ++k) {
     unsigned which = below(static_cast<unsigned>(std::size(kAll)));
     fleet_.recorder().add({.kind = Kind::trouble, .value = static_cast<std::int64_t>(which)});
-    // GCC 12 checks the index of an array of member pointers before it has one (UBSan), so the
-    // element is named first.
+    // With UBSan, GCC 12 checks the index of an array of member pointers before the index is
+    // evaluated, so the element is bound to a reference first.
     const Trouble& drawn = kAll[which];
     std::printf("  %.3f %s\n", static_cast<double>(monotonicUs() % 100'000'000'000) / 1e6,
                 drawn.name);
@@ -84,11 +85,11 @@
   }
 }
 
-void Troubles::pass(std::int64_t untilUs) {
+void Troubles::runUntil(std::int64_t untilUs) {
   do {
-    while (!later_.empty() && later_.begin()->first <= monotonicUs()) {
-      auto what = std::move(later_.begin()->second);
-      later_.erase(later_.begin());
+    while (!scheduled_.empty() && scheduled_.begin()->first <= monotonicUs()) {
+      auto what = std::move(scheduled_.begin()->second);
+      scheduled_.erase(scheduled_.begin());
       what();
     }
     fleet_.reap();
@@ -96,13 +97,13 @@
   } while (monotonicUs() < untilUs);
 }
 
-void Troubles::after(std::int64_t us, std::function<void()> what) {
-  later_.emplace(monotonicUs() + us, std::move(what));
+void Troubles::schedule(std::int64_t us, std::function<void()> what) {
+  scheduled_.emplace(monotonicUs() + us, std::move(what));
 }
 
 std::int64_t Troubles::between(std::int64_t leastMs, std::int64_t mostMs) {
   return (leastMs +
-          static_cast<std::int64_t>(chance_() % static_cast<std::uint64_t>(mostMs - leastMs + 1))) *
+          static_cast<std::int64_t>(random_() % static_cast<std::uint64_t>(mostMs - leastMs + 1))) *
          1000;
 }
 
@@ -114,68 +115,69 @@
 }
 
 int Troubles::anyReplica() {
-  for (int tries = 0; tries < 20; ++tries)
+  for (int attempts = 0; attempts < 20; ++attempts)
     if (int k = anyStore(); !store(k).primary) return k;
   return -1;
 }
 
-void Troubles::setFor(std::atomic<int>& what, int value, std::int64_t us) {
+void Troubles::setTemporarily(std::atomic<int>& what, int value, std::int64_t us) {
   int before = what;
   what = value;
-  after(us, [&what, before, value] {
+  schedule(us, [&what, before, value] {
     if (what == value) what = before;
   });
 }
 
-void Troubles::setFor(std::atomic<bool>& what, std::int64_t us) {
+void Troubles::setTemporarily(std::atomic<bool>& what, std::int64_t us) {
   what = true;
-  after(us, [&what] { what = false; });
+  schedule(us, [&what] { what = false; });
 }
 
-// ---- fronts ----
+// Disruptions of fronts.
 
-void Troubles::restartOnceEnded(int front) {
-  restartOnceEnded(front, fleet_.frontStarts(front));
+void Troubles::restartAfterExit(int front) {
+  restartAfterExit(front, fleet_.frontStarts(front));
 }
 
-// `starts`: how often it has been started. Danger: told to end twice, it is started once, and runs
-// on for good.
-void Troubles::restartOnceEnded(int front, int starts) {
-  after(20'000, [this, front, starts] {
+// `starts`: the number of starts of the front when the restart was scheduled. A front that was sent
+// SIGTERM twice is started only once; without this check the second scheduled restart would then
+// poll the new process forever.
+void Troubles::restartAfterExit(int front, int starts) {
+  schedule(20'000, [this, front, starts] {
     bool same = fleet_.frontStarts(front) == starts;
-    if (fleet_.frontRuns(front) && same) return restartOnceEnded(front, starts);
+    if (fleet_.frontRuns(front) && same) return restartAfterExit(front, starts);
     if (fleet_.frontRuns(front)) return;
-    after(between(0, 300), [this, front] {
+    schedule(between(0, 300), [this, front] {
       if (!fleet_.frontRuns(front)) fleet_.startFront(front);
     });
   });
 }
 
-void Troubles::terminates() {
+void Troubles::terminateFront() {
   int front = anyFront();
-  if (fleet_.frontRuns(front)) endFront(front);
+  if (fleet_.frontRuns(front)) shutDown(front);
 }
 
-// The kill comes as early as it may.
-void Troubles::endFront(int front) {
+// Sends SIGTERM, and SIGKILL as early as the shutdown contract allows (kKillAfterTermUs).
+void Troubles::shutDown(int front) {
   if (fleet_.frontIsEnding(front)) return;
   int starts = fleet_.frontStarts(front);
   fleet_.terminateFront(front);
-  after(kKillAfterTermUs, [this, front, starts] {
+  schedule(kKillAfterTermUs, [this, front, starts] {
     if (fleet_.frontStarts(front) == starts) fleet_.killFront(front, true);
   });
-  if (below(3) > 0) signalSeries(front);
-  if (below(3) == 0) clientsCrowd();
-  if (below(2) == 0) clientsHurry();
-  restartOnceEnded(front);
+  if (below(3) > 0) sendFurtherSignals(front);
+  if (below(3) == 0) openIdleConnections();
+  if (below(2) == 0) removeThinkTime();
+  restartAfterExit(front);
 }
 
-// SIGTERM and SIGHUP come again, in any order, to the same process.
-void Troubles::signalSeries(int front) {
+// Sends further SIGTERM and SIGHUP signals, in random order, to the same process.
+void Troubles::sendFurtherSignals(int front) {
   int starts = fleet_.frontStarts(front);
   for (unsigned k = 0, n = 3 + below(2); k < n; ++k) {
     bool reloads = below(2) == 0;
-    after(between(0, kSeriesUs / 1000), [this, front, starts, reloads] {
+    schedule(between(0, kFurtherSignalsUs / 1000), [this, front, starts, reloads] {
       if (!fleet_.frontRuns(front) || fleet_.frontStarts(front) != starts) return;
       if (reloads)
         fleet_.reloadFront(front, static_cast<int>(below(2)));
@@ -185,60 +187,60 @@
   }
 }
 
-// One that is told to end has its time.
-void Troubles::killsFront() {
+// A front that was sent SIGTERM isn't killed here, as it must have the full time to exit.
+void Troubles::killFront() {
   int front = anyFront();
   if (fleet_.frontIsEnding(front)) return;
   fleet_.killFront(front);
-  restartOnceEnded(front);
+  restartAfterExit(front);
 }
 
-void Troubles::rollsFronts() {
-  for (int k = 0; k < 2; ++k) after(k * between(200, 600), [this] { terminates(); });
+void Troubles::terminateFrontsInTurn() {
+  for (int k = 0; k < 2; ++k) schedule(k * between(200, 600), [this] { terminateFront(); });
 }
 
-void Troubles::reloads() {
+void Troubles::reloadFront() {
   int front = anyFront();
   fleet_.reloadFront(front, static_cast<int>(below(2)));
   if (below(2))
-    after(between(5, 400),
-          [this, front] { fleet_.reloadFront(front, static_cast<int>(below(2))); });
+    schedule(between(5, 400),
+             [this, front] { fleet_.reloadFront(front, static_cast<int>(below(2))); });
 }
 
-void Troubles::reloadsAll() {
+void Troubles::reloadAllFronts() {
   int agent = static_cast<int>(below(2));
   for (int k = 0; k < fleet_.options().fronts; ++k) fleet_.reloadFront(k, agent);
 }
 
-void Troubles::holdsUp() {
+void Troubles::suspendRepeatedly() {
   int front = anyFront();
   std::int64_t at = 0;
   for (int k = 0; k < 4; ++k, at += between(300, 450)) {
-    after(at, [this, front] { holdUp(front); });
+    schedule(at, [this, front] { suspend(front); });
   }
 }
 
-// For no longer than a front may be held up, and not again at once.
-void Troubles::holdUp(int front) {
-  std::int64_t now = monotonicUs(), &last = heldUpAt_[front];
-  if (now - last < 2 * kStopUs) return;
+// Suspends a front for no longer than allowed, and not again right after.
+void Troubles::suspend(int front) {
+  std::int64_t now = monotonicUs(), &last = suspendedAt_[front];
+  if (now - last < 2 * kSuspensionUs) return;
   last = now;
   fleet_.stopFront(front, true);
-  after(kStopUs, [this, front] { fleet_.stopFront(front, false); });
+  schedule(kSuspensionUs, [this, front] { fleet_.stopFront(front, false); });
 }
 
-void Troubles::stepsClock() {
+void Troubles::stepClock() {
   std::int64_t steps[] = {3'600'000'000, -3'600'000'000, 2'000'000, -2'000'000};
-  stepped_ = true;
+  hasSteppedClocks_ = true;
   fleet_.faults(anyFront()).clockShiftUs += steps[below(4)];
 }
 
-void Troubles::failsAccepts() {
-  setFor(fleet_.faults(anyFront()).of(Call::accept).rate, below(2) ? 512 : 100,
-         between(500, 2'000));
+void Troubles::failAccepts() {
+  setTemporarily(fleet_.faults(anyFront()).of(Call::accept).rate, below(2) ? 512 : 100,
+                 between(500, 2'000));
 }
 
-void Troubles::failsCalls() {
+void Troubles::failSystemCalls() {
   FrontControl& f = fleet_.faults(anyFront());
   std::int64_t us = between(500, 2'500);
   constexpr Call kCalls[] = {
@@ -248,166 +250,168 @@
     Call call = kCalls[below(static_cast<unsigned>(std::size(kCalls)))];
     bool harmless = call == Call::interrupt || call == Call::shortReceive ||
                     call == Call::shortSend;
-    setFor(f.of(call).rate, harmless ? kOften : kNowAndThen, us);
+    setTemporarily(f.of(call).rate, harmless ? kFrequentRate : kOccasionalRate, us);
   }
 }
 
-// ---- stores ----
+// Disruptions of stores.
 
-void Troubles::killsStore() {
+void Troubles::restartStore() {
   int k = anyStore();
   fleet_.killStore(k);
-  after(between(200, 1'500), [this, k] {
+  schedule(between(200, 1'500), [this, k] {
     if (fleet_.storeRuns(k) || store(k).listed != static_cast<int>(ListState::up)) return;
     store(k).startedMs = wallUs() / 1000;
     fleet_.startStore(k, false);
-    fleet_.changed(k);
+    fleet_.publishChange(k);
   });
 }
 
-void Troubles::hangsStores() {
+void Troubles::hangStores() {
   for (unsigned k = 0, n = 1 + below(3); k < n; ++k)
-    setFor(store(anyStore()).hangs, between(200, 2'000));
+    setTemporarily(store(anyStore()).hangs, between(200, 2'000));
 }
 
-void Troubles::silencesStore() {
-  setFor(store(anyStore()).blackhole, between(300, 2'500));
+void Troubles::blackholeStore() {
+  setTemporarily(store(anyStore()).blackhole, between(300, 2'500));
 }
 
-void Troubles::resetsConnections() {
-  setFor(store(anyStore()).resetOneIn, 12, between(300, 2'000));
+void Troubles::resetConnections() {
+  setTemporarily(store(anyStore()).resetOneIn, 12, between(300, 2'000));
 }
 
-void Troubles::resetsAll() {
+void Troubles::resetAllConnections() {
   for (unsigned k = 0, n = 1 + below(4); k < n; ++k) ++store(anyStore()).resetAll;
 }
 
-void Troubles::closesIdle() {
-  for (int k = 0; k < 3; ++k) setFor(store(anyStore()).closeIdleMs, 30, between(500, 2'000));
+void Troubles::closeIdleConnections() {
+  for (int k = 0; k < 3; ++k)
+    setTemporarily(store(anyStore()).closeIdleMs, 30, between(500, 2'000));
 }
 
-void Troubles::delaysConnections() {
+void Troubles::delayConnections() {
   for (int k = 0; k < 3; ++k) {
     int s = anyStore();
-    setFor(store(s).connectDelayMs, static_cast<int>(50 + below(400)), between(500, 2'000));
+    setTemporarily(store(s).connectDelayMs, static_cast<int>(50 + below(400)), between(500, 2'000));
     ++store(s).resetAll;
   }
 }
 
-void Troubles::failsStatements() {
+void Troubles::failStatements() {
   StoreControl& s = store(anyStore());
   std::atomic<int>* rates[] = {&s.failsOneIn, &s.refusesOneIn, &s.spoilsOneIn};
-  setFor(*rates[below(3)], 4, between(300, 2'000));
+  setTemporarily(*rates[below(3)], 4, between(300, 2'000));
 }
 
-void Troubles::freezesLog() {
+void Troubles::freezeLog() {
   int k = anyReplica();
   if (k < 0) return;
   store(k).frozenAt = wallUs();
-  after(between(500, 3'000), [this, k] { store(k).frozenAt = 0; });
+  schedule(between(500, 3'000), [this, k] { store(k).frozenAt = 0; });
 }
 
-void Troubles::changesPrimary() {
+void Troubles::changePrimary() {
   if (int k = anyReplica(); k >= 0) fleet_.makePrimary(k);
 }
 
-void Troubles::drains() {
+void Troubles::drainReplica() {
   int k = anyReplica();
   if (k < 0) return;
   fleet_.drain(k);
-  after(between(300, 1'000), [this, k] { fleet_.nextSpare(store(k).group); });
-  after(between(1'500, 3'000), [this, k] {
+  schedule(between(300, 1'000), [this, k] { fleet_.nextSpare(store(k).group); });
+  schedule(between(1'500, 3'000), [this, k] {
     store(k).listed = static_cast<int>(ListState::removed);
-    fleet_.changed(k);
+    fleet_.publishChange(k);
     if (below(2)) fleet_.killStore(k);
   });
 }
 
-void Troubles::joins() {
+void Troubles::addStore() {
   fleet_.nextSpare(static_cast<int>(below(2)));
 }
 
-// ---- the list ----
+// Disruptions of the endpoint list service.
 
-void Troubles::silencesList() {
+void Troubles::stallList() {
   int which = static_cast<int>(below(2));
-  setFor(fleet_.control().listMode[which], static_cast<int>(ListMode::silent), between(500, 4'000));
+  setTemporarily(fleet_.control().listMode[which], static_cast<int>(ListMode::silent),
+                 between(500, 4'000));
 }
 
-void Troubles::refusesList() {
+void Troubles::refuseList() {
   for (std::atomic<int>& mode : fleet_.control().listMode)
-    setFor(mode, static_cast<int>(ListMode::unavailable), between(300, 2'000));
+    setTemporarily(mode, static_cast<int>(ListMode::unavailable), between(300, 2'000));
 }
 
-void Troubles::slowsList() {
+void Troubles::slowDownList() {
   for (std::atomic<int>& mode : fleet_.control().listMode)
-    setFor(mode, static_cast<int>(ListMode::slow), between(300, 2'000));
+    setTemporarily(mode, static_cast<int>(ListMode::slow), between(300, 2'000));
 }
 
-void Troubles::resetsList() {
+void Troubles::resetListConnections() {
   ++fleet_.control().resetLists;
 }
 
-// ---- clients ----
+// Client behaviour, and combinations of several disruptions.
 
-void Troubles::clientsLeave() {
-  setFor(fleet_.control().leavesOneIn, 2, between(300, 1'500));
+void Troubles::disconnectClients() {
+  setTemporarily(fleet_.control().leavesOneIn, 2, between(300, 1'500));
   ++fleet_.control().leaveBurst;
 }
 
-void Troubles::clientsPipeline() {
-  setFor(fleet_.control().pipelinesOneIn, 2, between(300, 1'500));
+void Troubles::pipelineStatements() {
+  setTemporarily(fleet_.control().pipelinesOneIn, 2, between(300, 1'500));
 }
 
-void Troubles::clientsMisbehave() {
-  setFor(fleet_.control().stopsOneIn, 8, between(300, 1'000));
-  setFor(fleet_.control().garbageOneIn, 6, between(300, 1'000));
+void Troubles::sendMalformedMessages() {
+  setTemporarily(fleet_.control().stopsOneIn, 8, between(300, 1'000));
+  setTemporarily(fleet_.control().garbageOneIn, 6, between(300, 1'000));
 }
 
-void Troubles::clientsCrowd() {
-  setFor(fleet_.control().crowd, 10 + static_cast<int>(below(40)), between(500, 2'000));
+void Troubles::openIdleConnections() {
+  setTemporarily(fleet_.control().crowd, 10 + static_cast<int>(below(40)), between(500, 2'000));
 }
 
-void Troubles::leavesWithReset() {
+void Troubles::disconnectFromSuspendedFront() {
   int front = anyFront();
-  holdUp(front);
-  after(10'000, [this] { ++fleet_.control().leaveBurst; });
-  after(15'000, [this] { resetsAll(), resetsAll(); });
+  suspend(front);
+  schedule(10'000, [this] { ++fleet_.control().leaveBurst; });
+  schedule(15'000, [this] { resetAllConnections(), resetAllConnections(); });
 }
 
-void Troubles::endsHeldUp() {
-  hangsStores();
+void Troubles::terminateSuspendedFront() {
+  hangStores();
   int front = anyFront();
   if (!fleet_.frontRuns(front)) return;
-  holdUp(front);
-  endFront(front);
+  suspend(front);
+  shutDown(front);
 }
 
-void Troubles::endsInCrowd() {
+void Troubles::terminateUnderLoad() {
   int front = anyFront();
   if (!fleet_.frontRuns(front)) return;
-  clientsCrowd();
-  hangsStores();
-  refusesList();
-  after(between(50, 400), [this, front] {
-    if (fleet_.frontRuns(front)) endFront(front);
+  openIdleConnections();
+  hangStores();
+  refuseList();
+  schedule(between(50, 400), [this, front] {
+    if (fleet_.frontRuns(front)) shutDown(front);
   });
 }
 
-void Troubles::endsAsItServes() {
+void Troubles::terminateAfterStart() {
   int front = anyFront();
   if (fleet_.frontIsEnding(front)) return;
   fleet_.killFront(front);
-  after(between(10, 60), [this, front] {
+  schedule(between(10, 60), [this, front] {
     if (!fleet_.frontRuns(front)) fleet_.startFront(front);
-    after(between(5, 120), [this, front] {
-      if (fleet_.frontRuns(front)) endFront(front);
+    schedule(between(5, 120), [this, front] {
+      if (fleet_.frontRuns(front)) shutDown(front);
     });
   });
 }
 
-void Troubles::clientsHurry() {
-  setFor(fleet_.control().thinkUs, 0, between(500, 2'500));
+void Troubles::removeThinkTime() {
+  setTemporarily(fleet_.control().thinkUs, 0, between(500, 2'500));
 }
 
 }  // namespace soak
--- a/tests/soak/troubles.h
+++ b/tests/soak/troubles.h
@@ -1,4 +1,5 @@
-// The troubles of a run: drawn from its seed, two or three at a time, each with its end.
+// The disruptions ("troubles") of a run: drawn from its seed, two or three at a time, each of
+// them ending after some time.
 #pragma once
 
 #include <cstdint>
@@ -15,10 +16,10 @@
  public:
   Troubles(Fleet& fleet, std::uint64_t seed);
 
-  // Lets them come for so long, then ends all and waits until what they left is healed.
+  // Injects disruptions for so long, then waits until the scheduled ends of all of them have run.
   void run(std::int64_t seconds);
-  // Were the wall clocks of fronts stepped?
-  bool steppedClocks() const { return stepped_; }
+  // Whether the wall clock of any front was stepped.
+  bool hasSteppedClocks() const { return hasSteppedClocks_; }
 
  private:
   struct Trouble {
@@ -26,68 +27,68 @@
     void (Troubles::*begin)();
   };
 
-  void drawSome();
-  void pass(std::int64_t untilUs);
-  void after(std::int64_t us, std::function<void()> what);
-  unsigned below(unsigned n) { return static_cast<unsigned>(chance_() % n); }
+  void injectSome();
+  void runUntil(std::int64_t untilUs);
+  void schedule(std::int64_t us, std::function<void()> what);
+  unsigned below(unsigned n) { return static_cast<unsigned>(random_() % n); }
   std::int64_t between(std::int64_t leastMs, std::int64_t mostMs);  // in microseconds
   int anyFront() { return static_cast<int>(below(static_cast<unsigned>(fleet_.options().fronts))); }
   int anyStore();
   int anyReplica();
   StoreControl& store(int k) { return fleet_.control().stores[k]; }
-  void setFor(std::atomic<int>& what, int value, std::int64_t us);
-  void setFor(std::atomic<bool>& what, std::int64_t us);
-  void endFront(int front);
-  void signalSeries(int front);
-  void holdUp(int front);
-  void restartOnceEnded(int front);
-  void restartOnceEnded(int front, int starts);
+  void setTemporarily(std::atomic<int>& what, int value, std::int64_t us);
+  void setTemporarily(std::atomic<bool>& what, std::int64_t us);
+  void shutDown(int front);
+  void sendFurtherSignals(int front);
+  void suspend(int front);
+  void restartAfterExit(int front);
+  void restartAfterExit(int front, int starts);
 
-  // fronts
-  void terminates();
-  void killsFront();
-  void rollsFronts();
-  void reloads();
-  void reloadsAll();
-  void holdsUp();
-  void stepsClock();
-  void failsAccepts();
-  void failsCalls();
-  // stores
-  void killsStore();
-  void hangsStores();
-  void silencesStore();
-  void resetsConnections();
-  void resetsAll();
-  void closesIdle();
-  void delaysConnections();
-  void failsStatements();
-  void freezesLog();
-  void changesPrimary();
-  void drains();
-  void joins();
-  // the list
-  void silencesList();
-  void refusesList();
-  void slowsList();
-  void resetsList();
-  // clients
-  void clientsLeave();
-  void clientsPipeline();
-  void clientsMisbehave();
-  void clientsHurry();
-  void clientsCrowd();
-  void leavesWithReset();
-  void endsHeldUp();
-  void endsInCrowd();
-  void endsAsItServes();
+  // Disruptions of fronts.
+  void terminateFront();
+  void killFront();
+  void terminateFrontsInTurn();
+  void reloadFront();
+  void reloadAllFronts();
+  void suspendRepeatedly();
+  void stepClock();
+  void failAccepts();
+  void failSystemCalls();
+  // Disruptions of stores.
+  void restartStore();
+  void hangStores();
+  void blackholeStore();
+  void resetConnections();
+  void resetAllConnections();
+  void closeIdleConnections();
+  void delayConnections();
+  void failStatements();
+  void freezeLog();
+  void changePrimary();
+  void drainReplica();
+  void addStore();
+  // Disruptions of the endpoint list service.
+  void stallList();
+  void refuseList();
+  void slowDownList();
+  void resetListConnections();
+  // Client behaviour, and combinations of several disruptions.
+  void disconnectClients();
+  void pipelineStatements();
+  void sendMalformedMessages();
+  void removeThinkTime();
+  void openIdleConnections();
+  void disconnectFromSuspendedFront();
+  void terminateSuspendedFront();
+  void terminateUnderLoad();
+  void terminateAfterStart();
 
   static const Trouble kAll[];
   Fleet& fleet_;
-  std::mt19937_64 chance_;
-  std::multimap<std::int64_t, std::function<void()>> later_;
-  std::map<int, std::int64_t> heldUpAt_;
-  bool stepped_ = false;
+  std::mt19937_64 random_;
+  std::multimap<std::int64_t, std::function<void()>> scheduled_;
+  std::map<int, std::int64_t> suspendedAt_;
+  bool hasSteppedClocks_ = false;
 };
 
 }  // namespace soak
