--- a/tests/decision/engine_scenarios_test.cpp
+++ b/tests/decision/engine_scenarios_test.cpp
@@ -999,7 +999,7 @@
 // its staleness bound.
 void sendBy() {
   Bench b(Bench::terms({kBounded, kAny, kWrite}));
-  b.bySend = true;
+  b.printsSendBy = true;
   b.list(2);
   b.report(1, 60);
   b.note(
--- a/tests/ledger/ledger_proxy_test.cpp
+++ b/tests/ledger/ledger_proxy_test.cpp
@@ -22,7 +22,7 @@
   }
   ~Place() { std::filesystem::remove_all(path); }
   std::string door(const char* more = "") const {
-    return std::string(test::kDoor) + "ledger {\n  folder = \"" + path +
+    return std::string(test::kCassandraSettings) + "ledger {\n  folder = \"" + path +
            "/ledger\"\n  key_file = \"" + path + "/key\"\n  period = \"hour\"\n" + more + "}\n";
   }
   // What the ledger says of a tenant, over all periods.
@@ -87,7 +87,7 @@
     std::printf("full everywhere: %s\n", c.ask("coop", "full") ? "completed" : "not");
     d.signal(SIGTERM);
     c.socket->close(), cql.socket->close();
-    d.exits();
+    d.printExitCode();
   }
   tell("coop", place.used("coop"), coop);
   tell("office", place.used("office"), office);
@@ -108,7 +108,7 @@
     repeated += again.ask("coop", "a", "m" + std::to_string(mark));
   }
   d.signal(SIGTERM);
-  d.exits();
+  d.printExitCode();
   std::printf("asked again under a mark that was answered: %d\n", repeated);
   tell("coop", place.used("coop"), counted);
 }
@@ -124,7 +124,7 @@
       for (int k = 0; k < 5; ++k) c.ask("coop", "a");
       d.signal(SIGTERM);
       c.socket->close();
-      d.exits();
+      d.printExitCode();
     }
     {
       std::fstream log(place.path + "/ledger/ledger-00000001.log",
--- a/tests/ledger/ledger_test.cpp
+++ b/tests/ledger/ledger_test.cpp
@@ -443,7 +443,7 @@
     w.stop();
     if (machine) {
       lost = w.next + 1 - w.synced;
-      w.files.machineDies(machineSeed);
+      w.files.crashMachine(machineSeed);
       if (machineSeed % 2) w.memory = std::make_unique<Memory>();
     }
     w.clock += 0.3;
--- a/tests/pipeline/pipeline_test.cpp
+++ b/tests/pipeline/pipeline_test.cpp
@@ -158,12 +158,12 @@
   }
   Client other(d);
   other.asks("another one's", Client::read("a"));
-  std::printf("memory: %s\n", d.heldAtMost(32) ? "under 32 MB" : "over 32 MB");
+  std::printf("memory: %s\n", d.usedAtMost(32) ? "under 32 MB" : "over 32 MB");
 }
 
 // As behindTime, in the Cassandra protocol: a request waits for a free stream.
 void streamsFull() {
-  std::string settings = test::kDoor;
+  std::string settings = test::kCassandraSettings;
   settings.replace(settings.find("2000"), 4, "1");
   Drive d(1, 256, "automatic", "", false, 64, "15000000", settings);
   CqlClient c(d);
@@ -183,7 +183,7 @@
   Drive d(1);
   Client c(d);
   c.ask(Client::read("a"));
-  d.holdBack(0);
+  d.blockConnections(0);
   long announcedMs = -1;
   d.toy.seen = [&](int, const std::string& text) {
     announcedMs = std::atol(text.c_str() + text.find(",d=") + 3);
--- a/tests/protocols/cassandra_proxy_test.cpp
+++ b/tests/protocols/cassandra_proxy_test.cpp
@@ -7,7 +7,7 @@
 using test::CqlClient;
 using test::Drive;
 using test::insertOf;
-using test::kDoor;
+using test::kCassandraSettings;
 using test::made;
 using test::selectOf;
 using Extra = CqlClient::Extra;
@@ -15,7 +15,7 @@
 namespace {
 
 struct ClientProtocol : Drive {
-  explicit ClientProtocol(int stores, std::string door = kDoor, int memoryMb = 64)
+  explicit ClientProtocol(int stores, std::string door = kCassandraSettings, int memoryMb = 64)
       : Drive(stores, 256, "automatic", "", false, memoryMb, "15000000", std::move(door)) {}
 };
 
@@ -70,7 +70,7 @@
   d.until("closed", [&] { return twice.read(), twice.ended; });
   std::printf("another connection: %s\n", other.ask(selectOf("c"), {}).c_str());
   d.signal(SIGTERM);
-  d.exits();
+  d.printExitCode();
   std::printf("nothing was left open: %s\n", d.logged("phase=ended open=0 ") ? "yes" : "no");
 }
 
@@ -102,7 +102,7 @@
   d.signal(SIGTERM);
   std::printf("when the front leaves: %s\n", fresh.answer(-1).c_str());
   std::printf("meanwhile: %s\n", fresh.plain(selectOf("late")).c_str());
-  d.exits();
+  d.printExitCode();
 }
 
 void doorOutcomes() {
@@ -198,7 +198,7 @@
   std::printf("and again: %s\n", c.ask(selectOf("pages3"), {.pageSize = 1, .page = page}).c_str());
   // Further pages are never older than the first: replicas that came back from an old copy get none
   // of them.
-  d.comeBackOld({1, 2});
+  d.restartWithOldData({1, 2});
   int right = 0, before = d.toy.executions(1) + d.toy.executions(2);
   for (int k = 0; k < 20; ++k)
     right += c.ask(selectOf("pages3"), {.pageSize = 1, .page = page}) == "row 'page 2', more pages";
@@ -265,7 +265,7 @@
 }
 
 void doorPasswords() {
-  std::string door = kDoor;
+  std::string door = kCassandraSettings;
   door.insert(door.find("  streams"), "  user = \"gate\"\n  password = \"rain\"\n");
   ClientProtocol d(1, door);
   for (const char* secret : {"rain", "snow", "rainy", ""}) {
@@ -283,7 +283,7 @@
 
 // Many streams at once, a client that reads nothing, and the memory that it all takes.
 void doorCrowd() {
-  ClientProtocol d(3, kDoor, 32);
+  ClientProtocol d(3, kCassandraSettings, 32);
   CqlClient c(d);
   for (int k = 0; k < 10'000; ++k) c.query(selectOf("slow2"), {}, k);
   int completed = 0, rejected = 0, other = 0;
@@ -311,12 +311,12 @@
           [&] { return after.ask(selectOf("a"), {}) == "row 'value of a'"; });
   for (int k = 0; k < 20; ++k) right += after.ask(selectOf("a"), {}) == "row 'value of a'";
   std::printf("once they have left: %d of 20\n", right);
-  std::printf("memory at most 32 MB: %s\n", d.heldAtMost(32) ? "yes" : "no");
+  std::printf("memory at most 32 MB: %s\n", d.usedAtMost(32) ? "yes" : "no");
 }
 
 // One stream is owed its answer, as the next message comes slowly.
 void doorSlowWriter() {
-  ClientProtocol d(1, kDoor);
+  ClientProtocol d(1, kCassandraSettings);
   CqlClient c(d);
   c.query(selectOf("slow2500"), {.waitMs = 5000}, 1);
   c.raw(std::string("\4\0\0\2\7\0\0\0\x20", 9));
@@ -331,7 +331,7 @@
 // connections.
 void doorDrains() {
   // Probes go in this protocol too: an idle connection of the other would stay until its time.
-  std::string door = kDoor;
+  std::string door = kCassandraSettings;
   door.insert(door.find("  streams"), "  probes = true\n");
   ClientProtocol d(2, door);
   CqlClient c(d);
--- a/tests/protocols/postgres_upstream_test.cpp
+++ b/tests/protocols/postgres_upstream_test.cpp
@@ -83,7 +83,7 @@
     while (in.find(what) == std::string::npos) pass(), peer->read(in, 1 << 20);
   }
   void ends() {
-    for (TimePoint end = s.now() + test::kPatience; !done && s.now() < end;) pass();
+    for (TimePoint end = s.now() + test::kWaitLimit; !done && s.now() < end;) pass();
   }
   // The store greets, and has the job.
   void takes() {
@@ -159,8 +159,9 @@
     p.s.runOnce(p.s.now(), [&] {
       p.peer->write(bytes);
       p.peer->close();
-      while (test::Drive::faced(static_cast<std::uint16_t>(runtime::localPort(p.listener.fd())))
-                 .ended == 0)
+      while (
+          test::Drive::countSockets(static_cast<std::uint16_t>(runtime::localPort(p.listener.fd())))
+              .ended == 0)
         continue;
       p.give();
     });
--- a/tests/protocols/protocol_parity_test.cpp
+++ b/tests/protocols/protocol_parity_test.cpp
@@ -94,7 +94,7 @@
   Scene(Protocol p, int stores)
       : protocol(p), d(stores, 256, "automatic", "", false, 64, "15000000", door(p)) {}
   static std::string door(Protocol p) {
-    std::string text = test::kDoor;
+    std::string text = test::kCassandraSettings;
     // With Cassandra's, stores are probed in it too.
     if (p != Protocol::postgres) text.insert(text.find("  streams"), "  probes = true\n");
     return text;
@@ -304,7 +304,7 @@
 
 void lagging(Scene& s) {
   auto c = s.client();
-  s.d.comeBackOld({1, 2});
+  s.d.restartWithOldData({1, 2});
   for (int k = 0; k < 5; ++k) c->ask({.workload = "near", .key = "a"});
   int before = s.d.toy.executions(1) + s.d.toy.executions(2), right = 0;
   for (int k = 0; k < 30; ++k) right += c->ask({.workload = "near", .key = "a"}) == "completed";
--- a/tests/proxy/clock_steps_test.cpp
+++ b/tests/proxy/clock_steps_test.cpp
@@ -34,7 +34,7 @@
     d.stop();
     machine_.shiftClock(ahead);
     meanwhile();
-    d.goOn();
+    d.resume();
   }
 
  private:
--- a/tests/proxy/crossing_events_test.cpp
+++ b/tests/proxy/crossing_events_test.cpp
@@ -16,11 +16,11 @@
 using soak::Call;
 using test::Case;
 using test::Client;
-using test::comes;
 using test::Drive;
 using test::FaultyMachine;
 using test::Seen;
-using test::seen;
+using test::waitUntilArrived;
+using test::waitUntilStoreReceives;
 using test::yes;
 
 namespace {
@@ -48,7 +48,7 @@
     if (b.over) return;
     Client& c = *b.client;
     bool ended = c.socket->read(c.in, 1 << 20) == runtime::Socket::ReadStatus::closed;
-    std::string words = test::inWords(c.in);
+    std::string words = test::describeMessages(c.in);
     bool last = words.find("FATAL") != std::string::npos;
     if (last || words.find("ready") != std::string::npos) answered += b.waits, b.waits = false;
     b.over = last;
@@ -71,7 +71,7 @@
       "end %d\n",
       yes(asked > 100), asked - answered - lost, lost);
   std::printf("read after the end of a connection: %ld bytes\n", machine.readAndDropped());
-  d.exits();
+  d.printExitCode();
 }
 
 // A request crosses the end of a connection that rests: it is not read, so that its client asks it
@@ -84,7 +84,7 @@
   d.signal(SIGTERM);
   std::printf("one that rests: %s\n", rests.get().c_str());
   rests.send(pg::query(Client::read("b")));
-  d.exits();
+  d.printExitCode();
   std::printf("what it asked as it was ended: %ld bytes of it read\n", machine.readAndDropped());
 }
 
@@ -94,17 +94,17 @@
   Drive d(1);
   Client c(d), leaves(d);
   c.ask(Client::read("a"));
-  d.holdBack(0);
+  d.blockConnections(0);
   Seen its(d, "b");
   leaves.send(pg::query(Client::read("b")));
   d.until("the connection is dialled", [&] { return d.toy.holdsBack(0); });
   d.stop();
   d.toy.hold(0, false);
-  comes(d, [&] { return d.faced(d.toy.port(0)).unread > 0; });
+  waitUntilArrived(d, [&] { return d.countSockets(d.toy.port(0)).unread > 0; });
   leaves.socket->close();
-  comes(d, [&] { return d.faced(d.port, true).ended > 0; });
+  waitUntilArrived(d, [&] { return d.countSockets(d.port, true).ended > 0; });
   d.pass(130);
-  d.goOn();
+  d.resume();
   c.ask(Client::read("c"));
   std::printf("gone as its connection came up: %d sent of it\n", its.times);
 }
@@ -135,11 +135,11 @@
   d.pass(20);
   machine.stopsAt(where);
   d.toy.closeBusy(at);
-  d.until("the front stands", [&] { return d.stands(); });
+  d.until("the front stands", [&] { return d.isStopped(); });
   leaves.socket->close();
-  comes(d, [&] { return d.faced(d.port, true).ended > 0; });
+  waitUntilArrived(d, [&] { return d.countSockets(d.port, true).ended > 0; });
   d.pass(130);
-  d.goOn();
+  d.resume();
   c.ask(Client::read("c"));
   std::printf("gone while the front was held up %s: %d sent of it after that\n", what,
               its.times - 1);
@@ -163,13 +163,13 @@
   int at = sendSilent(d, leaves);
   d.stop();
   d.toy.closeBusy(at);
-  comes(d, [&] { return d.faced(d.toy.port(at)).ended > 0; });
+  waitUntilArrived(d, [&] { return d.countSockets(d.toy.port(at)).ended > 0; });
   for (auto& one : many) one->send("Q");
-  comes(d, [&] { return d.faced(d.port, true).unread >= 320; });
+  waitUntilArrived(d, [&] { return d.countSockets(d.port, true).unread >= 320; });
   leaves.socket->close();
-  comes(d, [&] { return d.faced(d.port, true).ended > 0; });
+  waitUntilArrived(d, [&] { return d.countSockets(d.port, true).ended > 0; });
   d.pass(130);
-  d.goOn();
+  d.resume();
   c.ask(Client::read("c"));
   std::printf("gone behind 320 other events: %d sent of it after that\n", its.times - 1);
 }
@@ -184,8 +184,8 @@
   Client last(d, false);
   last.send(pg::startup("web", "orders") + pg::query(Client::read("b")));
   for (auto& c : all) c->send(pg::query(Client::read("a")));
-  comes(d, [&] { return d.faced(d.port, true).unread >= 27; });
-  d.goOn();
+  waitUntilArrived(d, [&] { return d.countSockets(d.port, true).unread >= 27; });
+  d.resume();
   int answered = 0;
   for (auto& c : all) answered += c->get().find("ready") != std::string::npos;
   std::printf("of 27 that asked as one more came: %d answered\n", answered);
@@ -211,8 +211,8 @@
     newcomers.back()->send(pg::startup("web", "orders") + pg::query(Client::read("b")));
   }
   for (auto& c : all) c->send(pg::query(Client::read("a")));
-  comes(d, [&] { return d.faced(d.port, true).unread >= kPlaces; });
-  d.goOn();
+  waitUntilArrived(d, [&] { return d.countSockets(d.port, true).unread >= kPlaces; });
+  d.resume();
   int answered = 0;
   for (auto& c : all) answered += c->get().find("ready") != std::string::npos;
   std::printf("of 27 that asked as four more came: %d answered\n", answered);
@@ -275,12 +275,12 @@
   Client c(d);
   int before = d.sent;
   c.send(pg::query(Client::read("slow1500", 5000)));
-  seen(d, before);
+  waitUntilStoreReceives(d, before);
   d.stop();
   d.signal(SIGTERM);
   TimePoint at = d.s.now();
   d.pass(140);
-  d.goOn();
+  d.resume();
   d.until("it is told", [&] { return d.logged("phase=leaving"); });
   d.until("it is late", [&] { return d.s.now() >= at + test::ms(720); });
   c.send(pg::query(Client::read("b")));
@@ -288,7 +288,7 @@
   std::printf("asked 0.72 s after SIGTERM: %s\n",
               got.find("value of b") == std::string::npos ? "refused" : "taken");
   c.socket->close();
-  d.exits();
+  d.printExitCode();
 }
 
 const Case kCases[] = {{"termBusy", termBusy},
--- a/tests/proxy/proxy_test.cpp
+++ b/tests/proxy/proxy_test.cpp
@@ -289,7 +289,7 @@
   d.signal(SIGTERM);
   std::printf("idle ones are sent away: %s, %s\n", idle.get().c_str(), late.get().c_str());
   std::printf("what was in hand: %s\n", busy.get(2).c_str());
-  d.exits();
+  d.printExitCode();
 }
 
 // What the last tally says, against what clients heard and stores saw.
@@ -304,7 +304,7 @@
     c.ask(Client::read("wrong"));  // its client gets the store's word: completed
   }
   d.signal(SIGTERM);
-  d.exits();
+  d.printExitCode();
   d.logged("counters");
   std::size_t at = d.log.rfind(" counters ");
   std::string line = at == std::string::npos ? "none" : d.log.substr(at, d.log.find('\n', at) - at);
@@ -382,7 +382,7 @@
   d.signal(SIGTERM), d.signal(SIGHUP);
   d.pass(100);
   d.signal(SIGHUP);
-  d.exits();
+  d.printExitCode();
 }
 
 void silence() {
--- a/tests/proxy/races_test.cpp
+++ b/tests/proxy/races_test.cpp
@@ -13,12 +13,12 @@
 using namespace reedchute;
 using test::Case;
 using test::Client;
-using test::comes;
 using test::Drive;
 using test::edits;
 using test::ms;
 using test::Seen;
-using test::seen;
+using test::waitUntilArrived;
+using test::waitUntilStoreReceives;
 using test::yes;
 
 namespace {
@@ -36,7 +36,7 @@
   d.stop();
   before();
   d.toy.setState(store, "draining");
-  comes(d, [&] { return d.faced(d.listPort()).unread > 0; });
+  waitUntilArrived(d, [&] { return d.countSockets(d.listPort()).unread > 0; });
 }
 
 // A request and its client's going come together: it has gone before the front read what it asked.
@@ -48,10 +48,11 @@
     d.stop();
     leaves.send(pg::query(Client::read("b")));
     resets ? leaves.reset() : leaves.socket->close();
-    comes(d, [&] {
-      return resets ? d.faced(d.port, true).open == 1 : d.faced(d.port, true).ended > 0;
+    waitUntilArrived(d, [&] {
+      return resets ? d.countSockets(d.port, true).open == 1
+                    : d.countSockets(d.port, true).ended > 0;
     });
-    d.goOn();
+    d.resume();
     d.c.ask(Client::read("c"));
     std::printf("one that asks and %s at once: %d sent of it\n", resets ? "resets" : "closes",
                 its.times);
@@ -66,7 +67,7 @@
   std::string many = pg::query(Client::write("silent"));  // nothing goes beside a write
   for (int k = 0; k < 400; ++k) many += pg::query(Client::read("more" + std::to_string(k)));
   leaves.send(many);
-  seen(d, before);
+  waitUntilStoreReceives(d, before);
   leaves.socket->close();
   bool left = d.until("it is withdrawn", [&] { return d.logged("sessions=1 "); });
   std::printf("400 statements behind one that is out, and gone: withdrawn %s, %d sent\n", yes(left),
@@ -79,7 +80,7 @@
   {
     Served d(1);
     Client leaves(d);
-    d.holdBack(0);
+    d.blockConnections(0);
     Seen its(d, "b");
     leaves.send(pg::query(Client::read("b")));
     d.until("the connection is dialled", [&] { return d.toy.holdsBack(0); });
@@ -94,13 +95,15 @@
   int before = d.sent;
   Seen its(d, "slow50-ok");
   leaves.send(pg::query(Client::read("slow50-ok")));
-  seen(d, before);
+  waitUntilStoreReceives(d, before);
   d.stop();
   d.toy.kill(0);
   d.toy.revive(0);
   leaves.socket->close();
-  comes(d, [&] { return d.faced(d.toy.port(0)).ended > 0 && d.faced(d.port, true).ended > 0; });
-  d.goOn();
+  waitUntilArrived(d, [&] {
+    return d.countSockets(d.toy.port(0)).ended > 0 && d.countSockets(d.port, true).ended > 0;
+  });
+  d.resume();
   d.until("another's is completed",
           [&] { return other.ask(Client::read("c")).find("row") != std::string::npos; });
   std::printf("gone as its execution's connection broke: %d sent of it after that\n",
@@ -171,9 +174,9 @@
     d.stop();
     int open = static_cast<int>(d.toy.connections(0));
     d.toy.closeIdle(0, bytes);
-    comes(d, [&] { return d.faced(d.toy.port(0)).ended >= open; });
+    waitUntilArrived(d, [&] { return d.countSockets(d.toy.port(0)).ended >= open; });
     d.c.send(pg::query(Client::write("b", 3000, "once")));
-    d.goOn();
+    d.resume();
     std::string got = d.c.get();
     std::printf("an idle connection that ends with %s: %s; %d sent\n", what, got.c_str(),
                 d.sent - before);
@@ -186,21 +189,21 @@
     Served d(1);
     d.stop();
     d.c.send(pg::query(Client::write("b", 3000, "once")));
-    comes(d, [&] { return d.faced(d.port, true).unread > 0; });
+    waitUntilArrived(d, [&] { return d.countSockets(d.port, true).unread > 0; });
     d.signal(SIGTERM);
-    d.goOn();
+    d.resume();
     std::printf("SIGTERM with a request unread: %s\n", d.c.get().c_str());
-    d.exits();
+    d.printExitCode();
   }
   Served d(1);
-  d.holdBack(0);
+  d.blockConnections(0);
   d.c.send(pg::query(Client::write("b", 3000, "once")));
   d.until("the connection is dialled", [&] { return d.toy.holdsBack(0); });
   d.signal(SIGTERM);
   d.until("it is told", [&] { return d.logged("phase=leaving"); });
   d.toy.hold(0, false);
   std::printf("SIGTERM while its connection is dialled: %s\n", d.c.get().c_str());
-  d.exits();
+  d.printExitCode();
 }
 
 // One that is owed an answer asks again long after SIGTERM: it is told so, as it could lose what it
@@ -210,7 +213,7 @@
   Client c(d);
   int before = d.sent;
   c.send(pg::query(Client::read("slow1500", 5000)));
-  seen(d, before);
+  waitUntilStoreReceives(d, before);
   d.signal(SIGTERM);
   d.until("it closes", [&] { return d.logged("phase=closing"); });
   d.pass(300);
@@ -218,7 +221,7 @@
   std::printf("owed as it closes, and asked again behind it: %s\n", c.get(2).c_str());
   std::printf("then: %s\n", c.get().c_str());
   c.socket->close();
-  d.exits();
+  d.printExitCode();
 }
 
 // A request on a resting connection in the moment in which that is shut; one that came before is
@@ -232,9 +235,9 @@
   d.stop();
   d.pass(700);  // the time to close has come while it stood still
   early.send(pg::query(Client::read("c")));
-  comes(d, [&] { return d.faced(d.port, true).unread > 0; });
+  waitUntilArrived(d, [&] { return d.countSockets(d.port, true).unread > 0; });
   Seen its(d, "d");
-  d.goOn();
+  d.resume();
   std::string got = early.get(1);
   bool one = got == "row 'value of c', ready" || got == "ERROR 53300, ready" ||
              got == "FATAL 57P03, closed";
@@ -248,7 +251,7 @@
   getsockopt(late.socket->fd(), SOL_SOCKET, SO_ERROR, &error, &size);
   std::printf("asked as it was shut: %d sent, reset %s\n", its.times, yes(error != 0));
   late.socket->close(), early.socket->close();
-  d.exits();
+  d.printExitCode();
 }
 
 // What a watch has brought counts as told, though a signal moves the list elsewhere in the same
@@ -262,7 +265,7 @@
     moved.silenceList(silent);
     // The signal comes before the watch's answer, so that it is taken first.
     drainUnread(d, 1, [&] { d.configure(port), d.signal(SIGHUP); });
-    d.goOn();
+    d.resume();
     bool told = d.until("the change is heard",
                         [&] { return d.logged("id=toy-1 group=7 state=draining"); });
     std::printf("SIGHUP while a watch brings a drain, the new service %s: heard %s\n",
@@ -291,10 +294,10 @@
   d.until("watched", [&] { return d.toy.watched(); });
   d.stop();
   d.toy.resetList();
-  comes(d, [&] { return d.faced(d.listPort()).open == 0; });
+  waitUntilArrived(d, [&] { return d.countSockets(d.listPort()).open == 0; });
   d.toy.setState(1, "draining");
   TimePoint since = d.s.now();
-  d.goOn();
+  d.resume();
   d.until("told", [&] { return d.logged("state=draining"); });
   std::printf("a drain right behind a reset of the watch: told %s\n",
               d.s.now() - since < ms(3000) ? "at once" : "late");
@@ -368,7 +371,7 @@
   TimePoint since = d.s.now();
   int before = d.sent;
   c.send(pg::query(Client::write("endless", 20'000, "once")));
-  seen(d, before);
+  waitUntilStoreReceives(d, before);
   other.asks("while a store's answer does not end", Client::read("a"));
   std::printf("an answer without end: %s, ", c.get().c_str());
   std::printf("%s\n", d.s.now() - since < ms(10'000) ? "long before its client's time" : "late");
@@ -381,7 +384,7 @@
   Drive d(2);
   Client c(d);
   for (int k = 0; k < 40; ++k) c.ask(Client::read("ok"));
-  d.holdBack(1);
+  d.blockConnections(1);
   int completed = 0;
   for (int k = 0; k < 10; ++k)
     completed += c.ask(Client::read("a")).find("row") != std::string::npos;
@@ -404,7 +407,7 @@
     int had = d.toy.executions(1);
     drainUnread(d, 1);
     c.send(pg::query(Client::read("b")));
-    d.goOn();
+    d.resume();
     c.get();
     std::printf("a drain and a request, a connection in the pool: %d sent there\n",
                 d.toy.executions(1) - had);
@@ -422,21 +425,23 @@
     int out = d.toy.executions(1) - had;
     drainUnread(d, 1);
     d.toy.kill(1), d.toy.revive(1);
-    comes(d, [&] { return d.faced(d.toy.port(1)).ended > 0 && d.faced(d.toy.port(1)).open == 0; });
-    d.goOn();
+    waitUntilArrived(d, [&] {
+      return d.countSockets(d.toy.port(1)).ended > 0 && d.countSockets(d.toy.port(1)).open == 0;
+    });
+    d.resume();
     c.get(), other.get();
     std::printf("a drain between two executions: %d more sent there\n",
                 d.toy.executions(1) - had - out);
   }
   Served d(1);
-  d.holdBack(0);
+  d.blockConnections(0);
   int had = d.toy.executions(0);
   d.c.send(pg::query(Client::write("b", 1500, "once")));
   d.until("the connection is dialled", [&] { return d.toy.holdsBack(0); });
   drainUnread(d, 0);
   d.toy.hold(0, false);
-  comes(d, [&] { return d.faced(d.toy.port(0)).unread > 0; });
-  d.goOn();
+  waitUntilArrived(d, [&] { return d.countSockets(d.toy.port(0)).unread > 0; });
+  d.resume();
   std::printf("a drain as the connection comes up: %s", d.c.get().c_str());
   std::printf("; %d sent there\n", d.toy.executions(0) - had);
 }
@@ -447,11 +452,11 @@
   Served d(1);
   int before = d.sent;
   d.c.send(pg::query(Client::write("slow100", 600, "once")));
-  seen(d, before);
+  waitUntilStoreReceives(d, before);
   d.stop();
-  comes(d, [&] { return d.faced(d.toy.port(0)).unread > 0; });
+  waitUntilArrived(d, [&] { return d.countSockets(d.toy.port(0)).unread > 0; });
   d.pass(700);
-  d.goOn();
+  d.resume();
   std::string got = d.c.get();
   bool one = got == "row 'value of slow100', ready" || got == "ERROR 57014, ready";
   std::printf("an answer at the end of its time: %s\n", one ? "one" : got.c_str());
@@ -477,7 +482,7 @@
   Client slow(d, true, true), never(d, true, true);
   int before = d.sent;
   slow.send(pg::query(Client::read("big700000")));
-  seen(d, before);
+  waitUntilStoreReceives(d, before);
   d.pass(1200);  // twice that
   std::string got = slow.get();
   std::printf("it reads after twice that time: %s\n", got.substr(0, 8).c_str());
@@ -500,8 +505,8 @@
   Client last(d, false);
   last.send(pg::startup("web", "orders") + pg::query(Client::read("c")));
   slow.send(text.substr(20));
-  comes(d, [&] { return d.faced(d.port, true).unread > 0; });
-  d.goOn();
+  waitUntilArrived(d, [&] { return d.countSockets(d.port, true).unread > 0; });
+  d.resume();
   std::printf("the rest of a request, behind one that needs room: %s\n", slow.get().c_str());
   std::printf("that one: %s\n", last.get(2).c_str());
 }
@@ -519,7 +524,7 @@
   d.signal(SIGTERM);
   std::printf("one that has asked: %s\n", asks.get(2).c_str());
   std::printf("one that has not: %s\n", silent.get(2).c_str());
-  d.exits();
+  d.printExitCode();
 }
 
 // A process that starts waits for its first list; the time of its clients runs meanwhile.
--- a/tests/proxy/shutdown_test.cpp
+++ b/tests/proxy/shutdown_test.cpp
@@ -43,7 +43,7 @@
 }
 
 void tell(const char* what, Drive& d, long owedMs) {
-  int status = d.hasEnded();
+  int status = d.awaitExit();
   bool inTime = shutdownMs(d) <= kShutdownMs + kHeldUpMs + owedMs;
   std::printf("%s: ended with %d, in time %s\n", what, status, yes(inTime));
   if (!inTime) std::fprintf(stderr, "%ld ms after SIGTERM\n%s", shutdownMs(d), d.log.c_str());
@@ -104,7 +104,7 @@
 
 // The same at the Cassandra door.
 void shutdownCql() {
-  Drive d(1, 256, "automatic", "", false, 64, "15000000", test::kDoor);
+  Drive d(1, 256, "automatic", "", false, 64, "15000000", test::kCassandraSettings);
   sockaddr_in address = *runtime::parseAddress("127.0.0.1:" + std::to_string(d.cqlPort));
   std::vector<std::unique_ptr<runtime::Socket>> clients;
   const std::string halfFrame("\x04\0\0\0\x05", 5);
--- a/tests/proxy/sizes_test.cpp
+++ b/tests/proxy/sizes_test.cpp
@@ -43,7 +43,7 @@
   }
   std::printf("statements: %d completed, %d otherwise\n", completed, other);
   std::fprintf(stderr, "at most %d KB and %d descriptors\n", d.peakKb(), most);
-  std::printf("within 32 MB: %s; within 256 descriptors: %s\n", yes(d.heldAtMost(32)),
+  std::printf("within 32 MB: %s; within 256 descriptors: %s\n", yes(d.usedAtMost(32)),
               yes(most <= 256));
   int told = d.toy.executions(1);
   d.toy.setState(700, "draining");
@@ -53,7 +53,7 @@
   std::printf("replicas were used: %s\n", yes(told > 0));
   clients.clear();
   d.signal(SIGTERM);
-  d.exits();
+  d.printExitCode();
 }
 
 // A list of half a megabyte that has a hundred and seventy thousand values in it.
@@ -70,7 +70,7 @@
   std::printf("the next is taken: %s\n",
               yes(d.until("it is", [&] { return d.logged("state=draining"); })));
   std::fprintf(stderr, "at most %d KB\n", d.peakKb());
-  std::printf("within 32 MB: %s\n", yes(d.heldAtMost(32)));
+  std::printf("within 32 MB: %s\n", yes(d.usedAtMost(32)));
 }
 
 // Of 64 descriptors 13 are for stores. Twenty-one replicas take connections and say nothing: each
--- a/tests/proxy/system_call_faults_test.cpp
+++ b/tests/proxy/system_call_faults_test.cpp
@@ -67,7 +67,7 @@
     d.signal(SIGTERM);
     std::printf("accept fails with %d as the listener closes: %s\n", error, asks.get(2).c_str());
     asks.socket->close();
-    d.exits();
+    d.printExitCode();
   }
 }
 
--- a/tests/support/cql_client.h
+++ b/tests/support/cql_client.h
@@ -1,5 +1,5 @@
-// A client of the Cassandra protocol for tests: speaks to a front's door, and says in words what
-// came.
+// Test client of the Cassandra protocol. Connects to the Cassandra listener of a proxy and
+// describes its responses in words.
 #pragma once
 
 #include <map>
@@ -41,7 +41,7 @@
     raw(bytes);
   }
 
-  // Reads what has come.
+  // Reads and stores all responses that have arrived.
   void read() {
     ended = ended || socket->read(in, 8 << 20) == runtime::Socket::ReadStatus::closed;
     for (;;) {
@@ -61,7 +61,7 @@
     answers.erase(stream);
     return got;
   }
-  // Waits for a stream's answer; what it says.
+  // Waits for the response on a stream and returns its description.
   std::string answer(int stream) {
     d.until("an answer", [&] {
       read();
@@ -69,10 +69,11 @@
     });
     if (!answers.contains(stream)) return "closed";
     last = take(stream);
-    return words(last) + (ended ? ", closed" : "");
+    return describe(last) + (ended ? ", closed" : "");
   }
 
-  std::string words(const Got& got) {
+  // Describes a response, and leaves it decoded in `reply`.
+  std::string describe(const Got& got) {
     cql::Frame f;
     f.version = version, f.flags = got.flags, f.opcode = got.opcode, f.body = got.body;
     reply = {};
@@ -80,10 +81,11 @@
     if (got.opcode == cql::Opcode::error) {
       char code[8];
       std::snprintf(code, sizeof code, "%04x", static_cast<unsigned>(reply.code));
-      std::string told = std::string("ERROR ") + code;
-      if (!reply.writeType.empty()) told += " " + std::string(reply.writeType);
-      std::string_view back = cql::valueOf(reply.payload, "retry_after_ms");
-      return told + (back.empty() ? "" : ", come back after " + std::string(back));
+      std::string description = std::string("ERROR ") + code;
+      if (!reply.writeType.empty()) description += " " + std::string(reply.writeType);
+      std::string_view retryAfter = cql::valueOf(reply.payload, "retry_after_ms");
+      return description +
+             (retryAfter.empty() ? "" : ", come back after " + std::string(retryAfter));
     }
     if (got.opcode != cql::Opcode::result) return cql::nameOf(got.opcode);
     if (reply.kind == cql::ResultKind::prepared)
@@ -91,14 +93,16 @@
     if (reply.kind == cql::ResultKind::setKeyspace)
       return "keyspace " + std::string(reply.keyspace);
     if (reply.kind != cql::ResultKind::rows) return "done";
-    std::string told = std::to_string(reply.rows) + " rows";
+    std::string description = std::to_string(reply.rows) + " rows";
     if (reply.rows == 1 && reply.columns == 1) {
       std::string value = got.body.substr(got.body.rfind("payload") + 7 + 2 + 4 + 4);
-      told = "row '" + value.substr(0, 40) + "'";
+      description = "row '" + value.substr(0, 40) + "'";
     }
-    return told + (reply.pageState ? ", more pages" : "");
+    return description + (reply.pageState ? ", more pages" : "");
   }
 
+  // Parameters of a statement. `mark` is the idempotency key, `waitMs` the deadline, `page` the
+  // paging state; without `payload` no custom payload is sent.
   struct Extra {
     const char* workload = "any";
     std::string mark{};
@@ -108,6 +112,7 @@
     std::uint16_t consistency = 1;
     bool payload = true;
   };
+  // Returns the custom payload of the next statement.
   std::string payload(const Extra& x) {
     std::string id = std::to_string(++ids), wait = std::to_string(x.waitMs), map;
     cql::BytesMap fields = {{"id", id}, {"c", x.workload}, {"d", wait}, {"cluster", "7"}};
@@ -129,6 +134,7 @@
     if (!x.page.empty()) cql::addBytes(p, x.page);
     return p;
   }
+  // query, execute and batch send a statement without waiting, and return its stream.
   int query(const std::string& text, const Extra& x, int stream = 1) {
     std::string body = x.payload ? payload(x) : std::string();
     cql::addLongString(body, text);
@@ -136,12 +142,14 @@
     return stream;
   }
   std::string ask(const std::string& text, const Extra& x) { return answer(query(text, x)); }
+  // Sends a statement without a custom payload and waits for the response.
   std::string plain(const std::string& text) {
     Extra x;
     x.payload = false;
     return ask(text, x);
   }
-  // The id that clients are to execute; empty where it can't be prepared.
+  // Prepares a statement. Returns its id for execute(), or an empty string on failure; `said` is
+  // the response in words.
   std::string prepare(const std::string& text, const char* workload = "any") {
     Extra x;
     x.workload = workload;
@@ -162,7 +170,7 @@
     send(stream, cql::Opcode::execute, body + parameters(x, values), x.payload ? cql::kPayload : 0);
     return stream;
   }
-  // A batch of texts, or, with ids, of prepared statements that have a value each.
+  // Sends a batch of unprepared `texts` and of `prepared` statements (id and their only value).
   int batch(const std::vector<std::string>& texts,
             const std::vector<std::pair<std::string, std::string>>& prepared, std::uint8_t type,
             const Extra& x, int stream = 4) {
@@ -187,7 +195,7 @@
   std::string in, started, said, resultId, lastId;
   std::map<int, Got> answers;
   Got last;
-  cql::Reply reply;  // of the last one that was put in words; views into `last`
+  cql::Reply reply;  // decoded from the last described response; contains views into `last`
   bool ended = false;
   static inline int ids = 100'000;
 };
@@ -199,8 +207,8 @@
   return "INSERT INTO weather.entries (ref, payload) VALUES ('" + key + "', 0x9f)";
 }
 
-// The door of these tests.
-inline const char* kDoor = R"(
+// Settings file with the Cassandra listener that these tests use.
+inline const char* kCassandraSettings = R"(
 cassandra {
   listen            = "127.0.0.1:0"
   streams           = 2000
--- a/tests/support/drive.h
+++ b/tests/support/drive.h
@@ -1,4 +1,5 @@
-// A front as a process of its own, with the toy of example/ for its stores and list.
+// Runs a proxy ("front") as a child process, with the toy of example/ as its stores and its
+// endpoint list service in the process of the test.
 #pragma once
 
 #include <fcntl.h>
@@ -25,7 +26,7 @@
 namespace reedchute::test {
 
 inline const char* program = nullptr;
-inline constexpr Duration kPatience{20'000'000};  // only a broken front ever takes that long
+inline constexpr Duration kWaitLimit{20'000'000};  // reached only if the front is faulty
 
 inline const char* kSettings = R"({"classes":[
   {"name":"any","repeat":"repeatable","slo":500000,"worth":1,"late_worth":0.2},
@@ -40,25 +41,32 @@
  "obligations":{"ask_every":10000000,"cold_from":0.27,"fall_multiple":2.5,"ramp_time":16000000,"tip_after":2000000},
  "prices":{"probe":0.016},"realms":[]})";
 
-// What a test changes in the settings of the fronts that it starts.
+// Replacements (old text, new text) that are applied to kSettings for each front that is started
+// from then on.
 inline std::vector<std::pair<std::string, std::string>> edits;
 
 class Drive {
  public:
+  // Starts the stores (store 0 is the primary) and the front.
+  // `mode`: the setting membership_mode. `firstList`: raw text of the endpoint list service's first
+  // response; empty: the proper one. `hasBlockedLog`: the front's standard error is full, and
+  // nobody reads it. `listenerSettings`: settings file that adds the Cassandra listener; empty:
+  // none. `aliases`: number of further entries of the endpoint list for the last store.
   explicit Drive(int stores, int sockets = 256, const char* mode = "automatic",
-                 const char* firstList = "", bool logStands = false, int memoryMb = 64,
-                 const char* keepalive = "15000000", std::string doors = "", int aliases = 0)
+                 const char* firstList = "", bool hasBlockedLog = false, int memoryMb = 64,
+                 const char* keepalive = "15000000", std::string listenerSettings = "",
+                 int aliases = 0)
       : toy(s, aliases ? "0.0.0.0" : "127.0.0.1"),
         mode_(mode),
         memoryMb_(memoryMb),
         keepalive_(keepalive),
-        logStands_(logStands),
-        doors_(std::move(doors)) {
+        hasBlockedLog_(hasBlockedLog),
+        listenerSettings_(std::move(listenerSettings)) {
     for (int k = 0; k < stores; ++k) {
       toy.addStore(k == 0, 7);
-      if (!doors_.empty()) toy.speakCql(k);
+      if (!listenerSettings_.empty()) toy.speakCql(k);
     }
-    // The last store stands behind all further entries of the list.
+    // All further entries of the endpoint list are addresses of the last store.
     for (int k = 0; k < aliases; ++k) toy.addAlias(stores - 1);
     if (aliases) toy.indentList(true);
     listPort_ = toy.serveList();
@@ -72,63 +80,65 @@
   }
   ~Drive() {
     toy.seen = [](int, const std::string&) {};
-    if (child_ > 0 && !logStands_) ends();
+    if (child_ > 0 && !hasBlockedLog_) terminate();
     if (child_ > 0) kill(child_, SIGKILL), waitpid(child_, nullptr, 0);
     unlink(path_.c_str());
-    if (!doors_.empty()) unlink((path_ + ".hcl").c_str());
+    if (!listenerSettings_.empty()) unlink((path_ + ".hcl").c_str());
   }
 
   void start(int sockets) {
     char name[] = "/tmp/reedchute-test-XXXXXX";
     int file = mkstemp(name);
-    if (file < 0) throw std::runtime_error("no temporary file");
+    if (file < 0) throw std::runtime_error("cannot create a temporary file");
     close(file);
     path_ = name;
     std::string settings = kSettings;
     settings.replace(settings.find("automatic"), 9, mode_);
     settings.replace(settings.find("15000000"), 8, keepalive_);
-    if (logStands_) {  // the port can't be read from the log then: one that was free a moment ago
+    // The port can't be read from a log that isn't read, so use one that is free now.
+    if (hasBlockedLog_) {
       int probe = runtime::openListener(*runtime::parseAddress("127.0.0.1:0", true));
       port = static_cast<std::uint16_t>(runtime::localPort(probe));
       close(probe);
     }
     for (const auto& [from, to] : edits) {
       std::size_t at = settings.find(from);
-      if (at == std::string::npos) throw std::runtime_error("no such setting: " + from);
+      if (at == std::string::npos) throw std::runtime_error("edit not found in kSettings: " + from);
       settings.replace(at, from.size(), to);
     }
     sockets_ = sockets, settings_ = settings;
     configure(listPort_);
-    if (!doors_.empty()) std::ofstream(path_ + ".hcl") << doors_;
+    if (!listenerSettings_.empty()) std::ofstream(path_ + ".hcl") << listenerSettings_;
     int fds[2];
     if (socketpair(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0, fds) < 0)
-      throw std::runtime_error("no socketpair");
-    while (logStands_ && send(fds[1], "full", 4, MSG_DONTWAIT) > 0) {
+      throw std::runtime_error("socketpair failed");
+    while (hasBlockedLog_ && send(fds[1], "full", 4, MSG_DONTWAIT) > 0) {
     }
-    // Danger: until the child is the front it has copies of the toy's sockets; one that is closed
-    // here meanwhile would go on reporting to what is gone. The pipe ends as the front begins.
-    int begins[2];
-    if (pipe2(begins, O_CLOEXEC) < 0) throw std::runtime_error("no pipe");
+    // Until exec, the child holds copies of the toy's sockets. If one of them were closed here in
+    // the meantime, epoll would go on reporting events for the copy to a destroyed object.
+    // Therefore wait for the pipe, whose write end closes on exec.
+    int execPipe[2];
+    if (pipe2(execPipe, O_CLOEXEC) < 0) throw std::runtime_error("pipe2 failed");
     child_ = fork();
     if (child_ == 0) {
       dup2(fds[1], 2);
       setenv("LB_CONFIG", path_.c_str(), 1);
-      if (doors_.empty()) execl(program, program, static_cast<char*>(nullptr));
+      if (listenerSettings_.empty()) execl(program, program, static_cast<char*>(nullptr));
       execl(program, program, "--settings", (path_ + ".hcl").c_str(), static_cast<char*>(nullptr));
       _exit(127);
     }
-    close(begins[1]);
+    close(execPipe[1]);
     char none;
-    while (read(begins[0], &none, 1) < 0 && errno == EINTR) {
+    while (read(execPipe[0], &none, 1) < 0 && errno == EINTR) {
     }
-    close(begins[0]);
+    close(execPipe[0]);
     close(fds[1]);
     fcntl(fds[0], F_SETFL, O_NONBLOCK);
     log_ = std::make_unique<runtime::Socket>(s, fds[0]);
-    if (logStands_) return pass(300);
+    if (hasBlockedLog_) return pass(300);
     until("the front listens", [&] { return logged("listening port="); });
     port = static_cast<std::uint16_t>(std::atoi(log.c_str() + log.find("listening port=") + 15));
-    if (!doors_.empty()) {
+    if (!listenerSettings_.empty()) {
       until("the other door listens", [&] { return logged("protocol=cassandra port="); });
       cqlPort = static_cast<std::uint16_t>(
           std::atoi(log.c_str() + log.find("protocol=cassandra port=") + 24));
@@ -136,9 +146,10 @@
     if (awaitsList)
       until("the list is read", [&] { return logged(" endpoints_updated version="); });
   }
+  // Writes the front's configuration, truncated to `cutAt` bytes.
   void configure(int listPort, const char* name = "t", std::size_t cutAt = std::string::npos) {
     std::string text = "{\"name\":\"" + std::string(name) +
-                       "\",\"listen\":\"127.0.0.1:" + std::to_string(logStands_ ? port : 0) +
+                       "\",\"listen\":\"127.0.0.1:" + std::to_string(hasBlockedLog_ ? port : 0) +
                        "\",\"discovery\":\"127.0.0.1:" + std::to_string(listPort) +
                        "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"sockets\":" +
                        std::to_string(sockets_) + ",\"memory_mb\":" + std::to_string(memoryMb_) +
@@ -146,13 +157,14 @@
                        ",\"settings\":" + settings_ + "}";
     std::ofstream(path_) << text.substr(0, cutAt);
   }
+  // Reads the front's log; returns whether it contains `text`.
   bool logged(const char* text) {
     log_->read(log, 1 << 24);
     return log.find(text) != std::string::npos;
   }
-  // Runs the stores until something is so; says so if it never is.
+  // Runs the scheduler until `so` returns true. After kWaitLimit prints `what` and returns false.
   bool until(const char* what, const std::function<bool()>& so) {
-    for (TimePoint end = s.now() + kPatience; !so();) {
+    for (TimePoint end = s.now() + kWaitLimit; !so();) {
       if (s.now() > end) {
         std::printf("waited in vain: %s\n", what);
         if (std::getenv("SHOW_LOG")) std::fprintf(stderr, "%s", log.c_str());
@@ -162,44 +174,47 @@
     }
     return true;
   }
+  // Runs the scheduler for this time.
   void pass(int ms) {
     for (TimePoint end = s.now() + Duration{ms * 1000}; s.now() < end;)
       s.runOnce(s.now() + Duration{2000}, [] {});
   }
   void signal(int number) { kill(child_, number); }
-  // Does the front stand still?
-  bool stands() const {
+  // Whether the front is stopped by a signal.
+  bool isStopped() const {
     std::ifstream stat("/proc/" + std::to_string(child_) + "/stat");
     std::string line;
     std::getline(stat, line);
     std::size_t name = line.rfind(") ");
     return name != std::string::npos && line[name + 2] == 'T';
   }
-  // The front stands still in its wait for events, and what is sent to it meanwhile waits for it
-  // all together. In the middle of a round it would take up some of that before it has seen the
-  // rest.
+  // Stops the front while it waits for events, so that it finds everything that is sent to it in
+  // the meantime in a single wait. If it were stopped in the middle of a round, it would process
+  // some of that before it sees the rest.
   void stop() {
-    std::string of = "/proc/" + std::to_string(child_);
+    std::string processFolder = "/proc/" + std::to_string(child_);
     for (bool waits = false; !waits;) {
       signal(SIGSTOP);
-      bool still = until("the front stands still", [&] { return stands(); });
-      std::ifstream call(of + "/syscall");
+      bool still = until("the front stands still", [&] { return isStopped(); });
+      std::ifstream call(processFolder + "/syscall");
       long number = -1;
       call >> number;
       waits = !still || !call || number == SYS_epoll_pwait2 || number == SYS_epoll_pwait ||
               number == SYS_epoll_wait;
-      if (!waits) goOn(), pass(1);
+      if (!waits) resume(), pass(1);
     }
   }
-  void goOn() { signal(SIGCONT); }
-  // The front's sockets that face `port`, of a store or of the list, or stand behind its own: those
-  // that are open, those whose peer has closed them, and those with bytes unread. What the kernel
-  // shows is there for the front to see.
-  struct Faced {
+  void resume() { signal(SIGCONT); }
+  // Numbers of TCP sockets by state: established, closed by the peer (CLOSE_WAIT), and with unread
+  // bytes.
+  struct SocketCounts {
     int open = 0, ended = 0, unread = 0;
   };
-  static Faced faced(std::uint16_t port, bool own = false) {
-    Faced all;
+  // Counts the front's sockets that are connected to `port` of a store or of the endpoint list
+  // service; with `own`, those that were accepted on the front's own `port`. Uses the kernel's
+  // table, so the front is able to see what is counted.
+  static SocketCounts countSockets(std::uint16_t port, bool own = false) {
+    SocketCounts all;
     std::ifstream table("/proc/net/tcp");
     std::string line;
     while (std::getline(table, line)) {
@@ -212,8 +227,8 @@
     }
     return all;
   }
-  // A connection to a port of the front, once it is up.
   static int connectTo(const sockaddr_in& at) { return runtime::startConnect(at); }
+  // Connects to a port of the front and waits until the connection is established.
   std::unique_ptr<runtime::Socket> dial(std::uint16_t to,
                                         int connect(const sockaddr_in&) = connectTo) {
     sockaddr_in at = *runtime::parseAddress("127.0.0.1:" + std::to_string(to));
@@ -225,7 +240,7 @@
     });
     return socket;
   }
-  // Writes all of it, as the front reads it.
+  // Writes all bytes, waiting for the front to read them where necessary.
   void put(runtime::Socket& socket, std::string_view bytes) {
     while (!bytes.empty()) {
       auto rest = socket.write(bytes);
@@ -234,52 +249,54 @@
       if (!bytes.empty()) pass(1);
     }
   }
-  // Stores come back from a copy that is a minute old; the list says so.
-  void comeBackOld(std::initializer_list<int> which) {
+  // Restarts stores from a copy of the data that is a minute old, and waits until the front has
+  // received the endpoint list with the starts.
+  void restartWithOldData(std::initializer_list<int> which) {
     for (int store : which) {
       toy.kill(store);
       toy.lag(store, Duration{60'000'000});
       toy.revive(store);
     }
-    std::string told = "id=toy-" + std::to_string(*(which.end() - 1)) +
-                       " group=7 state=up primary=0 started_ms=1";
-    until("told", [&] { return logged(told.c_str()); });
+    std::string expectedLine = "id=toy-" + std::to_string(*(which.end() - 1)) +
+                               " group=7 state=up primary=0 started_ms=1";
+    until("told", [&] { return logged(expectedLine.c_str()); });
   }
-  // All connections to a store are closed, and the next ones don't come up until `toy.hold(store,
-  // false)`.
-  void holdBack(int store) {
+  // Closes all connections to a store; new ones aren't established until `toy.hold(store, false)`.
+  void blockConnections(int store) {
     toy.hold(store, true), toy.closeIdle(store);
     until("none is open", [&] { return toy.connections(store) == 0; });
   }
-  // The process ends at once; another is started with the same settings.
+  // Kills the front with SIGKILL and starts another with the same settings.
   void killAndStart() {
     kill(child_, SIGKILL);
     waitpid(child_, nullptr, 0);
     child_ = -1;
-    log_.reset();  // before the fork: a copy of it in the child would go on reporting to what is
-                   // gone
+    // Before the fork, as epoll would go on reporting events for a copy in the child to the
+    // destroyed object.
+    log_.reset();
     log.clear();
     unlink(path_.c_str()), unlink((path_ + ".hcl").c_str());
     start(sockets_);
   }
-  // How the front ended, once it has.
-  void exits() {
-    int status = hasEnded();
+  // Waits until the front has exited and prints its exit code.
+  void printExitCode() {
+    int status = awaitExit();
     std::printf("the front exits with %d\n", WIFEXITED(status) ? WEXITSTATUS(status) : -1);
   }
-  // Ends it as a restart does.
-  void ends() {
+  // Terminates the front with SIGTERM, as for a restart; prints the status if it isn't 0.
+  void terminate() {
     signal(SIGTERM);
-    // Danger: one that exits is traced by the leak checker, which waits for its stop; SIGCONT would
-    // take that away.
-    if (stands()) goOn();
-    if (int status = hasEnded(); status != 0) std::printf("the front ended with %d\n", status);
+    // SIGCONT is sent only to a stopped front: the leak checker traces an exiting process and waits
+    // for its stop, which SIGCONT would cancel.
+    if (isStopped()) resume();
+    if (int status = awaitExit(); status != 0) std::printf("the front ended with %d\n", status);
   }
-  // Its exit status. Whatever a test is about, all that was taken is answered by then, or its
-  // client has gone.
-  int hasEnded() {
+  // Waits until the front has exited and returns its wait status. In every test the front must by
+  // then have answered all accepted statements whose clients are still connected, so a
+  // responses_missing line in its log is printed.
+  int awaitExit() {
     int status = -1;
-    // The log is read meanwhile: what a full one can't take is lost.
+    // Keep reading the log, as lines that don't fit into a full pipe are lost.
     auto ended = [&] { return logged(""), waitpid(child_, &status, WNOHANG) == child_; };
     if (until("the front exits", ended)) child_ = -1;
     logged("");
@@ -290,15 +307,15 @@
     return status;
   }
 
-  // Has the front held no more memory than so much? The sanitizer keeps what is freed: a build with
-  // it only finds growth without end, and the plain one checks the bound itself.
-  bool heldAtMost(int mb) const {
+  // Whether the peak memory of the front was at most `mb`. AddressSanitizer retains freed memory,
+  // so a build with it only detects unbounded growth; the normal build checks the bound itself.
+  bool usedAtMost(int mb) const {
 #ifdef __SANITIZE_ADDRESS__
     mb *= 16;
 #endif
     return peakKb() >= 0 && peakKb() <= mb * 1024;
   }
-  // The most memory that the front has held.
+  // Peak resident memory of the front; -1 if unknown.
   int peakKb() const {
     std::ifstream status("/proc/" + std::to_string(child_) + "/status");
     for (std::string line; std::getline(status, line);)
@@ -306,7 +323,7 @@
     return -1;
   }
 
-  // The descriptors that it holds now.
+  // Number of descriptors that the front has open.
   int descriptors() const {
     std::filesystem::directory_iterator all("/proc/" + std::to_string(child_) + "/fd"), end;
     return static_cast<int>(std::distance(all, end));
@@ -317,10 +334,10 @@
   std::uint16_t port = 0, cqlPort = 0;
   std::string log;
   bool show = false;
-  std::string
-      known;  // the list that the front is started with, where it isn't the list as it stands
-  bool awaitsList = true;  // the front counts as started once it has the list
-  int sent = 0;
+  // Endpoint list in the front's configuration; empty: the present one of the toy.
+  std::string known;
+  bool awaitsList = true;  // start() waits until the front has received the endpoint list
+  int sent = 0;            // number of statements that the stores received
   std::uint16_t listPort() const {
     return listPort_;
   }
@@ -330,14 +347,14 @@
   std::string mode_, settings_;
   int sockets_ = 0, memoryMb_;
   const char* keepalive_;
-  bool logStands_;
-  std::string doors_;
+  bool hasBlockedLog_;
+  std::string listenerSettings_;
   pid_t child_ = -1;
   std::string path_;
   std::unique_ptr<runtime::Socket> log_;
 };
 
-// main of a program of tests on whole fronts: PROGRAM CASE.
+// main() of a test program that runs whole fronts. Arguments: PROGRAM CASE.
 template <std::size_t N>
 int runOnFront(const Case (&cases)[N], int argc, char** argv) {
   std::signal(SIGPIPE, SIG_IGN);
--- a/tests/support/pg_client.h
+++ b/tests/support/pg_client.h
@@ -1,4 +1,4 @@
-// A client of a front in PostgreSQL's protocol, under a test's hand.
+// Test client of the PostgreSQL protocol, whose steps the test controls one by one.
 #pragma once
 
 #include <netinet/tcp.h>
@@ -18,12 +18,12 @@
 
 using runtime::Socket;
 
-// What came from a front, in words.
-inline std::string inWords(std::string& in) {
-  std::string said;
+// Removes the complete messages from `in` and describes them in words.
+inline std::string describeMessages(std::string& in) {
+  std::string description;
   pg::Message m;
   while (pg::frame(in, 1 << 20, m) == pg::Framed::whole) {
-    auto add = [&](const std::string& s) { said += (said.empty() ? "" : ", ") + s; };
+    auto add = [&](const std::string& s) { description += (description.empty() ? "" : ", ") + s; };
     std::string code(pg::errorField(m.payload, 'C')), detail(pg::errorField(m.payload, 'D'));
     if (m.type == 'D') {
       auto value = pg::firstColumn(m.payload);
@@ -40,10 +40,10 @@
     }
     in.erase(0, m.whole.size());
   }
-  return said;
+  return description;
 }
 
-// What became of a statement, by the words of its answer.
+// Returns the outcome of a statement from the description of its answer.
 inline const char* outcomeOf(const std::string& words) {
   auto has = [&](const char* word) { return words.find(word) != std::string::npos; };
   if (has("ERROR") || has("FATAL"))
@@ -53,7 +53,7 @@
 
 class Client {
  public:
-  // `narrow`: little is on the way to it that it hasn't read.
+  // `narrow`: uses small buffers, so that only few bytes can be in transit to the client unread.
   explicit Client(Drive& drive, bool greet = true, bool narrow = false) : d(drive) {
     socket = narrow ? d.dial(d.port, narrowTo) : d.dial(d.port);
     if (greet) send(pg::startup("web", "orders")), get(1);
@@ -67,17 +67,18 @@
     return fd;
   }
   void send(std::string_view bytes) { d.put(*socket, bytes); }
-  // Waits for so many ReadyForQuery, or for the end; what came, in words.
+  // Waits for `readies` ReadyForQuery messages or for the end of the connection, and describes what
+  // arrived.
   std::string get(int readies = 1) {
-    std::string said;
+    std::string description;
     d.until("an answer", [&] {
       ended = ended || socket->read(in, 1 << 22) == Socket::ReadStatus::closed;
-      std::string more = inWords(in);
+      std::string more = describeMessages(in);
       for (std::size_t k = 0; (k = more.find("ready", k)) != std::string::npos; ++k) --readies;
-      if (!more.empty()) said += (said.empty() ? "" : ", ") + more;
+      if (!more.empty()) description += (description.empty() ? "" : ", ") + more;
       return readies <= 0 || ended;
     });
-    return said + (ended ? (said.empty() ? "closed" : ", closed") : "");
+    return description + (ended ? (description.empty() ? "closed" : ", closed") : "");
   }
   static std::string read(const std::string& key, int wait = 3000, const char* workload = "any") {
     return "SELECT payload FROM entries WHERE ref = '" + key + "' /* id=" + std::to_string(++ids) +
@@ -93,13 +94,14 @@
     send(pg::query(text));
     return get();
   }
+  // Sends a statement and prints its answer and how often it was sent to stores.
   void asks(const char* what, const std::string& text) {
     int before = d.sent;
     std::string got = ask(text);
     std::printf("%s: %s; %d sent\n", what, got.c_str(), d.sent - before);
   }
 
-  // Ends its connection as a process does that dies: with a reset.
+  // Closes the connection with a reset, as when the client process is killed.
   void reset() {
     linger now{1, 0};
     setsockopt(socket->fd(), SOL_SOCKET, SO_LINGER, &now, sizeof now);
@@ -113,19 +115,20 @@
   static inline int ids = 0;
 };
 
-// Waits until what was sent to the front stands there for it to see. The kernel's table may leave
-// out a line while others come and go: what is not there has to be so three times in a row.
-inline void comes(Drive& d, const std::function<bool()>& so) {
+// Waits until something has arrived at the front's sockets (see Drive::countSockets). The kernel's
+// table may omit a line while other connections are opened and closed, so `so` must be true three
+// times in a row.
+inline void waitUntilArrived(Drive& d, const std::function<bool()>& so) {
   int times = 0;
   d.until("it has come", [&] { return (times = so() ? times + 1 : 0) == 3; });
 }
 
-// Waits until a statement has been seen by a store.
-inline void seen(Drive& d, int before) {
+// Waits until a store has received a statement. `before`: Drive::sent before it was sent.
+inline void waitUntilStoreReceives(Drive& d, int before) {
   d.until("a store sees it", [&] { return d.sent > before; });
 }
 
-// How often stores see statements with this key, from now on.
+// Counts the statements with this key that stores receive from now on, and calls `then` for each.
 class Seen {
  public:
   Seen(
--- a/tests/support/sim_files.h
+++ b/tests/support/sim_files.h
@@ -1,5 +1,5 @@
-// A folder in memory whose failures are caused one by one: each step of input or output can be the
-// last one.
+// In-memory folder for tests of the ledger. The process can be killed at each single write or sync,
+// the disk can be full, and the machine can crash.
 #pragma once
 
 #include <map>
@@ -11,14 +11,16 @@
 
 namespace reedchute::test {
 
-struct Killed {};  // the process ends at this step
+// Thrown at the step at which the process is killed.
+struct Killed {};
 
 class SimFiles : public ledger::Files {
  public:
-  // The step that doesn't end any more; -1: none. Of an append a part may have been taken by then.
+  // The step at which the process is killed; -1: none. An append may have been applied in part by
+  // then.
   int killAt = -1;
-  enum class Taken { none, some, all } taken = Taken::some;  // of the append that it is killed in
-  int fullFrom = -1, fullTo = -1;                            // steps at which the disk is full
+  enum class Taken { none, some, all } taken = Taken::some;  // how much of that append is applied
+  int fullFrom = -1, fullTo = -1;  // the disk is full from step fullFrom until before fullTo
   int steps = 0;
   unsigned seed = 1;
 
@@ -54,20 +56,21 @@
     f.synced = f.data.size(), f.named = true;
   }
 
-  // What was never synced is lost, torn or there, by sectors and in any order.
-  void machineDies(unsigned by) {
-    std::minstd_rand chance(by);
+  // Crashes the machine: data that was never synced is lost, torn or kept, sector by sector in any
+  // order. `by` seeds the random choice.
+  void crashMachine(unsigned by) {
+    std::minstd_rand random(by);
     for (auto it = files_.begin(); it != files_.end();) {
       File& f = it->second;
-      if (!f.named && chance() % 2) {
+      if (!f.named && random() % 2) {
         it = files_.erase(it);
         continue;
       }
-      std::size_t length = f.synced + chance() % (f.data.size() - f.synced + 1);
-      if (chance() % 2) length = f.data.size();
+      std::size_t length = f.synced + random() % (f.data.size() - f.synced + 1);
+      if (random() % 2) length = f.data.size();
       f.data.resize(length);
       for (std::size_t at = f.synced; at < length; at += kSector)
-        if (chance() % 3 == 0)
+        if (random() % 3 == 0)
           for (std::size_t k = at; k < std::min(length, at + kSector); ++k) f.data[k] = '\0';
       f.synced = length, f.named = true;
       ++it;
@@ -84,9 +87,10 @@
   struct File {
     std::string data;
     std::size_t synced = 0;
-    bool named = false;  // its name would survive the machine
+    bool named = false;  // the directory entry was synced, so it survives a crash
   };
-  static constexpr std::size_t kSector = 64;  // small, so that few records already span several
+  // Small, so that even a few records span several sectors.
+  static constexpr std::size_t kSector = 64;
 
   bool step() {
     ++steps;
--- a/tests/support/trace.h
+++ b/tests/support/trace.h
@@ -1,4 +1,5 @@
-// Drives the decision module by hand and prints what it decides, in milliseconds and short names.
+// Drives the decision engine step by step and prints its decisions, with times in milliseconds.
+// Also helpers that all test programs use.
 #pragma once
 
 #include <cstdio>
@@ -15,18 +16,18 @@
   return Duration{static_cast<std::int64_t>(n * 1000)};
 }
 
-// Bytes, by what puts them there.
+// Returns the bytes that `put` appends to a string.
 std::string made(auto&& put) {
   std::string bytes;
   put(bytes);
   return bytes;
 }
 
-// What a test program can run, by the name that it is called with.
 inline const char* yes(bool so) {
   return so ? "yes" : "no";
 }
 
+// A test case that a test program runs if called with its name.
 struct Case {
   const char* name;
   void (*run)();
@@ -36,15 +37,16 @@
 int runCase(const Case (&cases)[N], int argc, char** argv) {
   for (const Case& one : cases)
     if (argc == 2 && !std::strcmp(argv[1], one.name)) return one.run(), 0;
-  std::fprintf(stderr, "no such case\n");
+  std::fprintf(stderr, "unknown test case\n");
   return 1;
 }
 
-// One group: store 0 is listed as primary unless a scenario says otherwise; the rest are replicas.
+// A decision engine with one group of stores. Store 0 is listed as the primary unless a scenario
+// sets another; the others are replicas.
 class Bench : public DecisionSink {
  public:
   explicit Bench(EngineSettings terms) : engine(std::move(terms), clock) {}
-  // With so many members listed, of which decisions are counted and not told.
+  // Lists `members` stores. Decisions are counted but not printed.
   Bench(EngineSettings terms, int members) : Bench(std::move(terms)) {
     quiet = true, list(members);
   }
@@ -78,10 +80,11 @@
                int zone = 0) {
     engine.addEndpoint({s, 0, zone, listed, primary, 1, started}, clock);
   }
-  // A report that is `age` old when it comes in.
+  // Delivers a report of store `s` with a position that is `age` ms old.
   void report(int s, double age, bool primary = false) {
     engine.onProbeEnded(s, true, {clock - ms(age), primary}, clock);
   }
+  // Delivers a new statement and returns its number; times in ms.
   int arrive(int workload, double patience = 2000, double sinceWrite = 0, bool repeated = false,
              int tenant = 0) {
     Arrival a;
@@ -91,6 +94,8 @@
     engine.onStatementArrived(next_, a, clock);
     return next_++;
   }
+  // Ends an attempt of a statement; `age` of the position in the response (negative: none) and
+  // `took` in ms.
   void answer(int statement, AttemptOutcome ending, Role role = Role::unknown, int attempt = 0,
               double age = -1, double took = 20) {
     AttemptResult r;
@@ -100,13 +105,15 @@
     engine.onAttemptEnded(statement, r, clock);
   }
   void round() { engine.decide(clock, *this); }
-  // A statement that comes, and its round or so many ms; `last` is where it was sent, or -1.
+  // Delivers a statement and runs one round, or the rounds of `wait` ms. Afterwards `last` is the
+  // store that it was sent to, or -1.
   int ask(int workload, double patience = 2000, double wait = 0) {
     last = -1;
     int statement = arrive(workload, patience);
     wait > 0 ? pass(wait) : round();
     return statement;
   }
+  // Advances the clock by `span` ms, with a round every 5 ms.
   void pass(double span) {
     for (TimePoint end = clock + ms(span); clock < end;) {
       clock = clock + ms(5);
@@ -115,7 +122,8 @@
     }
   }
   void note(const char* text) { std::printf("-- %s\n", text); }
-  // How many of `count` statements, sent and answered one after the other, go to each store.
+  // Prints how many of `count` statements, sent and answered one after the other, each store
+  // receives.
   void shares(
       int workload, int count, int stores, const std::function<void()>& before = [] {}) {
     std::vector<int> sent(static_cast<std::size_t>(stores), 0);
@@ -134,11 +142,11 @@
   }
 
   void send(int statement, int store, TimePoint, TimePoint sendBy) override {
-    if (static_cast<int>(times_.size()) <= statement)
-      times_.resize(static_cast<std::size_t>(statement) + 1);
-    lastExecution = times_[static_cast<std::size_t>(statement)]++;
+    if (static_cast<int>(executions_.size()) <= statement)
+      executions_.resize(static_cast<std::size_t>(statement) + 1);
+    lastExecution = executions_[static_cast<std::size_t>(statement)]++;
     last = store, lastStmt = statement;
-    if (bySend)
+    if (printsSendBy)
       say("send #%d to %d, by %.0f", statement, store,
           (sendBy - TimePoint{1'000'000'000}).seconds() * 1000);
     else
@@ -147,8 +155,8 @@
   void cancel(int statement, int attempt) override {
     say("cancel #%d execution %d", statement, attempt);
   }
-  void reject(int statement, Duration back) override {
-    say("reject #%d, come back after %d", statement, static_cast<int>(back.us / 1000));
+  void reject(int statement, Duration retryAfter) override {
+    say("reject #%d, come back after %d", statement, static_cast<int>(retryAfter.us / 1000));
   }
   void abort(int statement) override { say("abort #%d", statement); }
   void probe(int store) override {
@@ -169,12 +177,12 @@
 
   TimePoint clock{1'000'000'000};
   DecisionEngine engine;
-  bool quiet = false, probes = false, bySend = false;
+  bool quiet = false, probes = false, printsSendBy = false;
   int last = -1, lastStmt = -1, lastExecution = 0, probed = -1;
 
  private:
   int next_ = 0;
-  std::vector<int> times_;  // that a statement was sent
+  std::vector<int> executions_;  // how often each statement was sent
 };
 
 }  // namespace reedchute::test
