--- a/tests/ledger/ledger_proxy_test.cpp
+++ b/tests/ledger/ledger_proxy_test.cpp
@@ -22,7 +22,7 @@
   }
   ~LedgerFolder() { std::filesystem::remove_all(path); }
   std::string settings(const char* more = "") const {
-    return std::string(test::kDoor) + "ledger {\n  folder = \"" + path +
+    return std::string(test::kCassandraSettings) + "ledger {\n  folder = \"" + path +
            "/ledger\"\n  key_file = \"" + path + "/key\"\n  period = \"hour\"\n" + more + "}\n";
   }
   // The tenant's usage in the ledger, over all periods.
@@ -92,7 +92,7 @@
     std::printf("full everywhere: %s\n", c.execute("coop", "full") ? "completed" : "not");
     d.signal(SIGTERM);
     c.socket->close(), cql.socket->close();
-    d.exits();
+    d.printExitCode();
   }
   printUsage("coop", folder.usageOf("coop"), coopCompleted);
   printUsage("office", folder.usageOf("office"), officeCompleted);
@@ -116,7 +116,7 @@
     retriesCompleted += again.execute("coop", "a", "m" + std::to_string(lastKey));
   }
   d.signal(SIGTERM);
-  d.exits();
+  d.printExitCode();
   std::printf("asked again under a mark that was answered: %d\n", retriesCompleted);
   printUsage("coop", folder.usageOf("coop"), countedByClient);
 }
@@ -132,7 +132,7 @@
       for (int k = 0; k < 5; ++k) c.execute("coop", "a");
       d.signal(SIGTERM);
       c.socket->close();
-      d.exits();
+      d.printExitCode();
     }
     {
       std::fstream log(folder.path + "/ledger/ledger-00000001.log",
--- a/tests/ledger/ledger_test.cpp
+++ b/tests/ledger/ledger_test.cpp
@@ -451,7 +451,7 @@
     w.stop();
     if (isMachineCrash) {
       lost = w.nextStatement + 1 - w.syncedStatements;
-      w.files.machineDies(crashSeed);
+      w.files.crashMachine(crashSeed);
       if (crashSeed % 2) w.memory = std::make_unique<RingMemory>();
     }
     w.clock += 0.3;
--- a/tests/protocols/cassandra_proxy_test.cpp
+++ b/tests/protocols/cassandra_proxy_test.cpp
@@ -7,7 +7,7 @@
 using test::CqlClient;
 using test::Drive;
 using test::insertOf;
-using test::kDoor;
+using test::kCassandraSettings;
 using test::made;
 using test::selectOf;
 using Extra = CqlClient::Extra;
@@ -15,7 +15,7 @@
 namespace {
 
 struct CassandraProxy : Drive {
-  explicit CassandraProxy(int stores, std::string settings = kDoor, int memoryMb = 64)
+  explicit CassandraProxy(int stores, std::string settings = kCassandraSettings, int memoryMb = 64)
       : Drive(stores, 256, "automatic", "", false, memoryMb, "15000000", std::move(settings)) {}
 };
 
@@ -208,7 +208,7 @@
               client.ask(selectOf("pages3"), {.pageSize = 1, .page = page}).c_str());
   // Later pages must not be older than the first one, so replicas that restarted from an old copy
   // must not receive any of these reads.
-  proxy.comeBackOld({1, 2});
+  proxy.restartWithOldData({1, 2});
   int correct = 0, executionsBefore = proxy.toy.executions(1) + proxy.toy.executions(2);
   for (int k = 0; k < 20; ++k)
     correct += client.ask(selectOf("pages3"), {.pageSize = 1, .page = page}) ==
@@ -281,7 +281,7 @@
 }
 
 void doorPasswords() {
-  std::string settings = kDoor;
+  std::string settings = kCassandraSettings;
   settings.insert(settings.find("  streams"), "  user = \"gate\"\n  password = \"rain\"\n");
   CassandraProxy proxy(1, settings);
   for (const char* password : {"rain", "snow", "rainy", ""}) {
@@ -301,7 +301,7 @@
 // Guards against unbounded memory: 10,000 streams at once on one connection, then five clients with
 // 200 large responses each that never read. The proxy must stay within its limit and serve others.
 void doorCrowd() {
-  CassandraProxy proxy(3, kDoor, 32);
+  CassandraProxy proxy(3, kCassandraSettings, 32);
   CqlClient client(proxy);
   for (int k = 0; k < 10'000; ++k) client.query(selectOf("slow2"), {}, k);
   int completed = 0, rejected = 0, other = 0;
@@ -332,13 +332,13 @@
               [&] { return laterClient.ask(selectOf("a"), {}) == "row 'value of a'"; });
   for (int k = 0; k < 20; ++k) correct += laterClient.ask(selectOf("a"), {}) == "row 'value of a'";
   std::printf("once they have left: %d of 20\n", correct);
-  std::printf("memory at most 32 MB: %s\n", proxy.heldAtMost(32) ? "yes" : "no");
+  std::printf("memory at most 32 MB: %s\n", proxy.usedAtMost(32) ? "yes" : "no");
 }
 
 // A pending response must be sent even if the client leaves its next message unfinished for longer
 // than the message timeout (ten connect timeouts). Only then is the connection closed.
 void doorSlowWriter() {
-  CassandraProxy proxy(1, kDoor);
+  CassandraProxy proxy(1, kCassandraSettings);
   CqlClient client(proxy);
   client.query(selectOf("slow2500"), {.waitMs = 5000}, 1);
   client.raw(std::string("\4\0\0\2\7\0\0\0\x20", 9));
@@ -355,7 +355,7 @@
 void doorDrains() {
   // Probes use this protocol too; otherwise an idle PostgreSQL connection would stay open until its
   // idle timeout.
-  std::string settings = kDoor;
+  std::string settings = kCassandraSettings;
   settings.insert(settings.find("  streams"), "  probes = true\n");
   CassandraProxy proxy(2, settings);
   CqlClient client(proxy);
--- a/tests/protocols/postgres_upstream_test.cpp
+++ b/tests/protocols/postgres_upstream_test.cpp
@@ -86,7 +86,7 @@
     while (received.find(expected) == std::string::npos) runOnce(), peer->read(received, 1 << 20);
   }
   void waitUntilEnded() {
-    for (TimePoint end = scheduler.now() + test::kPatience; !hasEnded && scheduler.now() < end;)
+    for (TimePoint end = scheduler.now() + test::kWaitLimit; !hasEnded && scheduler.now() < end;)
       runOnce();
   }
   // The store completes the startup and receives the request.
@@ -164,9 +164,9 @@
     harness.scheduler.runOnce(harness.scheduler.now(), [&] {
       harness.peer->write(bytes);
       harness.peer->close();
-      while (
-          test::Drive::faced(static_cast<std::uint16_t>(runtime::localPort(harness.listener.fd())))
-              .ended == 0)
+      while (test::Drive::countSockets(
+                 static_cast<std::uint16_t>(runtime::localPort(harness.listener.fd())))
+                 .ended == 0)
         continue;
       harness.submitRequest();
     });
--- a/tests/protocols/protocol_parity_test.cpp
+++ b/tests/protocols/protocol_parity_test.cpp
@@ -105,7 +105,7 @@
         drive(stores, 256, "automatic", "", false, 64, "15000000", listenerConfig(clientProtocol)) {
   }
   static std::string listenerConfig(Protocol clientProtocol) {
-    std::string text = test::kDoor;
+    std::string text = test::kCassandraSettings;
     // With Cassandra's protocol, stores are also probed in it.
     if (clientProtocol != Protocol::postgres)
       text.insert(text.find("  streams"), "  probes = true\n");
@@ -352,7 +352,7 @@
 
 void lagging(Scenario& scenario) {
   auto client = scenario.newClient();
-  scenario.drive.comeBackOld({1, 2});
+  scenario.drive.restartWithOldData({1, 2});
   for (int k = 0; k < 5; ++k) client->execute({.workload = "near", .key = "a"});
   int before = scenario.drive.toy.executions(1) + scenario.drive.toy.executions(2), completed = 0;
   for (int k = 0; k < 30; ++k)
--- a/tests/proxy/clock_steps_test.cpp
+++ b/tests/proxy/clock_steps_test.cpp
@@ -35,7 +35,7 @@
     d.stop();
     machine_.shiftClock(ahead);
     meanwhile();
-    d.goOn();
+    d.resume();
   }
 
  private:
@@ -221,7 +221,7 @@
 // other wait call.
 void waitRefused() {
   test::FaultyMachine machine;
-  machine.failsOften(soak::Call::exactWait, EPERM, 1024);
+  machine.failsOften(soak::Call::epollPwait2, EPERM, 1024);
   Drive d(1);
   Client c(d);
   c.asks("a read", Client::read("a"));
--- a/tests/proxy/crossing_events_test.cpp
+++ b/tests/proxy/crossing_events_test.cpp
@@ -16,11 +16,11 @@
 using soak::Call;
 using test::Case;
 using test::Client;
-using test::comes;
 using test::Drive;
 using test::FaultyMachine;
 using test::Seen;
-using test::seen;
+using test::waitUntilArrived;
+using test::waitUntilStoreReceives;
 using test::yes;
 
 namespace {
@@ -48,7 +48,7 @@
     if (b.hasEnded) return;
     Client& c = *b.client;
     bool isClosed = c.socket->read(c.in, 1 << 20) == runtime::Socket::ReadStatus::closed;
-    std::string received = test::inWords(c.in);
+    std::string received = test::describeMessages(c.in);
     bool isFatal = received.find("FATAL") != std::string::npos;
     if (isFatal || received.find("ready") != std::string::npos)
       answered += b.isWaiting, b.isWaiting = false;
@@ -72,7 +72,7 @@
       "end %d\n",
       yes(requests > 100), requests - answered - lost, lost);
   std::printf("read after the end of a connection: %ld bytes\n", machine.readAndDropped());
-  d.exits();
+  d.printExitCode();
 }
 
 // A request crosses the closing of its idle connection: the proxy doesn't read it, so that the
@@ -85,7 +85,7 @@
   d.signal(SIGTERM);
   std::printf("one that rests: %s\n", idle.get().c_str());
   idle.send(pg::query(Client::read("b")));
-  d.exits();
+  d.printExitCode();
   std::printf("what it asked as it was ended: %ld bytes of it read\n", machine.readAndDropped());
 }
 
@@ -95,17 +95,17 @@
   Drive d(1);
   Client c(d), leaving(d);
   c.ask(Client::read("a"));
-  d.holdBack(0);
+  d.blockConnections(0);
   Seen executions(d, "b");
   leaving.send(pg::query(Client::read("b")));
   d.until("the connection is dialled", [&] { return d.toy.holdsGreeting(0); });
   d.stop();
   d.toy.hold(0, false);
-  comes(d, [&] { return d.faced(d.toy.port(0)).unread > 0; });
+  waitUntilArrived(d, [&] { return d.countSockets(d.toy.port(0)).unread > 0; });
   leaving.socket->close();
-  comes(d, [&] { return d.faced(d.port, true).ended > 0; });
+  waitUntilArrived(d, [&] { return d.countSockets(d.port, true).ended > 0; });
   d.pass(130);
-  d.goOn();
+  d.resume();
   c.ask(Client::read("c"));
   std::printf("gone as its connection came up: %d sent of it\n", executions.times);
 }
@@ -137,11 +137,11 @@
   d.pass(20);
   machine.stopsAt(stopCall);
   d.toy.closeBusy(store);
-  d.until("the front stands", [&] { return d.stands(); });
+  d.until("the front stands", [&] { return d.isStopped(); });
   leaving.socket->close();
-  comes(d, [&] { return d.faced(d.port, true).ended > 0; });
+  waitUntilArrived(d, [&] { return d.countSockets(d.port, true).ended > 0; });
   d.pass(130);
-  d.goOn();
+  d.resume();
   c.ask(Client::read("c"));
   std::printf("gone while the front was held up %s: %d sent of it after that\n", moment,
               executions.times - 1);
@@ -165,13 +165,13 @@
   int store = sendUnanswered(d, leaving);
   d.stop();
   d.toy.closeBusy(store);
-  comes(d, [&] { return d.faced(d.toy.port(store)).ended > 0; });
+  waitUntilArrived(d, [&] { return d.countSockets(d.toy.port(store)).ended > 0; });
   for (auto& other : others) other->send("Q");
-  comes(d, [&] { return d.faced(d.port, true).unread >= 320; });
+  waitUntilArrived(d, [&] { return d.countSockets(d.port, true).unread >= 320; });
   leaving.socket->close();
-  comes(d, [&] { return d.faced(d.port, true).ended > 0; });
+  waitUntilArrived(d, [&] { return d.countSockets(d.port, true).ended > 0; });
   d.pass(130);
-  d.goOn();
+  d.resume();
   c.ask(Client::read("c"));
   std::printf("gone behind 320 other events: %d sent of it after that\n", executions.times - 1);
 }
@@ -187,8 +187,8 @@
   Client newcomer(d, false);
   newcomer.send(pg::startup("web", "orders") + pg::query(Client::read("b")));
   for (auto& c : clients) c->send(pg::query(Client::read("a")));
-  comes(d, [&] { return d.faced(d.port, true).unread >= 27; });
-  d.goOn();
+  waitUntilArrived(d, [&] { return d.countSockets(d.port, true).unread >= 27; });
+  d.resume();
   int answered = 0;
   for (auto& c : clients) answered += c->get().find("ready") != std::string::npos;
   std::printf("of 27 that asked as one more came: %d answered\n", answered);
@@ -214,8 +214,8 @@
     newcomers.back()->send(pg::startup("web", "orders") + pg::query(Client::read("b")));
   }
   for (auto& c : clients) c->send(pg::query(Client::read("a")));
-  comes(d, [&] { return d.faced(d.port, true).unread >= kSessions; });
-  d.goOn();
+  waitUntilArrived(d, [&] { return d.countSockets(d.port, true).unread >= kSessions; });
+  d.resume();
   int answered = 0;
   for (auto& c : clients) answered += c->get().find("ready") != std::string::npos;
   std::printf("of 27 that asked as four more came: %d answered\n", answered);
@@ -286,7 +286,7 @@
   d.signal(SIGTERM);
   TimePoint signalledAt = d.s.now();
   d.pass(140);
-  d.goOn();
+  d.resume();
   d.until("it is told", [&] { return d.logged("phase=leaving"); });
   d.until("it is late", [&] { return d.s.now() >= signalledAt + test::ms(720); });
   c.send(pg::query(Client::read("b")));
@@ -294,7 +294,7 @@
   std::printf("asked 0.72 s after SIGTERM: %s\n",
               answer.find("value of b") == std::string::npos ? "refused" : "taken");
   c.socket->close();
-  d.exits();
+  d.printExitCode();
 }
 
 const Case kCases[] = {{"termBusy", termBusy},
--- a/tests/proxy/proxy_test.cpp
+++ b/tests/proxy/proxy_test.cpp
@@ -294,7 +294,7 @@
   d.signal(SIGTERM);
   std::printf("idle ones are sent away: %s, %s\n", idle.get().c_str(), late.get().c_str());
   std::printf("what was in hand: %s\n", busy.get(2).c_str());
-  d.exits();
+  d.printExitCode();
 }
 
 // Compares the last counters line of the log with what clients and stores received.
@@ -309,7 +309,7 @@
     c.ask(Client::read("wrong"));  // its client gets the store's own error: completed
   }
   d.signal(SIGTERM);
-  d.exits();
+  d.printExitCode();
   d.logged("counters");
   std::size_t lineStart = d.log.rfind(" counters ");
   std::string line = lineStart == std::string::npos
@@ -391,7 +391,7 @@
   d.signal(SIGTERM), d.signal(SIGHUP);
   d.pass(100);
   d.signal(SIGHUP);
-  d.exits();
+  d.printExitCode();
 }
 
 void silence() {
--- a/tests/proxy/races_test.cpp
+++ b/tests/proxy/races_test.cpp
@@ -14,12 +14,12 @@
 using namespace reedchute;
 using test::Case;
 using test::Client;
-using test::comes;
 using test::Drive;
 using test::edits;
 using test::ms;
 using test::Seen;
-using test::seen;
+using test::waitUntilArrived;
+using test::waitUntilStoreReceives;
 using test::yes;
 
 namespace {
@@ -38,7 +38,7 @@
   d.stop();
   before();
   d.toy.setState(store, "draining");
-  comes(d, [&] { return d.faced(d.listPort()).unread > 0; });
+  waitUntilArrived(d, [&] { return d.countSockets(d.listPort()).unread > 0; });
 }
 
 // A request and its client's disconnect arrive together: the client has disconnected before the
@@ -51,10 +51,11 @@
     d.stop();
     leaving.send(pg::query(Client::read("b")));
     resets ? leaving.reset() : leaving.socket->close();
-    comes(d, [&] {
-      return resets ? d.faced(d.port, true).open == 1 : d.faced(d.port, true).ended > 0;
+    waitUntilArrived(d, [&] {
+      return resets ? d.countSockets(d.port, true).open == 1
+                    : d.countSockets(d.port, true).ended > 0;
     });
-    d.goOn();
+    d.resume();
     d.c.ask(Client::read("c"));
     std::printf("one that asks and %s at once: %d sent of it\n", resets ? "resets" : "closes",
                 executions.times);
@@ -82,7 +83,7 @@
   {
     DriveWithClient d(1);
     Client leaving(d);
-    d.holdBack(0);
+    d.blockConnections(0);
     Seen executions(d, "b");
     leaving.send(pg::query(Client::read("b")));
     d.until("the connection is dialled", [&] { return d.toy.holdsGreeting(0); });
@@ -102,8 +103,10 @@
   d.toy.kill(0);
   d.toy.restart(0);
   leaving.socket->close();
-  comes(d, [&] { return d.faced(d.toy.port(0)).ended > 0 && d.faced(d.port, true).ended > 0; });
-  d.goOn();
+  waitUntilArrived(d, [&] {
+    return d.countSockets(d.toy.port(0)).ended > 0 && d.countSockets(d.port, true).ended > 0;
+  });
+  d.resume();
   d.until("another's is completed",
           [&] { return other.ask(Client::read("c")).find("row") != std::string::npos; });
   std::printf("gone as its execution's connection broke: %d sent of it after that\n",
@@ -174,9 +177,9 @@
     d.stop();
     int openBefore = static_cast<int>(d.toy.connections(0));
     d.toy.closeIdle(0, bytes);
-    comes(d, [&] { return d.faced(d.toy.port(0)).ended >= openBefore; });
+    waitUntilArrived(d, [&] { return d.countSockets(d.toy.port(0)).ended >= openBefore; });
     d.c.send(pg::query(Client::write("b", 3000, "once")));
-    d.goOn();
+    d.resume();
     std::string answer = d.c.get();
     std::printf("an idle connection that ends with %s: %s; %d sent\n", what, answer.c_str(),
                 d.sent - sentBefore);
@@ -189,21 +192,21 @@
     DriveWithClient d(1);
     d.stop();
     d.c.send(pg::query(Client::write("b", 3000, "once")));
-    comes(d, [&] { return d.faced(d.port, true).unread > 0; });
+    waitUntilArrived(d, [&] { return d.countSockets(d.port, true).unread > 0; });
     d.signal(SIGTERM);
-    d.goOn();
+    d.resume();
     std::printf("SIGTERM with a request unread: %s\n", d.c.get().c_str());
-    d.exits();
+    d.printExitCode();
   }
   DriveWithClient d(1);
-  d.holdBack(0);
+  d.blockConnections(0);
   d.c.send(pg::query(Client::write("b", 3000, "once")));
   d.until("the connection is dialled", [&] { return d.toy.holdsGreeting(0); });
   d.signal(SIGTERM);
   d.until("it is told", [&] { return d.logged("phase=leaving"); });
   d.toy.hold(0, false);
   std::printf("SIGTERM while its connection is dialled: %s\n", d.c.get().c_str());
-  d.exits();
+  d.printExitCode();
 }
 
 // A client with a pending answer sends another request long after SIGTERM: the request is refused
@@ -221,7 +224,7 @@
   std::printf("owed as it closes, and asked again behind it: %s\n", c.get(2).c_str());
   std::printf("then: %s\n", c.get().c_str());
   c.socket->close();
-  d.exits();
+  d.printExitCode();
 }
 
 // A request arrives on an idle connection just as the proxy shuts it; a request that arrived before
@@ -235,9 +238,9 @@
   d.stop();
   d.pass(700);  // the time to close passes while the proxy is stopped
   early.send(pg::query(Client::read("c")));
-  comes(d, [&] { return d.faced(d.port, true).unread > 0; });
+  waitUntilArrived(d, [&] { return d.countSockets(d.port, true).unread > 0; });
   Seen executions(d, "d");
-  d.goOn();
+  d.resume();
   std::string answer = early.get(1);
   bool isOneAnswer = answer == "row 'value of c', ready" || answer == "ERROR 53300, ready" ||
                      answer == "FATAL 57P03, closed";
@@ -251,7 +254,7 @@
   getsockopt(late.socket->fd(), SOL_SOCKET, SO_ERROR, &error, &size);
   std::printf("asked as it was shut: %d sent, reset %s\n", executions.times, yes(error != 0));
   late.socket->close(), early.socket->close();
-  d.exits();
+  d.printExitCode();
 }
 
 // An update that a watch has returned counts as received, even if SIGHUP moves the endpoint list to
@@ -265,7 +268,7 @@
     moved.setListUnresponsive(isSilent);
     // The signal is sent before the watch's answer, so that it is handled first.
     stopWithDrainUnread(d, 1, [&] { d.configure(port), d.signal(SIGHUP); });
-    d.goOn();
+    d.resume();
     bool isReceived = d.until("the change is heard",
                               [&] { return d.logged("id=toy-1 group=7 state=draining"); });
     std::printf("SIGHUP while a watch brings a drain, the new service %s: heard %s\n",
@@ -294,10 +297,10 @@
   d.until("watched", [&] { return d.toy.hasWatchers(); });
   d.stop();
   d.toy.resetList();
-  comes(d, [&] { return d.faced(d.listPort()).open == 0; });
+  waitUntilArrived(d, [&] { return d.countSockets(d.listPort()).open == 0; });
   d.toy.setState(1, "draining");
   TimePoint since = d.s.now();
-  d.goOn();
+  d.resume();
   d.until("told", [&] { return d.logged("state=draining"); });
   std::printf("a drain right behind a reset of the watch: told %s\n",
               d.s.now() - since < ms(3000) ? "at once" : "late");
@@ -384,7 +387,7 @@
   Drive d(2);
   Client c(d);
   for (int k = 0; k < 40; ++k) c.ask(Client::read("ok"));
-  d.holdBack(1);
+  d.blockConnections(1);
   int completed = 0;
   for (int k = 0; k < 10; ++k)
     completed += c.ask(Client::read("a")).find("row") != std::string::npos;
@@ -408,7 +411,7 @@
     int executionsBefore = d.toy.executions(1);
     stopWithDrainUnread(d, 1);
     c.send(pg::query(Client::read("b")));
-    d.goOn();
+    d.resume();
     c.get();
     std::printf("a drain and a request, a connection in the pool: %d sent there\n",
                 d.toy.executions(1) - executionsBefore);
@@ -426,21 +429,23 @@
     int inFlight = d.toy.executions(1) - executionsBefore;
     stopWithDrainUnread(d, 1);
     d.toy.kill(1), d.toy.restart(1);
-    comes(d, [&] { return d.faced(d.toy.port(1)).ended > 0 && d.faced(d.toy.port(1)).open == 0; });
-    d.goOn();
+    waitUntilArrived(d, [&] {
+      return d.countSockets(d.toy.port(1)).ended > 0 && d.countSockets(d.toy.port(1)).open == 0;
+    });
+    d.resume();
     c.get(), other.get();
     std::printf("a drain between two executions: %d more sent there\n",
                 d.toy.executions(1) - executionsBefore - inFlight);
   }
   DriveWithClient d(1);
-  d.holdBack(0);
+  d.blockConnections(0);
   int executionsBefore = d.toy.executions(0);
   d.c.send(pg::query(Client::write("b", 1500, "once")));
   d.until("the connection is dialled", [&] { return d.toy.holdsGreeting(0); });
   stopWithDrainUnread(d, 0);
   d.toy.hold(0, false);
-  comes(d, [&] { return d.faced(d.toy.port(0)).unread > 0; });
-  d.goOn();
+  waitUntilArrived(d, [&] { return d.countSockets(d.toy.port(0)).unread > 0; });
+  d.resume();
   std::printf("a drain as the connection comes up: %s", d.c.get().c_str());
   std::printf("; %d sent there\n", d.toy.executions(0) - executionsBefore);
 }
@@ -453,9 +458,9 @@
   d.c.send(pg::query(Client::write("slow100", 600, "once")));
   seen(d, sentBefore);
   d.stop();
-  comes(d, [&] { return d.faced(d.toy.port(0)).unread > 0; });
+  waitUntilArrived(d, [&] { return d.countSockets(d.toy.port(0)).unread > 0; });
   d.pass(700);
-  d.goOn();
+  d.resume();
   std::string answer = d.c.get();
   bool isOneAnswer = answer == "row 'value of slow100', ready" || answer == "ERROR 57014, ready";
   std::printf("an answer at the end of its time: %s\n", isOneAnswer ? "one" : answer.c_str());
@@ -506,8 +511,8 @@
   Client newcomer(d, false);
   newcomer.send(pg::startup("web", "orders") + pg::query(Client::read("c")));
   slow.send(request.substr(20));
-  comes(d, [&] { return d.faced(d.port, true).unread > 0; });
-  d.goOn();
+  waitUntilArrived(d, [&] { return d.countSockets(d.port, true).unread > 0; });
+  d.resume();
   std::printf("the rest of a request, behind one that needs room: %s\n", slow.get().c_str());
   std::printf("that one: %s\n", newcomer.get(2).c_str());
 }
@@ -525,7 +530,7 @@
   d.signal(SIGTERM);
   std::printf("one that has asked: %s\n", requesting.get(2).c_str());
   std::printf("one that has not: %s\n", silent.get(2).c_str());
-  d.exits();
+  d.printExitCode();
 }
 
 // A process that starts waits for its first endpoint list; the deadlines of its clients run
--- a/tests/proxy/sizes_test.cpp
+++ b/tests/proxy/sizes_test.cpp
@@ -44,7 +44,7 @@
   }
   std::printf("statements: %d completed, %d otherwise\n", completed, other);
   std::fprintf(stderr, "at most %d KB and %d descriptors\n", d.peakKb(), peakDescriptors);
-  std::printf("within 32 MB: %s; within 256 descriptors: %s\n", yes(d.heldAtMost(32)),
+  std::printf("within 32 MB: %s; within 256 descriptors: %s\n", yes(d.usedAtMost(32)),
               yes(peakDescriptors <= 256));
   int replicaExecutions = d.toy.executions(1);
   d.toy.setState(700, "draining");
@@ -54,7 +54,7 @@
   std::printf("replicas were used: %s\n", yes(replicaExecutions > 0));
   clients.clear();
   d.signal(SIGTERM);
-  d.exits();
+  d.printExitCode();
 }
 
 // An endpoint list of 520 KB that contains about 170,000 JSON values.
@@ -71,7 +71,7 @@
   std::printf("the next is taken: %s\n",
               yes(d.until("it is", [&] { return d.logged("state=draining"); })));
   std::fprintf(stderr, "at most %d KB\n", d.peakKb());
-  std::printf("within 32 MB: %s\n", yes(d.heldAtMost(32)));
+  std::printf("within 32 MB: %s\n", yes(d.usedAtMost(32)));
 }
 
 // Of 64 descriptors, 13 are for connections to stores. 21 replicas accept connections and stay
--- a/tests/proxy/system_call_faults_test.cpp
+++ b/tests/proxy/system_call_faults_test.cpp
@@ -68,7 +68,7 @@
     d.signal(SIGTERM);
     std::printf("accept fails with %d as the listener closes: %s\n", error, client.get(2).c_str());
     client.socket->close();
-    d.exits();
+    d.printExitCode();
   }
 }
 
@@ -144,7 +144,7 @@
 void startLacks() {
   for (const auto& [what, call, error] : {std::tuple{"its listening socket", Call::socket, ENFILE},
                                           {"its address", Call::bind, EADDRINUSE},
-                                          {"its signals", Call::makeSignals, ENFILE},
+                                          {"its signals", Call::createSignalFd, ENFILE},
                                           {"its configuration", Call::open, EMFILE}}) {
     FaultyMachine machine;
     machine.fails(call, error);
