--- a/tests/protocols/cassandra_proxy_test.cpp
+++ b/tests/protocols/cassandra_proxy_test.cpp
@@ -76,7 +76,7 @@
   proxy.until("closed", [&] { return reusingClient.read(), reusingClient.ended; });
   std::printf("another connection: %s\n", otherClient.ask(selectOf("c"), {}).c_str());
   proxy.signal(SIGTERM);
-  proxy.exits();
+  proxy.printExitCode();
   std::printf("nothing was left open: %s\n", proxy.logged("phase=ended open=0 ") ? "yes" : "no");
 }
 
@@ -108,7 +108,7 @@
   proxy.signal(SIGTERM);
   std::printf("when the front leaves: %s\n", statusListener.answer(-1).c_str());
   std::printf("meanwhile: %s\n", statusListener.plain(selectOf("late")).c_str());
-  proxy.exits();
+  proxy.printExitCode();
 }
 
 void doorOutcomes() {
--- a/tests/proxy/races_test.cpp
+++ b/tests/proxy/races_test.cpp
@@ -70,7 +70,7 @@
   std::string requests = pg::query(Client::write("silent"));  // no statement runs beside a write
   for (int k = 0; k < 400; ++k) requests += pg::query(Client::read("more" + std::to_string(k)));
   leaving.send(requests);
-  seen(d, sentBefore);
+  waitUntilStoreReceives(d, sentBefore);
   leaving.socket->close();
   bool isWithdrawn = d.until("it is withdrawn", [&] { return d.logged("sessions=1 "); });
   std::printf("400 statements behind one that is out, and gone: withdrawn %s, %d sent\n",
@@ -98,7 +98,7 @@
   int sentBefore = d.sent;
   Seen executions(d, "slow50-ok");
   leaving.send(pg::query(Client::read("slow50-ok")));
-  seen(d, sentBefore);
+  waitUntilStoreReceives(d, sentBefore);
   d.stop();
   d.toy.kill(0);
   d.toy.restart(0);
@@ -216,7 +216,7 @@
   Client c(d);
   int sentBefore = d.sent;
   c.send(pg::query(Client::read("slow1500", 5000)));
-  seen(d, sentBefore);
+  waitUntilStoreReceives(d, sentBefore);
   d.signal(SIGTERM);
   d.until("it closes", [&] { return d.logged("phase=closing"); });
   d.pass(300);
@@ -374,7 +374,7 @@
   TimePoint since = d.s.now();
   int sentBefore = d.sent;
   c.send(pg::query(Client::write("endless", 20'000, "once")));
-  seen(d, sentBefore);
+  waitUntilStoreReceives(d, sentBefore);
   other.asks("while a store's answer does not end", Client::read("a"));
   std::printf("an answer without end: %s, ", c.get().c_str());
   std::printf("%s\n", d.s.now() - since < ms(10'000) ? "long before its client's time" : "late");
@@ -456,7 +456,7 @@
   DriveWithClient d(1);
   int sentBefore = d.sent;
   d.c.send(pg::query(Client::write("slow100", 600, "once")));
-  seen(d, sentBefore);
+  waitUntilStoreReceives(d, sentBefore);
   d.stop();
   waitUntilArrived(d, [&] { return d.countSockets(d.toy.port(0)).unread > 0; });
   d.pass(700);
@@ -487,7 +487,7 @@
   Client slow(d, true, true), nonReading(d, true, true);
   int sentBefore = d.sent;
   slow.send(pg::query(Client::read("big700000")));
-  seen(d, sentBefore);
+  waitUntilStoreReceives(d, sentBefore);
   d.pass(1200);  // twice the keepalive
   std::string answer = slow.get();
   std::printf("it reads after twice that time: %s\n", answer.substr(0, 8).c_str());
