--- a/tests/proxy/crossing_events_test.cpp
+++ b/tests/proxy/crossing_events_test.cpp
@@ -281,7 +281,7 @@
   Client c(d);
   int sentBefore = d.sent;
   c.send(pg::query(Client::read("slow1500", 5000)));
-  seen(d, sentBefore);
+  waitUntilStoreReceives(d, sentBefore);
   d.stop();
   d.signal(SIGTERM);
   TimePoint signalledAt = d.s.now();
